--- a/bench/forward/main.cpp
+++ b/bench/forward/main.cpp
@@ -62,17 +62,17 @@
 /// Runs \p Step \p Count times; prints the least of five rounds.
 template <typename Callable>
 static void measure(const char *Name, unsigned Count, Callable Step) {
-  double Least = 1e18;
+  double BestNs = 1e18;
   std::uint64_t Allocated = 0;
   for (int Round = 0; Round < 5; ++Round) {
     const std::uint64_t Before = Allocations;
     const double Start = threadNs();
     for (unsigned I = 0; I < Count; ++I)
       Step(I);
-    Least = std::min(Least, (threadNs() - Start) / Count);
+    BestNs = std::min(BestNs, (threadNs() - Start) / Count);
     Allocated = Allocations - Before;
   }
-  std::printf("bench: %s %.0f ns\n", Name, Least);
+  std::printf("bench: %s %.0f ns\n", Name, BestNs);
   std::printf("bench: %s_allocations %.3f per_packet\n", Name,
               static_cast<double>(Allocated) / Count);
 }
@@ -179,15 +179,15 @@
 // Where flows go
 //===----------------------------------------------------------------------===//
 
-enum class policy { Rendezvous, LeastKnown, Ours };
+enum class policy { Rendezvous, LeastKnown, Placement };
 
 static constexpr name_table<policy, 3> PolicyNames = {{
     {policy::Rendezvous, "naive"},
     {policy::LeastKnown, "least_known"},
-    {policy::Ours, "ours"},
+    {policy::Placement, "ours"},
 }};
 
-enum class trouble { None, FailingTargets };
+enum class fault_scenario { None, FailingTargets };
 
 /// Targets with a queue, two thirds of their slots in use; flows that ask once
 /// a second; reports five times a second, which is all that is known (the worst
@@ -196,22 +196,22 @@
 /// four requests in ten with an error, at once, in the middle half of the time.
 class placing_model {
 public:
-  placing_model(policy Policy, trouble Trouble)
-      : Policy(Policy), Trouble(Trouble), Real(Targets) {
-    for (placing_view &Target : Real) {
+  placing_model(policy Policy, fault_scenario Scenario)
+      : Policy(Policy), Scenario(Scenario), Actual(Targets) {
+    for (placing_view &Target : Actual) {
       Target.OwnZone = true;
       Target.Slots = Slots;
     }
-    Known = Real;
+    Reported = Actual;
   }
 
   void run() {
     for (int Step = 0; Step < Steps; ++Step) {
-      if (Step % StepsAReport == 0)
-        Known = Real;
+      if (Step % StepsPerReport == 0)
+        Reported = Actual;
       if (Step == Steps / 2)
-        join();
-      for (int I = 0; I < NewFlowsAStep; ++I)
+        replaceTarget();
+      for (int I = 0; I < NewFlowsPerStep; ++I)
         place();
       serve(Step);
     }
@@ -224,30 +224,32 @@
   }
 
   void print() {
-    std::sort(Waits.begin(), Waits.end());
+    std::sort(WaitTimesMs.begin(), WaitTimesMs.end());
     double Most = 0;
     double Sum = 0;
-    for (const placing_view &Target : Real) {
+    for (const placing_view &Target : Actual) {
       Most = std::max<double>(Most, Target.Flows);
       Sum += Target.Flows;
     }
     const std::string Name(nameOf(PolicyNames, Policy));
-    std::printf("bench: placing_%s_p50 %.0f ms\n", Name.c_str(), waitAt(0.5));
-    std::printf("bench: placing_%s_p99 %.0f ms\n", Name.c_str(), waitAt(0.99));
+    std::printf("bench: placing_%s_p50 %.0f ms\n", Name.c_str(),
+                waitPercentile(0.5));
+    std::printf("bench: placing_%s_p99 %.0f ms\n", Name.c_str(),
+                waitPercentile(0.99));
     std::printf("bench: placing_%s_refused %.0f requests\n", Name.c_str(),
                 static_cast<double>(Refused));
     std::printf("bench: placing_%s_imbalance %.3f ratio\n", Name.c_str(),
-                Most / (Sum / static_cast<double>(Real.size())));
+                Most / (Sum / static_cast<double>(Actual.size())));
   }
 
 private:
   static constexpr std::size_t Targets = 15;
   static constexpr int Steps = 4000;
   static constexpr int StepMs = 10;
-  static constexpr int StepsAReport = 20;
-  static constexpr int NewFlowsAStep = 1;
+  static constexpr int StepsPerReport = 20;
+  static constexpr int NewFlowsPerStep = 1;
   static constexpr int FlowLifeSteps = 1000;
-  static constexpr int StepsARequest = 100;
+  static constexpr int StepsPerRequest = 100;
   static constexpr unsigned Slots = 4;
   static constexpr int ServiceSteps = 4;
   static constexpr int QueueLimit = 16;
@@ -256,16 +258,16 @@
 
   struct flow {
     std::size_t Target;
-    int Born;
+    int StartStep;
     int Phase;
   };
 
-  void join() {
+  void replaceTarget() {
     for (flow &Flow : Open)
       if (Flow.Target == 0)
-        Flow.Born = -FlowLifeSteps;
-    Real[0].Flows = 0;
-    Known = Real;
+        Flow.StartStep = -FlowLifeSteps;
+    Actual[0].Flows = 0;
+    Reported = Actual;
   }
 
   void place() {
@@ -274,46 +276,47 @@
       Order[I] = I;
     std::shuffle(Order.begin(), Order.end(), Random);
     std::size_t Chosen = Order[0];
-    if (Policy == policy::Ours)
-      Chosen = placement().choose(Known, Order).value_or(Chosen);
+    if (Policy == policy::Placement)
+      Chosen = placement().choose(Reported, Order).value_or(Chosen);
     if (Policy == policy::LeastKnown)
       for (const std::size_t I : Order)
-        if (Known[I].Flows < Known[Chosen].Flows)
+        if (Reported[I].Flows < Reported[Chosen].Flows)
           Chosen = I;
-    Open.push_back({Chosen, Now, static_cast<int>(Random() % StepsARequest)});
-    ++Real[Chosen].Flows;
+    Open.push_back({Chosen, Now, static_cast<int>(Random() % StepsPerRequest)});
+    ++Actual[Chosen].Flows;
   }
 
   void serve(int Step) {
     Now = Step;
     std::erase_if(Open, [&](const flow &Flow) {
-      if (Step - Flow.Born < FlowLifeSteps)
+      if (Step - Flow.StartStep < FlowLifeSteps)
         return false;
-      if (Real[Flow.Target].Flows > 0)
-        --Real[Flow.Target].Flows;
+      if (Actual[Flow.Target].Flows > 0)
+        --Actual[Flow.Target].Flows;
       return true;
     });
     for (const flow &Flow : Open)
-      if ((Step - Flow.Born) % StepsARequest == 0)
+      if ((Step - Flow.StartStep) % StepsPerRequest == 0)
         request(Flow.Target);
     for (std::size_t I = 0; I < Targets; ++I) {
       Work[I] = std::max(Work[I] - static_cast<int>(Slots), 0);
-      Real[I].Active = static_cast<std::uint16_t>((Work[I] + ServiceSteps - 1) /
-                                                  ServiceSteps);
+      Actual[I].Active = static_cast<std::uint16_t>(
+          (Work[I] + ServiceSteps - 1) / ServiceSteps);
     }
   }
 
   bool fails(std::size_t Target) {
-    const bool IsTime = Now >= Steps / 4 && Now < Steps * 3 / 4;
-    return Trouble == trouble::FailingTargets && Target < FailingTargets &&
-           IsTime && std::bernoulli_distribution(FailingShare)(Random);
+    const bool InFaultWindow = Now >= Steps / 4 && Now < Steps * 3 / 4;
+    return Scenario == fault_scenario::FailingTargets &&
+           Target < FailingTargets && InFaultWindow &&
+           std::bernoulli_distribution(FailingShare)(Random);
   }
 
   void request(std::size_t Target) {
     const bool IsFailure = fails(Target);
     const instant At{std::chrono::milliseconds(Now * StepMs)};
     Failures[Target].onAnswer(IsFailure, At);
-    Real[Target].Failing = Failures[Target].thousandths();
+    Actual[Target].Failing = Failures[Target].thousandths();
     if (IsFailure) {
       ++Failed;
       return;
@@ -325,23 +328,23 @@
     }
     Work[Target] += ServiceSteps;
     const double QueuedSteps = static_cast<double>(Work[Target]) / Slots;
-    Waits.push_back(StepMs * (ServiceSteps + QueuedSteps));
+    WaitTimesMs.push_back(StepMs * (ServiceSteps + QueuedSteps));
   }
 
-  double waitAt(double Share) const {
-    if (Waits.empty())
+  double waitPercentile(double Share) const {
+    if (WaitTimesMs.empty())
       return 0;
-    return Waits[static_cast<std::size_t>(
-        Share * static_cast<double>(Waits.size() - 1))];
+    return WaitTimesMs[static_cast<std::size_t>(
+        Share * static_cast<double>(WaitTimesMs.size() - 1))];
   }
 
   policy Policy;
-  trouble Trouble;
-  std::vector<placing_view> Real;
-  std::vector<placing_view> Known;
+  fault_scenario Scenario;
+  std::vector<placing_view> Actual;
+  std::vector<placing_view> Reported;
   std::vector<flow> Open;
   std::array<int, Targets> Work{};
-  std::vector<double> Waits;
+  std::vector<double> WaitTimesMs;
   std::uint64_t Refused = 0;
   std::uint64_t Failed = 0;
   std::array<internal::failure_watch, Targets> Failures{};
@@ -356,12 +359,12 @@
   measureReports(41);
   measureReports(7650);
   for (const auto &[Policy, Name] : PolicyNames) {
-    placing_model Model(Policy, trouble::None);
+    placing_model Model(Policy, fault_scenario::None);
     Model.run();
     Model.print();
   }
   for (const auto &[Policy, Name] : PolicyNames) {
-    placing_model Model(Policy, trouble::FailingTargets);
+    placing_model Model(Policy, fault_scenario::FailingTargets);
     Model.run();
     Model.printFailed();
   }
--- a/daemons/forwarder/forward_agent_process.cpp
+++ b/daemons/forwarder/forward_agent_process.cpp
@@ -111,7 +111,7 @@
   };
   Hooks.OnLooked = [this](bool Existed) {
     if (Flows)
-      Flows->start(/*HasFormer=*/Existed);
+      Flows->start(/*HasPrevious=*/Existed);
   };
   // What follows is as for a new target: its flows wait until all know it.
   Hooks.OnMissing = [this] {
@@ -150,7 +150,7 @@
   Hooks.Send = [this](const endpoint &To, bytes_view Bytes) {
     Routed.send(To, Bytes);
   };
-  Hooks.OnTrouble = [this](const std::string &Reason) {
+  Hooks.OnError = [this](const std::string &Reason) {
     Log.record(event_kind::StoreLost, "kept flows: " + Reason);
   };
   return std::make_unique<flow_reporter>(
--- a/daemons/forwarder/forward_balancer_process.cpp
+++ b/daemons/forwarder/forward_balancer_process.cpp
@@ -80,7 +80,7 @@
            Adapter.Codec, coreHooks()),
       Directory(Loop.timers(), storeApis(Store), directorySettings(Settings),
                 directoryHooks()),
-      Flows(Loop.timers(), Store.api(), keptFlowsKey(Settings.Zone),
+      Flows(Loop.timers(), Store.api(), checkpointKey(Settings.Zone),
             flowHooks()),
       ReadyPage(Loop, Metrics, readyPage()),
       PeerPage(Loop, Metrics, peerPage()), MetricsPage(Loop, Metrics, {}),
@@ -148,7 +148,7 @@
   Hooks.Send = [this](const endpoint &To, bytes_view Bytes) {
     Peers.send(To, Bytes);
   };
-  Hooks.OnTrouble = [this](const std::string &Reason) {
+  Hooks.OnError = [this](const std::string &Reason) {
     Log.record(event_kind::StoreLost, "kept flows: " + Reason);
   };
   return Hooks;
--- a/include/marjoramrail/flowstore.h
+++ b/include/marjoramrail/flowstore.h
@@ -10,11 +10,11 @@
 /// \code
 ///   flow_reporter Reporter(Timers, Store, {"target.web-1", "brugge"},
 ///                          {.OpenFlows = ..., .OnLost = ...});
-///   Reporter.start(/*HasFormer=*/true);
+///   Reporter.start(/*HasPrevious=*/true);
 ///   Reporter.onRun({"run-2", Born});          // each time the target reports
 ///   Reporter.input(From, Datagram);           // a collector's question
 ///
-///   flow_collector Collector(Timers, Store, keptFlowsKey("brugge"),
+///   flow_collector Collector(Timers, Store, checkpointKey("brugge"),
 ///                            {.Agents = ..., .Send = ...});
 ///   Collector.start();
 ///   Collector.input(Datagram);                // an agent's report
@@ -60,32 +60,33 @@
 };
 
 /// The flows that one run of a target held a short while ago.
-struct kept_flows {
+struct flow_checkpoint {
   target_run Run;
   std::vector<open_flow> Flows;
 
-  bool operator==(const kept_flows &) const = default;
+  bool operator==(const flow_checkpoint &) const = default;
 };
 
 /// The flows of a zone's targets, by the names of their entries.
-using zone_flows = std::map<std::string, kept_flows>;
+using zone_checkpoint = std::map<std::string, flow_checkpoint>;
 
-std::string encodeFlows(const zone_flows &Zone);
+std::string encodeCheckpoint(const zone_checkpoint &Zone);
 /// Fails with step::ValidateObject.
-result<zone_flows> decodeFlows(const object_key &Key, const std::string &Body);
+result<zone_checkpoint> decodeCheckpoint(const object_key &Key,
+                                         const std::string &Body);
 
 /// The kind under which flows are kept. Not that of targets and balancers:
 /// nobody watches it.
-inline constexpr const char *KeptFlowsKind = "marjoramrail-flows";
+inline constexpr const char *CheckpointKind = "marjoramrail-flows";
 /// Where the flows of \p Zone's targets are kept.
-object_key keptFlowsKey(const std::string &Zone);
+object_key checkpointKey(const std::string &Zone);
 
 //===----------------------------------------------------------------------===//
 // What agents and collectors tell each other
 //===----------------------------------------------------------------------===//
 
 /// A collector asks for an agent's open flows, unless it has them already.
-struct flow_question {
+struct flow_report_request {
   /// Of the last report that the collector has; 0: of none.
   std::uint64_t Sequence = 0;
 };
@@ -104,9 +105,10 @@
   bool operator==(const flow_report &) const = default;
 };
 
-std::vector<std::uint8_t> encodeFlowQuestion(const flow_question &Question);
-std::optional<flow_question>
-decodeFlowQuestion(std::span<const std::uint8_t> Bytes);
+std::vector<std::uint8_t>
+encodeFlowReportRequest(const flow_report_request &Request);
+std::optional<flow_report_request>
+decodeFlowReportRequest(std::span<const std::uint8_t> Bytes);
 std::vector<std::uint8_t> encodeFlowReport(const flow_report &Report);
 bool isFlowReport(std::span<const std::uint8_t> Bytes);
 std::optional<flow_report>
@@ -141,7 +143,7 @@
     /// A datagram for a collector.
     std::function<void(const endpoint &To, std::span<const std::uint8_t>)> Send;
     /// A call failed; \p Reason for the log.
-    std::function<void(const std::string &Reason)> OnTrouble;
+    std::function<void(const std::string &Reason)> OnError;
   };
 
   flow_reporter(timer_service &Timers, platform_api Store, settings Settings,
@@ -151,9 +153,9 @@
   flow_reporter &operator=(const flow_reporter &) = delete;
 
   /// Reads what a process before this one has reported, if there was one
-  /// (\p HasFormer). Until it has, or has given up, no collector gets an
+  /// (\p HasPrevious). Until it has, or has given up, no collector gets an
   /// answer, which would replace that.
-  void start(bool HasFormer);
+  void start(bool HasPrevious);
   /// The target has said which run it is.
   void onRun(const target_run &Run);
   /// The target has left: no flows are reported until another run begins.
@@ -185,7 +187,7 @@
     /// A datagram for an agent.
     std::function<void(const endpoint &To, std::span<const std::uint8_t>)> Send;
     /// A call failed; \p Reason for the log.
-    std::function<void(const std::string &Reason)> OnTrouble;
+    std::function<void(const std::string &Reason)> OnError;
   };
 
   flow_collector(timer_service &Timers, platform_api Store, object_key Key,
--- a/src/flowstore/kept_flows.cpp
+++ b/src/flowstore/flow_checkpoint.cpp
@@ -15,16 +15,16 @@
 static constexpr std::size_t FlowDigits =
     AddressDigits + PortDigits + NumberDigits;
 
-object_key keptFlowsKey(const std::string &Zone) {
-  return {KeptFlowsKind, "zone." + Zone};
+object_key checkpointKey(const std::string &Zone) {
+  return {CheckpointKind, "zone." + Zone};
 }
 
 static void addDigits(std::string &Text, std::uint32_t Value,
                       std::size_t Digits) {
   static constexpr const char *Hex = "0123456789abcdef";
-  static constexpr std::size_t BitsADigit = 4;
+  static constexpr std::size_t BitsPerDigit = 4;
   for (std::size_t Left = Digits; Left > 0; --Left)
-    Text += Hex[Value >> ((Left - 1) * BitsADigit) & 0xf];
+    Text += Hex[Value >> ((Left - 1) * BitsPerDigit) & 0xf];
 }
 
 /// The flows by the service's address, a string of digits each: most targets
@@ -40,12 +40,12 @@
   return ByAddress;
 }
 
-std::string encodeFlows(const zone_flows &Zone) {
+std::string encodeCheckpoint(const zone_checkpoint &Zone) {
   json Targets = json::object();
-  for (const auto &[Name, Kept] : Zone)
-    Targets[Name] = {{"run", Kept.Run.Id},
-                     {"born", Kept.Run.Born},
-                     {"flows", encodeByAddress(Kept.Flows)}};
+  for (const auto &[Name, Checkpoint] : Zone)
+    Targets[Name] = {{"run", Checkpoint.Run.Id},
+                     {"born", Checkpoint.Run.Born},
+                     {"flows", encodeByAddress(Checkpoint.Flows)}};
   return json{{"targets", Targets}}.dump();
 }
 
@@ -79,32 +79,36 @@
   return {};
 }
 
-static result<kept_flows> decodeKept(const object_key &Key, const json &Item) {
+static result<flow_checkpoint> decodeTarget(const object_key &Key,
+                                            const json &Item) {
   if (!Item.is_object() || !Item.contains("run") || !Item["run"].is_string() ||
       !Item.contains("born") || !Item["born"].is_number_integer() ||
       !Item.contains("flows") || !Item["flows"].is_object())
     return fail(step::ValidateObject, Key.Name, "these are no kept flows");
-  kept_flows Kept;
-  Kept.Run = {Item["run"].get<std::string>(), Item["born"].get<std::int64_t>()};
+  flow_checkpoint Checkpoint;
+  Checkpoint.Run = {Item["run"].get<std::string>(),
+                    Item["born"].get<std::int64_t>()};
   for (const auto &[Address, Digits] : Item["flows"].items()) {
     const auto Service = parseEndpoint(Address);
     if (!Service || !Digits.is_string())
       return fail(step::ValidateObject, Key.Name, "a flow has no address");
-    BOOST_LEAF_CHECK(decodeDigits(
-        Key, *Service, Digits.get_ref<const std::string &>(), Kept.Flows));
+    BOOST_LEAF_CHECK(decodeDigits(Key, *Service,
+                                  Digits.get_ref<const std::string &>(),
+                                  Checkpoint.Flows));
   }
-  return Kept;
+  return Checkpoint;
 }
 
-result<zone_flows> decodeFlows(const object_key &Key, const std::string &Body) {
+result<zone_checkpoint> decodeCheckpoint(const object_key &Key,
+                                         const std::string &Body) {
   const json Json = json::parse(Body, nullptr, /*allow_exceptions=*/false);
   if (!Json.is_object() || !Json.contains("targets") ||
       !Json["targets"].is_object())
     return fail(step::ValidateObject, Key.Name, "these are no zone's flows");
-  zone_flows Zone;
+  zone_checkpoint Zone;
   for (const auto &[Name, Item] : Json["targets"].items()) {
-    BOOST_LEAF_AUTO(Kept, decodeKept(Key, Item));
-    Zone[Name] = std::move(Kept);
+    BOOST_LEAF_AUTO(Checkpoint, decodeTarget(Key, Item));
+    Zone[Name] = std::move(Checkpoint);
   }
   return Zone;
 }
--- a/src/flowstore/flow_collector.cpp
+++ b/src/flowstore/flow_collector.cpp
@@ -5,22 +5,22 @@
 namespace marjoramrail {
 
 /// How long the news of an agent waits for the next question, at most.
-static constexpr duration AskPeriod = std::chrono::milliseconds(500);
+static constexpr duration RequestPeriod = std::chrono::milliseconds(500);
 /// The least time between two writes: a call a second for each zone.
-static constexpr duration WritePeriod = std::chrono::seconds(1);
+static constexpr duration MinWriteInterval = std::chrono::seconds(1);
 /// Bounds what writing costs the one balancer that does it for its zone: the
 /// larger the object, the longer the pause before the next write.
-static constexpr std::int64_t BytesASecond = 32 * 1024;
+static constexpr std::int64_t WriteBytesPerSecond = 32 * 1024;
 /// After a failed call, or when another balancer has written: that one keeps
 /// the zone's flows until it falls silent.
-static constexpr duration Pause = std::chrono::seconds(3);
+static constexpr duration RetryDelay = std::chrono::seconds(3);
 /// The flows of an agent that has said nothing for longer are over.
-static constexpr duration ForgetAfter = std::chrono::seconds(70);
+static constexpr duration ReporterTimeout = std::chrono::seconds(70);
 /// An agent whose flows do not change is asked all the same now and then, to
 /// hear that it is there.
-static constexpr duration AskAnywayAfter = std::chrono::seconds(30);
+static constexpr duration RefreshInterval = std::chrono::seconds(30);
 /// Of one zone: half of what an object of the store may hold.
-static constexpr std::size_t MostFlows = 25'000;
+static constexpr std::size_t MaxFlowsPerZone = 25'000;
 
 struct flow_collector::impl {
   impl(timer_service &Timers, platform_api Store, object_key Key, hooks Hooks)
@@ -33,32 +33,32 @@
     std::uint64_t Sequence = 0;
     std::vector<std::vector<open_flow>> Parts;
     /// Bits of the parts of Sequence that have come.
-    std::uint32_t Came = 0;
-    instant HeardAt;
+    std::uint32_t ReceivedParts = 0;
+    instant LastReportAt;
 
-    bool isWhole() const { return Came + 1 == 1U << Parts.size(); }
+    bool isComplete() const { return ReceivedParts + 1 == 1U << Parts.size(); }
   };
 
   void step();
-  void ask(const std::map<std::string, endpoint> &Agents);
+  void requestReports(const std::map<std::string, endpoint> &Agents);
   void read();
   void onRead(const platform_reply &Reply);
-  void takeKept(const platform_object &Object);
-  void take(flow_report Report);
-  void forgetSilent();
-  zone_flows zone() const;
+  void loadCheckpoint(const platform_object &Object);
+  void applyReport(flow_report Report);
+  void removeExpired();
+  zone_checkpoint buildCheckpoint() const;
   void write();
   void onWritten(const platform_reply &Reply);
-  void rest(const std::string &Reason);
+  void delayNextCall(const std::string &Reason);
   platform_callback then(void (impl::*Step)(const platform_reply &));
 
   timer_service &Timers;
   platform_api Store;
   object_key Key;
   hooks Hooks;
-  bool InCharge = false;
+  bool IsCollecting = false;
   /// What the store holds as version Version was taken in.
-  bool IsKnown = false;
+  bool IsVersionKnown = false;
   std::uint64_t Version = 0;
   bool Busy = false;
   instant NextCall;
@@ -80,66 +80,67 @@
 
 void flow_collector::impl::step() {
   const std::map<std::string, endpoint> Agents = Hooks.Agents();
-  InCharge = !Agents.empty();
-  if (!InCharge) {
+  IsCollecting = !Agents.empty();
+  if (!IsCollecting) {
     Reporters.clear();
-    IsKnown = false;
+    IsVersionKnown = false;
     return;
   }
-  ask(Agents);
-  forgetSilent();
+  requestReports(Agents);
+  removeExpired();
   if (Busy || Timers.now() < NextCall)
     return;
-  if (!IsKnown)
+  if (!IsVersionKnown)
     read();
   else if (Changed)
     write();
 }
 
-void flow_collector::impl::ask(const std::map<std::string, endpoint> &Agents) {
+void flow_collector::impl::requestReports(
+    const std::map<std::string, endpoint> &Agents) {
   for (const auto &[Name, Agent] : Agents) {
     const auto Known = Reporters.find(Name);
     const bool HasReport =
-        Known != Reporters.end() && Known->second.isWhole() &&
-        Timers.now() - Known->second.HeardAt < AskAnywayAfter;
-    flow_question Question;
+        Known != Reporters.end() && Known->second.isComplete() &&
+        Timers.now() - Known->second.LastReportAt < RefreshInterval;
+    flow_report_request Request;
     if (HasReport)
-      Question.Sequence = Known->second.Sequence;
-    Hooks.Send(Agent, encodeFlowQuestion(Question));
+      Request.Sequence = Known->second.Sequence;
+    Hooks.Send(Agent, encodeFlowReportRequest(Request));
   }
 }
 
 void flow_collector::impl::read() { Store.Read(Key, then(&impl::onRead)); }
 
 void flow_collector::impl::onRead(const platform_reply &Reply) {
-  const bool IsThere = Reply.Outcome == platform_outcome::Ok;
-  if (!IsThere && Reply.Outcome != platform_outcome::NotFound)
-    return rest(Reply.Reason);
-  IsKnown = true;
-  Version = IsThere ? Reply.Object.Version : 0;
-  if (IsThere)
-    takeKept(Reply.Object);
+  const bool Exists = Reply.Outcome == platform_outcome::Ok;
+  if (!Exists && Reply.Outcome != platform_outcome::NotFound)
+    return delayNextCall(Reply.Reason);
+  IsVersionKnown = true;
+  Version = Exists ? Reply.Object.Version : 0;
+  if (Exists)
+    loadCheckpoint(Reply.Object);
 }
 
 /// What the store holds of agents that have not reported yet goes on being
 /// kept: their VMs may be dark, and ask for it when they are back.
-void flow_collector::impl::takeKept(const platform_object &Object) {
+void flow_collector::impl::loadCheckpoint(const platform_object &Object) {
   const auto Failure = failureOf([&]() -> result<void> {
-    BOOST_LEAF_AUTO(Zone, decodeFlows(Key, Object.Body));
-    for (auto &[Name, Kept] : Zone) {
+    BOOST_LEAF_AUTO(Zone, decodeCheckpoint(Key, Object.Body));
+    for (auto &[Name, Checkpoint] : Zone) {
       reporter Reporter;
-      Reporter.Run = std::move(Kept.Run);
-      Reporter.Parts = {std::move(Kept.Flows)};
-      Reporter.HeardAt = Timers.now();
+      Reporter.Run = std::move(Checkpoint.Run);
+      Reporter.Parts = {std::move(Checkpoint.Flows)};
+      Reporter.LastReportAt = Timers.now();
       Reporters.try_emplace(Name, std::move(Reporter));
     }
     return {};
   });
   if (Failure)
-    Hooks.OnTrouble(toText(*Failure));
+    Hooks.OnError(toText(*Failure));
 }
 
-void flow_collector::impl::take(flow_report Report) {
+void flow_collector::impl::applyReport(flow_report Report) {
   reporter &Reporter = Reporters[Report.Name];
   // Held up on its way, or of an agent that was restarted with its target.
   if (Report.Run.Born < Reporter.Run.Born)
@@ -149,36 +150,36 @@
     Changed = true;
   }
   if (Report.Run != Reporter.Run || Report.Sequence != Reporter.Sequence)
-    Reporter.Came = 0;
+    Reporter.ReceivedParts = 0;
   Reporter.Run = std::move(Report.Run);
   Reporter.Sequence = Report.Sequence;
-  Reporter.HeardAt = Timers.now();
+  Reporter.LastReportAt = Timers.now();
   Changed |= Reporter.Parts.size() != Report.Parts;
   Reporter.Parts.resize(Report.Parts);
   Changed |= Reporter.Parts[Report.Part] != Report.Flows;
   Reporter.Parts[Report.Part] = std::move(Report.Flows);
-  Reporter.Came |= 1U << Report.Part;
+  Reporter.ReceivedParts |= 1U << Report.Part;
 }
 
-void flow_collector::impl::forgetSilent() {
+void flow_collector::impl::removeExpired() {
   const instant Now = Timers.now();
-  const auto Forgotten = std::erase_if(Reporters, [&](const auto &Item) {
-    return Now - Item.second.HeardAt > ForgetAfter;
+  const auto Removed = std::erase_if(Reporters, [&](const auto &Item) {
+    return Now - Item.second.LastReportAt > ReporterTimeout;
   });
-  Changed |= Forgotten > 0;
+  Changed |= Removed > 0;
 }
 
-zone_flows flow_collector::impl::zone() const {
+zone_checkpoint flow_collector::impl::buildCheckpoint() const {
   const std::size_t Share =
-      MostFlows / std::max<std::size_t>(Reporters.size(), 1);
-  zone_flows Zone;
+      MaxFlowsPerZone / std::max<std::size_t>(Reporters.size(), 1);
+  zone_checkpoint Zone;
   for (const auto &[Name, Reporter] : Reporters) {
-    kept_flows &Kept = Zone[Name];
-    Kept.Run = Reporter.Run;
+    flow_checkpoint &Checkpoint = Zone[Name];
+    Checkpoint.Run = Reporter.Run;
     for (const std::vector<open_flow> &Part : Reporter.Parts)
-      Kept.Flows.insert(Kept.Flows.end(), Part.begin(), Part.end());
-    if (Kept.Flows.size() > Share)
-      Kept.Flows.resize(Share);
+      Checkpoint.Flows.insert(Checkpoint.Flows.end(), Part.begin(), Part.end());
+    if (Checkpoint.Flows.size() > Share)
+      Checkpoint.Flows.resize(Share);
   }
   return Zone;
 }
@@ -186,12 +187,12 @@
 void flow_collector::impl::write() {
   platform_write Write;
   Write.Object.Key = Key;
-  Write.Object.Body = encodeFlows(zone());
+  Write.Object.Body = encodeCheckpoint(buildCheckpoint());
   Write.Expected = Version;
   const auto Bytes = static_cast<std::int64_t>(Write.Object.Body.size());
   NextCall = Timers.now() +
-             std::max(WritePeriod,
-                      duration(std::chrono::seconds(1)) * Bytes / BytesASecond);
+             std::max(MinWriteInterval, duration(std::chrono::seconds(1)) *
+                                            Bytes / WriteBytesPerSecond);
   Changed = false;
   Store.Write(Write, then(&impl::onWritten));
 }
@@ -204,13 +205,13 @@
   Changed = true;
   // Another version stands, or nobody knows which.
   if (Reply.Outcome != platform_outcome::Unavailable)
-    IsKnown = false;
-  rest(Reply.Reason);
+    IsVersionKnown = false;
+  delayNextCall(Reply.Reason);
 }
 
-void flow_collector::impl::rest(const std::string &Reason) {
-  NextCall = Timers.now() + Pause;
-  Hooks.OnTrouble(Reason);
+void flow_collector::impl::delayNextCall(const std::string &Reason) {
+  NextCall = Timers.now() + RetryDelay;
+  Hooks.OnError(Reason);
 }
 
 flow_collector::flow_collector(timer_service &Timers, platform_api Store,
@@ -221,7 +222,7 @@
 flow_collector::~flow_collector() { *Impl->Alive = false; }
 
 void flow_collector::start() {
-  Impl->Timers.every(AskPeriod, [Core = Impl.get(), Alive = Impl->Alive] {
+  Impl->Timers.every(RequestPeriod, [Core = Impl.get(), Alive = Impl->Alive] {
     if (*Alive)
       Core->step();
   });
@@ -229,8 +230,8 @@
 
 void flow_collector::input(std::span<const std::uint8_t> Bytes) {
   auto Report = decodeFlowReport(Bytes);
-  if (Report && Impl->InCharge)
-    Impl->take(std::move(*Report));
+  if (Report && Impl->IsCollecting)
+    Impl->applyReport(std::move(*Report));
 }
 
 } // namespace marjoramrail
--- a/src/flowstore/flow_messages.cpp
+++ b/src/flowstore/flow_messages.cpp
@@ -6,17 +6,17 @@
 using namespace internal;
 
 /// u16 magic | u8 format | u64 sequence
-static constexpr std::uint16_t QuestionMagic = 0x4d57;
+static constexpr std::uint16_t RequestMagic = 0x4d57;
 /// u16 magic | u8 format | u8 part | u8 parts | u64 sequence | i64 born |
 /// u8 length of the name | u8 length of the run | name | run |
 /// n x (endpoint of the caller, endpoint of the service, u32 acknowledged)
 static constexpr std::uint16_t ReportMagic = 0x4d58;
 static constexpr std::uint8_t Format = 1;
-static constexpr std::size_t QuestionBytes = 2 + 1 + 8;
+static constexpr std::size_t RequestBytes = 2 + 1 + 8;
 static constexpr std::size_t ReportHeadBytes = 2 + 1 + 1 + 1 + 8 + 8 + 1 + 1;
 static constexpr std::size_t FlowBytes = 6 + 6 + 4;
-static constexpr std::size_t MostTextBytes = 128;
-static constexpr std::uint8_t MostParts = 16;
+static constexpr std::size_t MaxTextBytes = 128;
+static constexpr std::uint8_t MaxParts = 16;
 
 static bool hasMagic(std::span<const std::uint8_t> Bytes, std::uint16_t Magic) {
   byte_reader Reader(Bytes.data());
@@ -24,26 +24,27 @@
          Reader.take<std::uint8_t>() == Format;
 }
 
-std::vector<std::uint8_t> encodeFlowQuestion(const flow_question &Question) {
-  std::vector<std::uint8_t> Bytes(QuestionBytes);
+std::vector<std::uint8_t>
+encodeFlowReportRequest(const flow_report_request &Request) {
+  std::vector<std::uint8_t> Bytes(RequestBytes);
   byte_writer Writer(Bytes.data());
-  Writer.put(QuestionMagic);
+  Writer.put(RequestMagic);
   Writer.put(Format);
-  Writer.put(Question.Sequence);
+  Writer.put(Request.Sequence);
   return Bytes;
 }
 
-std::optional<flow_question>
-decodeFlowQuestion(std::span<const std::uint8_t> Bytes) {
-  if (Bytes.size() != QuestionBytes || !hasMagic(Bytes, QuestionMagic))
+std::optional<flow_report_request>
+decodeFlowReportRequest(std::span<const std::uint8_t> Bytes) {
+  if (Bytes.size() != RequestBytes || !hasMagic(Bytes, RequestMagic))
     return std::nullopt;
-  byte_reader Reader(Bytes.data() + sizeof(QuestionMagic) + sizeof(Format));
-  return flow_question{Reader.take<std::uint64_t>()};
+  byte_reader Reader(Bytes.data() + sizeof(RequestMagic) + sizeof(Format));
+  return flow_report_request{Reader.take<std::uint64_t>()};
 }
 
 std::vector<std::uint8_t> encodeFlowReport(const flow_report &Report) {
-  const std::string Name = Report.Name.substr(0, MostTextBytes);
-  const std::string Run = Report.Run.Id.substr(0, MostTextBytes);
+  const std::string Name = Report.Name.substr(0, MaxTextBytes);
+  const std::string Run = Report.Run.Id.substr(0, MaxTextBytes);
   std::vector<std::uint8_t> Bytes(ReportHeadBytes);
   byte_writer Head(Bytes.data());
   Head.put(ReportMagic);
@@ -84,9 +85,9 @@
   const std::size_t NameBytes = Head.take<std::uint8_t>();
   const std::size_t RunBytes = Head.take<std::uint8_t>();
   auto Rest = Bytes.subspan(ReportHeadBytes);
-  if (NameBytes == 0 || NameBytes > MostTextBytes || RunBytes > MostTextBytes ||
+  if (NameBytes == 0 || NameBytes > MaxTextBytes || RunBytes > MaxTextBytes ||
       Rest.size() < NameBytes + RunBytes || Report.Part >= Report.Parts ||
-      Report.Parts > MostParts)
+      Report.Parts > MaxParts)
     return std::nullopt;
   const auto Texts = Rest.first(NameBytes + RunBytes);
   const auto Middle = Texts.begin() + static_cast<std::ptrdiff_t>(NameBytes);
--- a/src/flowstore/flow_reporter.cpp
+++ b/src/flowstore/flow_reporter.cpp
@@ -7,18 +7,18 @@
 
 /// A reset within 76,800 of the caller's last acknowledgement counts; reported
 /// anew at half of that, as the flow goes on until the next report.
-static constexpr std::uint32_t MostDrift = 38'400;
+static constexpr std::uint32_t MaxAcknowledgementDrift = 38'400;
 /// With the names this fits a datagram of 1,300 bytes.
-static constexpr std::size_t FlowsADatagram = 64;
+static constexpr std::size_t FlowsPerDatagram = 64;
 /// What one answer may cost; the oldest flows go first, as callers who have
 /// kept a flow for long keep it on.
-static constexpr std::size_t MostDatagrams = 4;
+static constexpr std::size_t MaxDatagramsPerReport = 4;
 /// A store that refuses is not asked more often than it takes to answer slowly.
-static constexpr duration ReadRetry = std::chrono::seconds(1);
+static constexpr duration ReadRetryInterval = std::chrono::seconds(1);
 /// Callers of flows that were lost longer ago have asked by themselves.
-static constexpr duration ReadFor = std::chrono::seconds(15);
+static constexpr duration ReadTimeout = std::chrono::seconds(15);
 /// The longest life of a flow.
-static constexpr duration KeepFormerFor = std::chrono::minutes(1);
+static constexpr duration PreviousFlowsLifetime = std::chrono::minutes(1);
 
 struct flow_reporter::impl {
   impl(timer_service &Timers, platform_api Store, settings Settings,
@@ -28,12 +28,12 @@
 
   void read();
   void onRead(const platform_reply &Reply);
-  void takeFormer(const platform_object &Object);
-  void tellLost();
+  void loadPrevious(const platform_object &Object);
+  void reportLostFlows();
   std::vector<open_flow> current() const;
   void refresh();
   bool isReported(const std::vector<open_flow> &Flows) const;
-  void answer(const endpoint &To);
+  void sendReport(const endpoint &To);
 
   timer_service &Timers;
   platform_api Store;
@@ -43,7 +43,7 @@
   /// What the process before this one reported is known, or given up.
   bool IsReady = false;
   /// Of a run before the present one, until its callers are told.
-  std::optional<kept_flows> Former;
+  std::optional<flow_checkpoint> Previous;
   std::optional<target_run> Run;
   /// When the target last said that this run goes on. A flow that was opened
   /// later may belong to the next run already.
@@ -58,7 +58,7 @@
 };
 
 void flow_reporter::impl::read() {
-  Store.Read(keptFlowsKey(Settings.Zone),
+  Store.Read(checkpointKey(Settings.Zone),
              [this, Alive = Alive](const platform_reply &Reply) {
                if (*Alive)
                  onRead(Reply);
@@ -66,43 +66,43 @@
 }
 
 void flow_reporter::impl::onRead(const platform_reply &Reply) {
-  const bool IsKnown = Reply.Outcome == platform_outcome::Ok ||
-                       Reply.Outcome == platform_outcome::NotFound;
-  if (!IsKnown && Timers.now() - StartedAt < ReadFor) {
-    Hooks.OnTrouble(Reply.Reason);
-    Timers.after(ReadRetry, [this, Alive = Alive] {
+  const bool IsVersionKnown = Reply.Outcome == platform_outcome::Ok ||
+                              Reply.Outcome == platform_outcome::NotFound;
+  if (!IsVersionKnown && Timers.now() - StartedAt < ReadTimeout) {
+    Hooks.OnError(Reply.Reason);
+    Timers.after(ReadRetryInterval, [this, Alive = Alive] {
       if (*Alive)
         read();
     });
     return;
   }
-  if (!IsKnown)
-    Hooks.OnTrouble("what was kept is given up: " + Reply.Reason);
+  if (!IsVersionKnown)
+    Hooks.OnError("what was kept is given up: " + Reply.Reason);
   IsReady = true;
   if (Reply.Outcome == platform_outcome::Ok)
-    takeFormer(Reply.Object);
+    loadPrevious(Reply.Object);
 }
 
-void flow_reporter::impl::takeFormer(const platform_object &Object) {
+void flow_reporter::impl::loadPrevious(const platform_object &Object) {
   const auto Failure = failureOf([&]() -> result<void> {
-    BOOST_LEAF_AUTO(Zone,
-                    decodeFlows(keptFlowsKey(Settings.Zone), Object.Body));
+    BOOST_LEAF_AUTO(
+        Zone, decodeCheckpoint(checkpointKey(Settings.Zone), Object.Body));
     if (const auto Own = Zone.find(Settings.Name); Own != Zone.end())
-      Former = std::move(Own->second);
+      Previous = std::move(Own->second);
     return {};
   });
   if (Failure)
-    Hooks.OnTrouble(toText(*Failure));
-  tellLost();
+    Hooks.OnError(toText(*Failure));
+  reportLostFlows();
 }
 
 /// Only a run that began later proves that the one before is over. A report
 /// that was held up names an earlier one, and the target that is there may
 /// still hold the flows.
-void flow_reporter::impl::tellLost() {
-  if (!Former || !Run || Run->Born <= Former->Run.Born)
+void flow_reporter::impl::reportLostFlows() {
+  if (!Previous || !Run || Run->Born <= Previous->Run.Born)
     return;
-  const kept_flows Lost = *std::exchange(Former, std::nullopt);
+  const flow_checkpoint Lost = *std::exchange(Previous, std::nullopt);
   Hooks.OnLost(Lost.Flows);
 }
 
@@ -112,12 +112,12 @@
     const std::vector<open_flow> &Current) const {
   if (ReportedRun != *Run)
     return false;
-  return std::all_of(Current.begin(), Current.end(),
-                     [&](const open_flow &Open) {
-                       const auto Found = Reported.find(Open.Flow);
-                       return Found != Reported.end() &&
-                              Open.Acknowledged - Found->second <= MostDrift;
-                     });
+  return std::all_of(
+      Current.begin(), Current.end(), [&](const open_flow &Open) {
+        const auto Found = Reported.find(Open.Flow);
+        return Found != Reported.end() &&
+               Open.Acknowledged - Found->second <= MaxAcknowledgementDrift;
+      });
 }
 
 /// The flows of the present run that a process of this agent has seen open.
@@ -126,14 +126,14 @@
   if (HasLeft)
     return {};
   std::vector<open_flow> Flows = Hooks.OpenFlows(ConfirmedAt);
-  const bool GoesOn =
-      Former && Former->Run == *Run && Timers.now() - StartedAt < KeepFormerFor;
-  if (!GoesOn)
+  const bool IsSameRun = Previous && Previous->Run == *Run &&
+                         Timers.now() - StartedAt < PreviousFlowsLifetime;
+  if (!IsSameRun)
     return Flows;
   std::set<flow_key> Seen;
   for (const open_flow &Open : Flows)
     Seen.insert(Open.Flow);
-  for (const open_flow &Open : Former->Flows)
+  for (const open_flow &Open : Previous->Flows)
     if (!Seen.contains(Open.Flow))
       Flows.push_back(Open);
   return Flows;
@@ -141,11 +141,12 @@
 
 void flow_reporter::impl::refresh() {
   std::vector<open_flow> Current = current();
-  constexpr std::size_t MostFlows = FlowsADatagram * MostDatagrams;
-  if (Current.size() > MostFlows)
-    Current.resize(MostFlows);
-  const bool HasEnded = Current.empty() && !Flows.empty();
-  if (isReported(Current) && !HasEnded)
+  constexpr std::size_t MaxFlowsPerReport =
+      FlowsPerDatagram * MaxDatagramsPerReport;
+  if (Current.size() > MaxFlowsPerReport)
+    Current.resize(MaxFlowsPerReport);
+  const bool AllEnded = Current.empty() && !Flows.empty();
+  if (isReported(Current) && !AllEnded)
     return;
   ++Sequence;
   ReportedRun = *Run;
@@ -155,17 +156,17 @@
     Reported[Open.Flow] = Open.Acknowledged;
 }
 
-void flow_reporter::impl::answer(const endpoint &To) {
+void flow_reporter::impl::sendReport(const endpoint &To) {
   flow_report Report{Settings.Name, ReportedRun, Sequence, 0, 1, {}};
   const std::size_t Parts =
-      (Flows.size() + FlowsADatagram - 1) / FlowsADatagram;
+      (Flows.size() + FlowsPerDatagram - 1) / FlowsPerDatagram;
   Report.Parts = static_cast<std::uint8_t>(std::max<std::size_t>(Parts, 1));
   for (; Report.Part < Report.Parts; ++Report.Part) {
     const auto Begin = Flows.begin() + std::ptrdiff_t{Report.Part} *
-                                           std::ptrdiff_t{FlowsADatagram};
+                                           std::ptrdiff_t{FlowsPerDatagram};
     const auto Left = static_cast<std::size_t>(Flows.end() - Begin);
     Report.Flows.assign(Begin, Begin + static_cast<std::ptrdiff_t>(
-                                           std::min(Left, FlowsADatagram)));
+                                           std::min(Left, FlowsPerDatagram)));
     Hooks.Send(To, encodeFlowReport(Report));
   }
 }
@@ -177,11 +178,11 @@
 
 flow_reporter::~flow_reporter() { *Impl->Alive = false; }
 
-void flow_reporter::start(bool HasFormer) {
+void flow_reporter::start(bool HasPrevious) {
   Impl->StartedAt = Impl->Timers.now();
   Impl->Sequence =
       static_cast<std::uint64_t>(Impl->StartedAt.time_since_epoch().count());
-  if (HasFormer)
+  if (HasPrevious)
     Impl->read();
   else
     Impl->IsReady = true;
@@ -191,21 +192,21 @@
   Impl->Run = Run;
   Impl->ConfirmedAt = Impl->Timers.now();
   Impl->HasLeft = false;
-  Impl->tellLost();
+  Impl->reportLostFlows();
 }
 
 void flow_reporter::leave() { Impl->HasLeft = true; }
 
 bool flow_reporter::input(const endpoint &From,
                           std::span<const std::uint8_t> Bytes) {
-  const auto Question = decodeFlowQuestion(Bytes);
-  if (!Question)
+  const auto Request = decodeFlowReportRequest(Bytes);
+  if (!Request)
     return false;
   if (!Impl->IsReady || !Impl->Run)
     return true;
   Impl->refresh();
-  if (Question->Sequence != Impl->Sequence)
-    Impl->answer(From);
+  if (Request->Sequence != Impl->Sequence)
+    Impl->sendReport(From);
   return true;
 }
 
--- a/src/forward/decline_watch.h
+++ b/src/forward/decline_watch.h
@@ -28,38 +28,40 @@
 public:
   /// New flows declined in a row after which a target counts as taking none: a
   /// single one may have come in the moment in which a slot was refilled.
-  static constexpr unsigned Believed = 3;
+  static constexpr unsigned DeclineThreshold = 3;
   /// A target that takes flows again is found by offering it one; it costs that
   /// flow a detour of a millisecond. Targets report somewhat more often.
-  static constexpr duration TrialAfter = std::chrono::seconds(2);
+  static constexpr duration TrialInterval = std::chrono::seconds(2);
 
-  void onOpened() { InRow = 0; }
+  void onOpened() { ConsecutiveDeclines = 0; }
 
   /// Returns true if the target counts as taking no new flows from now on.
   bool onDeclined(instant Now) {
-    if (InRow == 0)
+    if (ConsecutiveDeclines == 0)
       FirstAt = Now;
     LastAt = Now;
-    ++InRow;
-    return InRow == Believed;
+    ++ConsecutiveDeclines;
+    return ConsecutiveDeclines == DeclineThreshold;
   }
 
   /// The target has said that it takes flows: the next one is a trial.
-  void onReady() { InRow = std::min(InRow, Believed - 1); }
+  void onReady() {
+    ConsecutiveDeclines = std::min(ConsecutiveDeclines, DeclineThreshold - 1);
+  }
 
   /// Call it now and then: makes the next flow a trial when it is time.
   void tick(instant Now) {
-    if (declines() && Now - LastAt >= TrialAfter)
+    if (isDeclining() && Now - LastAt >= TrialInterval)
       onReady();
   }
 
-  bool declines() const { return InRow >= Believed; }
-  unsigned inRow() const { return InRow; }
+  bool isDeclining() const { return ConsecutiveDeclines >= DeclineThreshold; }
+  unsigned consecutiveDeclines() const { return ConsecutiveDeclines; }
   /// When the first of the row was declined.
-  instant since() const { return FirstAt; }
+  instant firstDeclinedAt() const { return FirstAt; }
 
 private:
-  unsigned InRow = 0;
+  unsigned ConsecutiveDeclines = 0;
   instant FirstAt;
   instant LastAt;
 };
--- a/src/forward/forward_agent.cpp
+++ b/src/forward/forward_agent.cpp
@@ -11,19 +11,20 @@
 
 /// Balancers that have sent nothing for longer get no reports: longer than
 /// their AskAfter, so that one that asks keeps hearing.
-constexpr duration ReportFor = std::chrono::seconds(2);
+constexpr duration ReportDuration = std::chrono::seconds(2);
 /// A report to the last balancer known, when none has been heard: rare enough
 /// to cost nothing, often enough for an agent that comes back after a long cut.
-constexpr duration CallOutPeriod = std::chrono::seconds(5);
+constexpr duration LastBalancerReportPeriod = std::chrono::seconds(5);
 /// A look at the store when nobody calls at all: as long as the entry of a VM
 /// that is cut off stands, so that thousands of idle agents cost the store
 /// little.
-constexpr duration LookPeriod = std::chrono::minutes(1);
+constexpr duration RegistryCheckPeriod = std::chrono::minutes(1);
 
 } // namespace
 
-void forward_agent::impl::tell(event_kind What, std::string_view Why,
-                               const flow_key &Flow, const endpoint &Agent) {
+void forward_agent::impl::logEvent(event_kind What, std::string_view Why,
+                                   const flow_key &Flow,
+                                   const endpoint &Agent) {
   if (Hooks.OnEvent)
     Hooks.OnEvent({What, Why, Flow, Agent, static_cast<double>(Load.open()),
                    duration::zero()});
@@ -39,8 +40,8 @@
   Report.Agent = Settings.Self;
   Report.Admitting = Admitting && !TargetGone;
   const bool Declining =
-      Declines.declines() && !Settings.Without.has(mechanism::DeclineWatch);
-  Report.Answering = !Silent && !Declining;
+      Declines.isDeclining() && !Settings.Without.has(mechanism::DeclineWatch);
+  Report.Answering = !TargetUnresponsive && !Declining;
   Report.Active = Load.active();
   Report.Slots = static_cast<std::uint16_t>(std::min(Slots, 65535U));
   Report.Flows = Load.open();
@@ -88,17 +89,17 @@
 /// dead flow, cannot be repeated, because nobody can say that it has not run.
 void forward_agent::impl::resetAll(instant Now) {
   Load.forgetAll(Now, [&](const flow_key &Key, const watched_flow &Flow) {
-    resetOpen({Key, Flow.CallerAcknowledged}, "target gone");
+    resetFlow({Key, Flow.CallerAcknowledged}, "target gone");
   });
 }
 
-void forward_agent::impl::resetOpen(const open_flow &Open,
+void forward_agent::impl::resetFlow(const open_flow &Open,
                                     std::string_view Why) {
   tcp_packet Last;
   Last.Flow = Open.Flow;
   Last.Acknowledged = Open.Acknowledged;
   if (sendReset(Last))
-    tell(event_kind::FlowReset, Why, Open.Flow, {});
+    logEvent(event_kind::FlowReset, Why, Open.Flow, {});
 }
 
 std::vector<open_flow> forward_agent::openFlows(instant Moment) const {
@@ -120,7 +121,7 @@
 void forward_agent::resetFormer(const std::vector<open_flow> &Flows) {
   for (const open_flow &Open : Flows)
     if (!Impl->Load.find(Open.Flow))
-      Impl->resetOpen(Open, "kept from before its target's restart");
+      Impl->resetFlow(Open, "kept from before its target's restart");
 }
 
 void forward_agent::setTarget(std::uint32_t Slots, duration Warmup,
@@ -184,34 +185,34 @@
 }
 
 std::optional<instant> forward_agent::expire(instant Now) {
-  while (offered_packet *Late = Impl->Offered.takeLate(Now)) {
+  while (offered_packet *Expired = Impl->Offered.takeExpired(Now)) {
     ++Impl->Counters.TimedOut;
-    if (!Impl->Silent) {
-      Impl->Silent = true;
-      Impl->tell(event_kind::TargetSilent, "no answer in time", Late->Head.Flow,
-                 {});
+    if (!Impl->TargetUnresponsive) {
+      Impl->TargetUnresponsive = true;
+      Impl->logEvent(event_kind::TargetSilent, "no answer in time",
+                     Expired->Head.Flow, {});
       Impl->Hooks.TargetSilent();
     }
-    routed_packet Routed = Late->Routed;
-    Routed.Packet = Late->Bytes;
-    Impl->passOnUnsure(Routed, Late->Head);
+    routed_packet Routed = Expired->Routed;
+    Routed.Packet = Expired->Bytes;
+    Impl->passToNextIncomplete(Routed, Expired->Head);
   }
-  return Impl->Offered.nextLate();
+  return Impl->Offered.nextExpiry();
 }
 
 void forward_agent::tick(instant Now) {
   Impl->Load.tick(Now);
   Impl->Declines.tick(Now);
   Impl->Failures.tick(Now);
-  Impl->tellFailures({});
+  Impl->logFailureState({});
   std::erase_if(Impl->Balancers, [&](const auto &Item) {
-    return Now - Item.second > ReportFor;
+    return Now - Item.second > ReportDuration;
   });
   if (!Impl->Balancers.empty())
     Impl->LastBalancer = {Impl->Balancers.begin()->first, Now};
   else
-    Impl->callOut(Now);
-  Impl->lookForCallers(Now);
+    Impl->reportToLastBalancer(Now);
+  Impl->detectIsolation(Now);
   reportNow(Now);
   Impl->reportOnce(Now);
 }
@@ -225,23 +226,23 @@
 /// The entry may have been taken out while this agent was cut off, and the last
 /// balancer known be gone as well: then nobody would ever ask or tell, and a
 /// target that is well would get no flow for the rest of its life.
-void forward_agent::impl::lookForCallers(instant Now) {
-  const bool IsCalled = !Balancers.empty() || !ReportOnceTo.empty();
-  if (IsCalled || !HeardOrLookedAt) {
-    HeardOrLookedAt = Now;
+void forward_agent::impl::detectIsolation(instant Now) {
+  const bool HasContact = !Balancers.empty() || !ReportOnceTo.empty();
+  if (HasContact || !LastContactOrCheckAt) {
+    LastContactOrCheckAt = Now;
     return;
   }
-  if (Now - *HeardOrLookedAt < LookPeriod)
+  if (Now - *LastContactOrCheckAt < RegistryCheckPeriod)
     return;
-  HeardOrLookedAt = Now;
+  LastContactOrCheckAt = Now;
   if (Hooks.Unheard)
     Hooks.Unheard();
 }
 
 /// Nobody sends or asks: calm, or this agent was cut off and taken out of the
 /// list meanwhile. The last balancer known says which.
-void forward_agent::impl::callOut(instant Now) {
-  if (!LastBalancer || Now - LastBalancer->second < CallOutPeriod)
+void forward_agent::impl::reportToLastBalancer(instant Now) {
+  if (!LastBalancer || Now - LastBalancer->second < LastBalancerReportPeriod)
     return;
   LastBalancer->second = Now;
   sendReport(LastBalancer->first, Now);
--- a/src/forward/forward_agent_impl.h
+++ b/src/forward/forward_agent_impl.h
@@ -30,36 +30,36 @@
   agent_outcome onFlowPacket(const routed_packet &Routed,
                              const segment &Segment, instant Now);
   agent_outcome deliver(const routed_packet &Routed, const segment &Segment,
-                        bool Waits, instant Now);
-  agent_outcome passOn(routed_packet Routed, const tcp_packet &Head,
-                       std::string_view Why);
-  void passOnUnsure(routed_packet Routed, const tcp_packet &Head);
-  agent_outcome endOfList(const routed_packet &Routed, const tcp_packet &Head,
-                          std::string_view Why);
-  agent_outcome askForMore(routed_packet Routed);
+                        bool NeedsAnswer, instant Now);
+  agent_outcome passToNext(routed_packet Routed, const tcp_packet &Head,
+                           std::string_view Why);
+  void passToNextIncomplete(routed_packet Routed, const tcp_packet &Head);
+  agent_outcome onListExhausted(const routed_packet &Routed,
+                                const tcp_packet &Head, std::string_view Why);
+  agent_outcome requestNextList(routed_packet Routed);
   agent_outcome onDeclined(const segment &Segment, bytes_view Bytes,
                            instant Now);
   bool sendReset(const tcp_packet &Packet);
-  agent_outcome resetLost(const tcp_packet &Head);
+  agent_outcome resetLostFlow(const tcp_packet &Head);
   void noteDeclined(const flow_key &Flow, instant Now);
   void noteAnswer(const flow_key &Flow, bool Failed, instant Now);
-  void noteGivenUp(const tcp_packet &Head, instant Now);
-  void tellFailures(const flow_key &Flow);
+  void noteAbortedRequest(const tcp_packet &Head, instant Now);
+  void logFailureState(const flow_key &Flow);
   agent_outcome onAnswer(segment Segment, bytes_view Bytes, instant Now);
-  void noteUser(const routed_packet &Routed, instant Now);
-  void noteWalk(const routed_packet &Routed);
-  void nameOwner(const routed_packet &Routed, const flow_key &Flow,
-                 instant Now);
+  void addReportReceiver(const routed_packet &Routed, instant Now);
+  void addOneTimeReceiver(const routed_packet &Routed);
+  void sendOwnerNotice(const routed_packet &Routed, const flow_key &Flow,
+                       instant Now);
   void resetAll(instant Now);
-  void resetOpen(const open_flow &Open, std::string_view Why);
-  void callOut(instant Now);
-  void lookForCallers(instant Now);
+  void resetFlow(const open_flow &Open, std::string_view Why);
+  void reportToLastBalancer(instant Now);
+  void detectIsolation(instant Now);
   void sendReport(const endpoint &Balancer, instant Now);
   void reportNow(instant Now);
   void reportOnce(instant Now);
   load_report report(instant Now) const;
-  void tell(event_kind What, std::string_view Why, const flow_key &Flow,
-            const endpoint &Agent);
+  void logEvent(event_kind What, std::string_view Why, const flow_key &Flow,
+                const endpoint &Agent);
 
   forward_agent_settings Settings;
   segment_codec Codec;
@@ -75,11 +75,11 @@
   /// The last balancer heard, and when it was heard or called last.
   std::optional<std::pair<endpoint, instant>> LastBalancer;
   /// When a balancer was heard last, or the store asked in its place.
-  std::optional<instant> HeardOrLookedAt;
+  std::optional<instant> LastContactOrCheckAt;
   bool Admitting = false;
   bool TargetGone = false;
   /// The target has not answered the last thing put to it.
-  bool Silent = false;
+  bool TargetUnresponsive = false;
   internal::decline_watch Declines;
   internal::failure_watch Failures;
   std::uint32_t Slots = 1;
--- a/src/forward/offered_packets.cpp
+++ b/src/forward/offered_packets.cpp
@@ -3,7 +3,7 @@
 namespace marjoramrail::internal {
 
 std::uint32_t offered_packets::add(const routed_packet &Routed,
-                                   const tcp_packet &Head, bool Waits,
+                                   const tcp_packet &Head, bool NeedsAnswer,
                                    instant Now) {
   // 0 is what targets and callers write.
   if (++LastTag == 0)
@@ -16,9 +16,9 @@
   Packet.Routed = Routed;
   Packet.Head = Head;
   Packet.At = Now;
-  Packet.Waits = Waits;
+  Packet.NeedsAnswer = NeedsAnswer;
   Packet.Bytes.clear();
-  if (Waits) {
+  if (NeedsAnswer) {
     Packet.Bytes.assign(Routed.Packet.begin(), Routed.Packet.end());
     Waiting.push_back(LastTag);
   }
@@ -26,52 +26,52 @@
   return LastTag;
 }
 
-offered_packet *offered_packets::declined(std::uint32_t Tag,
-                                          const flow_key &Flow) {
+offered_packet *offered_packets::findDeclined(std::uint32_t Tag,
+                                              const flow_key &Flow) {
   const std::size_t Place = Tag % Capacity;
   if (Tag == 0 || Place >= Ring.size())
     return nullptr;
   offered_packet &Packet = Ring[Place];
   if (Packet.Tag != Tag || Packet.Head.Flow != Flow)
     return nullptr;
-  Packet.Waits = false;
+  Packet.NeedsAnswer = false;
   return &Packet;
 }
 
-void offered_packets::settle(const flow_key &Flow) {
+void offered_packets::onTargetAnswer(const flow_key &Flow) {
   for (const std::uint32_t Tag : Waiting) {
     offered_packet &Packet = Ring[Tag % Capacity];
     if (Packet.Tag == Tag && Packet.Head.Flow == Flow)
-      Packet.Waits = false;
+      Packet.NeedsAnswer = false;
   }
 }
 
-void offered_packets::dropSettled() {
+void offered_packets::dropAnswered() {
   while (!Waiting.empty()) {
     const offered_packet &First = Ring[Waiting.front() % Capacity];
-    if (First.Tag == Waiting.front() && First.Waits)
+    if (First.Tag == Waiting.front() && First.NeedsAnswer)
       return;
     Waiting.pop_front();
   }
 }
 
-offered_packet *offered_packets::takeLate(instant Now) {
-  dropSettled();
+offered_packet *offered_packets::takeExpired(instant Now) {
+  dropAnswered();
   if (Waiting.empty())
     return nullptr;
   offered_packet &First = Ring[Waiting.front() % Capacity];
-  if (Now - First.At < AnswerTime)
+  if (Now - First.At < AnswerTimeout)
     return nullptr;
   Waiting.pop_front();
-  First.Waits = false;
+  First.NeedsAnswer = false;
   return &First;
 }
 
-std::optional<instant> offered_packets::nextLate() {
-  dropSettled();
+std::optional<instant> offered_packets::nextExpiry() {
+  dropAnswered();
   if (Waiting.empty())
     return std::nullopt;
-  return Ring[Waiting.front() % Capacity].At + AnswerTime;
+  return Ring[Waiting.front() % Capacity].At + AnswerTimeout;
 }
 
 } // namespace marjoramrail::internal
--- a/src/forward/offered_packets.h
+++ b/src/forward/offered_packets.h
@@ -28,7 +28,7 @@
   instant At;
   /// The packet itself, for one that waits for the target's word.
   std::vector<std::uint8_t> Bytes;
-  bool Waits = false;
+  bool NeedsAnswer = false;
 };
 
 class offered_packets {
@@ -39,22 +39,22 @@
   /// A target that has not answered a SYN or a stranger's packet by then is not
   /// waited for: targets take 0.3 ms, the rest is the agent's own delay. Well
   /// under the 200 ms after which callers send again.
-  static constexpr duration AnswerTime = std::chrono::milliseconds(60);
+  static constexpr duration AnswerTimeout = std::chrono::milliseconds(60);
 
-  /// Returns the tag for the packet. With \p Waits it comes out of takeLate()
-  /// unless the flow is settled before.
+  /// Returns the tag for the packet. With \p Waits it comes out of
+  /// takeExpired() unless the flow is settled before.
   std::uint32_t add(const routed_packet &Routed, const tcp_packet &Head,
-                    bool Waits, instant Now);
+                    bool NeedsAnswer, instant Now);
   /// The packet that the target declined; null if it is not remembered.
-  offered_packet *declined(std::uint32_t Tag, const flow_key &Flow);
+  offered_packet *findDeclined(std::uint32_t Tag, const flow_key &Flow);
   /// The target has answered on this flow.
-  void settle(const flow_key &Flow);
+  void onTargetAnswer(const flow_key &Flow);
   /// The next packet whose time is over, or null.
-  offered_packet *takeLate(instant Now);
-  std::optional<instant> nextLate();
+  offered_packet *takeExpired(instant Now);
+  std::optional<instant> nextExpiry();
 
 private:
-  void dropSettled();
+  void dropAnswered();
 
   std::vector<offered_packet> Ring;
   std::deque<std::uint32_t> Waiting;
--- a/src/forward/target_load.cpp
+++ b/src/forward/target_load.cpp
@@ -17,23 +17,23 @@
   return A - B <= Window || B - A <= Window;
 }
 
-target_load::caller_packet target_load::judge(const tcp_packet &Packet) const {
+target_load::flow_match target_load::matchFlow(const tcp_packet &Packet) const {
   const auto Found = Flows.find(Packet.Flow);
   if (Found == Flows.end())
-    return caller_packet::Unknown;
+    return flow_match::Unknown;
   const watched_flow &Flow = Found->second;
   if (!Flow.SequenceKnown)
-    return caller_packet::Unknown;
+    return flow_match::Unknown;
   if (Flow.HalfOpen && Packet.Ack &&
       Packet.Acknowledged != Flow.TargetSequence + 1)
-    return caller_packet::Elsewhere;
+    return flow_match::OtherTarget;
   const std::uint32_t Last = Flow.CallerAcknowledged;
   if (!Flow.HalfOpen && Last != 0 && !isNear(Packet.Acknowledged, Last))
-    return caller_packet::Unknown;
-  return caller_packet::Known;
+    return flow_match::Unknown;
+  return flow_match::Known;
 }
 
-bool target_load::heldOpen(const tcp_packet &Packet) const {
+bool target_load::hasOpenFlow(const tcp_packet &Packet) const {
   const auto Found = Flows.find(Packet.Flow);
   if (Found == Flows.end() || Found->second.HalfOpen)
     return false;
@@ -44,19 +44,20 @@
 void target_load::integrate(instant Now) {
   const double Passed =
       std::chrono::duration<double>(Now - IntegratedAt).count();
-  SlotTime += Passed * std::min(Active, Slots);
+  SlotSeconds += Passed * std::min(Active, Slots);
   IntegratedAt = Now;
 }
 
-void target_load::setAsking(watched_flow &Flow, bool Asking, instant Now) {
-  if (Flow.Asking == Asking)
+void target_load::setRequestPending(watched_flow &Flow, bool RequestPending,
+                                    instant Now) {
+  if (Flow.RequestPending == RequestPending)
     return;
   integrate(Now);
-  Flow.Asking = Asking;
-  Active += Asking ? 1 : -1;
+  Flow.RequestPending = RequestPending;
+  Active += RequestPending ? 1 : -1;
 }
 
-void target_load::noteOpen(watched_flow &Flow, instant Now) {
+void target_load::markOpen(watched_flow &Flow, instant Now) {
   Flow.HalfOpen = false;
   Flow.OpenedAt = Now;
   ++Open;
@@ -66,11 +67,11 @@
 /// answer. Counted as in progress until the flow is forgotten, such requests
 /// make a target look full for seconds after a burst, and new flows go to the
 /// others.
-void target_load::noteEnds(watched_flow &Flow, instant Now) {
-  if (Flow.Over || !Flow.CallerEnded || !Flow.TargetEnded)
+void target_load::updateClosed(watched_flow &Flow, instant Now) {
+  if (Flow.Closed || !Flow.CallerEnded || !Flow.TargetEnded)
     return;
-  Flow.Over = true;
-  setAsking(Flow, false, Now);
+  Flow.Closed = true;
+  setRequestPending(Flow, false, Now);
   --Open;
 }
 
@@ -84,17 +85,17 @@
   Flow.SeenAt = Now;
   Flow.CallerAcknowledged = Packet.Acknowledged;
   if (Flow.HalfOpen)
-    noteOpen(Flow, Now);
+    markOpen(Flow, Now);
   if (Packet.Rst) {
     erase(Found, Now);
     return false;
   }
   Flow.CallerEnded |= Packet.Fin;
-  noteEnds(Flow, Now);
-  if (!Flow.CallerSent.take(Packet) || Flow.Asking || Flow.Over)
+  updateClosed(Flow, Now);
+  if (!Flow.CallerSent.take(Packet) || Flow.RequestPending || Flow.Closed)
     return false;
-  setAsking(Flow, true, Now);
-  Flow.AskedAt = Now;
+  setRequestPending(Flow, true, Now);
+  Flow.RequestedAt = Now;
   return true;
 }
 
@@ -110,30 +111,30 @@
   if (Packet.Syn) {
     // Another flow under the same addresses counts from elsewhere.
     if (Flow.TargetSequence != Packet.Sequence)
-      Flow.CallerSent = Flow.TargetSent = sent_bytes();
+      Flow.CallerSent = Flow.TargetSent = sequence_tracker();
     Flow.TargetSequence = Packet.Sequence;
     return std::nullopt;
   }
   // A flow of before this agent's start.
   if (Flow.HalfOpen)
-    noteOpen(Flow, Now);
+    markOpen(Flow, Now);
   Flow.TargetEnded |= Packet.Fin;
-  noteEnds(Flow, Now);
-  if (!Flow.TargetSent.take(Packet) || !Flow.Asking)
+  updateClosed(Flow, Now);
+  if (!Flow.TargetSent.take(Packet) || !Flow.RequestPending)
     return std::nullopt;
-  const duration Took = Now - Flow.AskedAt;
+  const duration Took = Now - Flow.RequestedAt;
   const auto TookUs = static_cast<double>(Took.count());
   LatencyUs +=
       LatencyUs == 0 ? TookUs : LatencySmoothing * (TookUs - LatencyUs);
-  setAsking(Flow, false, Now);
+  setRequestPending(Flow, false, Now);
   return Took;
 }
 
 void target_load::erase(
     std::unordered_map<flow_key, watched_flow, flow_key_hash>::iterator Place,
     instant Now) {
-  setAsking(Place->second, false, Now);
-  if (!Place->second.HalfOpen && !Place->second.Over)
+  setRequestPending(Place->second, false, Now);
+  if (!Place->second.HalfOpen && !Place->second.Closed)
     --Open;
   Flows.erase(Place);
 }
@@ -171,8 +172,9 @@
   integrate(Now);
   const double Passed = std::chrono::duration<double>(Now - TickedAt).count();
   if (Passed > 0)
-    Busy += BusySmoothing * (std::min(SlotTime / (Passed * Slots), 1.0) - Busy);
-  SlotTime = 0;
+    Busy +=
+        BusySmoothing * (std::min(SlotSeconds / (Passed * Slots), 1.0) - Busy);
+  SlotSeconds = 0;
   TickedAt = Now;
   if (Now - SweptAt < SweepPeriod)
     return;
@@ -180,7 +182,7 @@
   for (auto Place = Flows.begin(); Place != Flows.end();) {
     const auto Next = std::next(Place);
     const watched_flow &Flow = Place->second;
-    if (Flow.Over || Now - Flow.SeenAt > IdleFlow)
+    if (Flow.Closed || Now - Flow.SeenAt > IdleFlow)
       erase(Place, Now);
     Place = Next;
   }
--- a/src/forward/target_load.h
+++ b/src/forward/target_load.h
@@ -17,7 +17,7 @@
 namespace marjoramrail::internal {
 
 /// The bytes that one end of a flow has sent.
-class sent_bytes {
+class sequence_tracker {
 public:
   /// Takes a packet in; true if it holds bytes that were not sent before. What
   /// was lost or answered late is sent again, and is neither another request
@@ -53,39 +53,39 @@
   instant OpenedAt;
   /// What the caller acknowledged last: a reset has to be near it.
   std::uint32_t CallerAcknowledged = 0;
-  sent_bytes CallerSent;
-  sent_bytes TargetSent;
-  bool Asking = false;
+  sequence_tracker CallerSent;
+  sequence_tracker TargetSent;
+  bool RequestPending = false;
   bool CallerEnded = false;
   bool TargetEnded = false;
   /// Both have ended; only packets that were under way may still come.
-  bool Over = false;
-  instant AskedAt;
-  endpoint NoticedBalancer;
-  instant NoticedAt;
+  bool Closed = false;
+  instant RequestedAt;
+  endpoint NotifiedBalancer;
+  instant NotifiedAt;
 };
 
 class target_load {
 public:
   /// What a packet of the caller says about the flow.
-  enum class caller_packet {
+  enum class flow_match {
     /// Of a flow that the target has answered on.
     Known,
     /// Of none, or of a new one on a port that is used again.
     Unknown,
     /// It confirms another target's answer: two targets answered copies of one
     /// SYN, and the caller took the other one.
-    Elsewhere,
+    OtherTarget,
   };
 
   void setSlots(std::uint32_t Count) { Slots = std::max(Count, 1U); }
   void setIdleFlow(duration Time) { IdleFlow = Time; }
 
-  caller_packet judge(const tcp_packet &Packet) const;
+  flow_match matchFlow(const tcp_packet &Packet) const;
   /// Whether the target was seen to hold the open flow of \p Packet. A port
   /// that is used again has a new flow under the same addresses; what the
   /// caller acknowledges tells them apart.
-  bool heldOpen(const tcp_packet &Packet) const;
+  bool hasOpenFlow(const tcp_packet &Packet) const;
   /// The packet goes to the target. True if it begins a request.
   bool onCaller(const tcp_packet &Packet, instant Now);
   /// The target wrote a packet (Flow.Service is the target's end). If it begins
@@ -110,9 +110,9 @@
   duration latency() const;
 
 private:
-  void noteOpen(watched_flow &Flow, instant Now);
-  void setAsking(watched_flow &Flow, bool Asking, instant Now);
-  void noteEnds(watched_flow &Flow, instant Now);
+  void markOpen(watched_flow &Flow, instant Now);
+  void setRequestPending(watched_flow &Flow, bool RequestPending, instant Now);
+  void updateClosed(watched_flow &Flow, instant Now);
   void integrate(instant Now);
   void erase(
       std::unordered_map<flow_key, watched_flow, flow_key_hash>::iterator Place,
@@ -123,7 +123,7 @@
   duration IdleFlow = std::chrono::minutes(1);
   std::uint32_t Open = 0;
   std::uint32_t Active = 0;
-  double SlotTime = 0;
+  double SlotSeconds = 0;
   double Busy = 0;
   double LatencyUs = 0;
   instant IntegratedAt;
--- a/test/flowstore/flow_zone.h
+++ b/test/flowstore/flow_zone.h
@@ -20,9 +20,9 @@
                    const std::string &Name, const endpoint &Self,
                    std::vector<open_flow> Open)
       : Self(Self), Open(std::move(Open)),
-        Reporter(Timers, siteStore(Store, Faults, KeptFlowsKind),
+        Reporter(Timers, siteStore(Store, Faults, CheckpointKind),
                  {Name, "brugge"}, hooks()) {
-    Reporter.start(/*HasFormer=*/true);
+    Reporter.start(/*HasPrevious=*/true);
   }
 
   flow_reporter::hooks hooks() {
@@ -34,7 +34,7 @@
     Hooks.Send = [this](const endpoint &, std::span<const std::uint8_t> Bytes) {
       Sent.emplace_back(Bytes.begin(), Bytes.end());
     };
-    Hooks.OnTrouble = [](const std::string &) {};
+    Hooks.OnError = [](const std::string &) {};
     return Hooks;
   }
 
@@ -55,8 +55,8 @@
   collector_process(timer_service &Timers, fake_platform &Store,
                     reporters &Agents)
       : Agents(Agents),
-        Collector(Timers, siteStore(Store, Faults, KeptFlowsKind),
-                  keptFlowsKey("brugge"), hooks()) {
+        Collector(Timers, siteStore(Store, Faults, CheckpointKind),
+                  checkpointKey("brugge"), hooks()) {
     Collector.start();
   }
 
@@ -65,7 +65,7 @@
     Hooks.Agents = [this] {
       std::map<std::string, endpoint> Known;
       for (const auto &[Name, Agent] : Agents)
-        if (InCharge)
+        if (IsCollecting)
           Known[Name] = Agent->Self;
       return Known;
     };
@@ -75,7 +75,7 @@
         if (Agent->Self == To && !Cut)
           exchange(*Agent, Bytes);
     };
-    Hooks.OnTrouble = [](const std::string &) {};
+    Hooks.OnError = [](const std::string &) {};
     return Hooks;
   }
 
@@ -89,7 +89,7 @@
 
   reporters &Agents;
   store_faults Faults;
-  bool InCharge = true;
+  bool IsCollecting = true;
   /// No datagram comes or goes.
   bool Cut = false;
   /// Bytes of agents' reports.
@@ -101,8 +101,8 @@
   timer_service Timers;
   fake_platform Store{Timers};
   reporters Agents;
-  std::vector<open_flow> Two{{{{0x64400001, 1001}, FirstAddress}, 7},
-                             {{{0x64400002, 1002}, FirstAddress}, 8}};
+  std::vector<open_flow> TwoFlows{{{{0x64400001, 1001}, FirstAddress}, 7},
+                                  {{{0x64400002, 1002}, FirstAddress}, 8}};
 
   flow_zone() { pass(std::chrono::seconds(1)); }
 
@@ -133,9 +133,9 @@
   }
 
   /// What the store keeps of \p Name.
-  kept_flows kept(const std::string &Name) const {
-    const object_key Key = keptFlowsKey("brugge");
-    const auto Zone = decodeFlows(Key, Store.get(Key.Kind, Key.Name).Body);
+  flow_checkpoint checkpointOf(const std::string &Name) const {
+    const object_key Key = checkpointKey("brugge");
+    const auto Zone = decodeCheckpoint(Key, Store.get(Key.Kind, Key.Name).Body);
     if (!Zone || !Zone->contains(Name))
       return {};
     return Zone->at(Name);
--- a/test/forward/decline_watch_test.cpp
+++ b/test/forward/decline_watch_test.cpp
@@ -12,9 +12,9 @@
   decline_watch Watch;
   CHECK_FALSE(Watch.onDeclined(at(0ms)));
   CHECK_FALSE(Watch.onDeclined(at(1ms)));
-  CHECK_FALSE(Watch.declines());
+  CHECK_FALSE(Watch.isDeclining());
   CHECK(Watch.onDeclined(at(2ms)));
-  CHECK(Watch.declines());
+  CHECK(Watch.isDeclining());
 }
 
 TEST_CASE("decline_watch forgets after a flow that was taken") {
@@ -26,15 +26,15 @@
     Watch.onDeclined(at(0ms));
     Watch.onOpened();
   }
-  CHECK_FALSE(Watch.declines());
+  CHECK_FALSE(Watch.isDeclining());
 }
 
 TEST_CASE("decline_watch tells the change once") {
   decline_watch Watch;
-  int Told = 0;
+  int Transitions = 0;
   for (int Flow = 0; Flow < 50; ++Flow)
-    Told += Watch.onDeclined(at(0ms));
-  CHECK(Told == 1);
+    Transitions += Watch.onDeclined(at(0ms));
+  CHECK(Transitions == 1);
 }
 
 TEST_CASE(
@@ -44,9 +44,9 @@
   for (int Flow = 0; Flow < 50; ++Flow)
     Watch.onDeclined(at(0ms));
   Watch.onReady();
-  CHECK_FALSE(Watch.declines());
+  CHECK_FALSE(Watch.isDeclining());
   Watch.onDeclined(at(1s));
-  CHECK(Watch.declines());
+  CHECK(Watch.isDeclining());
 }
 
 TEST_CASE("decline_watch tries again by itself") {
@@ -54,8 +54,8 @@
   decline_watch Watch;
   for (int Flow = 0; Flow < 3; ++Flow)
     Watch.onDeclined(at(0ms));
-  Watch.tick(at(decline_watch::TrialAfter - 1ms));
-  CHECK(Watch.declines());
-  Watch.tick(at(decline_watch::TrialAfter));
-  CHECK_FALSE(Watch.declines());
+  Watch.tick(at(decline_watch::TrialInterval - 1ms));
+  CHECK(Watch.isDeclining());
+  Watch.tick(at(decline_watch::TrialInterval));
+  CHECK_FALSE(Watch.isDeclining());
 }
--- a/test/forward/target_load_test.cpp
+++ b/test/forward/target_load_test.cpp
@@ -45,14 +45,14 @@
     return Packet;
   }
 
-  tcp_packet ask(std::uint16_t Payload = 100) {
+  tcp_packet sendRequest(std::uint16_t Payload = 100) {
     const tcp_packet Packet = fromCaller(Payload);
     CallerNext += Payload;
     Load.onCaller(Packet, Now);
     return Packet;
   }
 
-  std::optional<duration> answer(std::uint16_t Payload = 100) {
+  std::optional<duration> sendAnswer(std::uint16_t Payload = 100) {
     const tcp_packet Packet = fromTarget(Payload);
     TargetNext += Payload;
     return Load.onTarget(Packet, Now);
@@ -62,10 +62,10 @@
 } // namespace
 
 TEST_CASE_FIXTURE(load_fixture, "a request is in progress until its answer") {
-  ask();
+  sendRequest();
   CHECK(Load.active() == 1);
   Now += 30ms;
-  CHECK(answer() == std::optional<duration>(30ms));
+  CHECK(sendAnswer() == std::optional<duration>(30ms));
   CHECK(Load.active() == 0);
 }
 
@@ -74,8 +74,8 @@
   // The target has answered and does not begin again; counted as in progress,
   // it would make an idle target look full until its flows end, and new flows
   // would go elsewhere.
-  const tcp_packet Request = ask();
-  answer();
+  const tcp_packet Request = sendRequest();
+  sendAnswer();
   CHECK_FALSE(Load.onCaller(Request, Now));
   CHECK(Load.active() == 0);
 }
@@ -84,30 +84,30 @@
   // The target sends its last answer once more while the next request runs. A
   // request that counts as over makes a busy target look idle, and its time to
   // an answer too short.
-  ask();
+  sendRequest();
   const tcp_packet Answer = fromTarget(100);
-  answer();
-  ask();
+  sendAnswer();
+  sendRequest();
   Now += 10ms;
   CHECK_FALSE(Load.onTarget(Answer, Now));
   CHECK(Load.active() == 1);
   Now += 20ms;
-  CHECK(answer() == std::optional<duration>(30ms));
+  CHECK(sendAnswer() == std::optional<duration>(30ms));
 }
 
 TEST_CASE_FIXTURE(load_fixture, "a long request is one") {
-  ask(1200);
-  ask(1200);
+  sendRequest(1200);
+  sendRequest(1200);
   CHECK(Load.active() == 1);
-  answer(1200);
-  answer(1200);
+  sendAnswer(1200);
+  sendAnswer(1200);
   CHECK(Load.active() == 0);
 }
 
 TEST_CASE_FIXTURE(load_fixture, "a request given up on is over") {
   // The caller's time is over and it ends its flow; the target ends it too,
   // without an answer.
-  ask();
+  sendRequest();
   tcp_packet End = fromCaller(0);
   End.Fin = true;
   Load.onCaller(End, Now);
@@ -125,26 +125,26 @@
 
 TEST_CASE_FIXTURE(load_fixture, "sequence numbers may wrap") {
   CallerNext = 0xffffffff - 50;
-  ask();
-  answer();
-  ask();
+  sendRequest();
+  sendAnswer();
+  sendRequest();
   CHECK(Load.active() == 1);
 }
 
 TEST_CASE_FIXTURE(load_fixture, "a port used again begins anew") {
   // A caller opens another flow from the same port before the former one is
   // forgotten; its numbers are lower.
-  ask();
-  answer();
+  sendRequest();
+  sendAnswer();
   CallerNext = 100;
   TargetNext = 200;
   tcp_packet Answer = fromTarget(0);
   Answer.Syn = true;
   Load.onTarget(Answer, Now);
   ++TargetNext;
-  ask();
+  sendRequest();
   CHECK(Load.active() == 1);
-  answer();
+  sendAnswer();
   CHECK(Load.active() == 0);
 }
 
