--- a/bench/forward/main.cpp
+++ b/bench/forward/main.cpp
@@ -1,5 +1,5 @@
-// Processor time and allocations a packet of the forwarding cores, and where
-// placing sends flows, on models of our own.
+// Measures processor time and allocations per packet of the forwarding cores,
+// and how placement distributes flows, on simulated targets.
 
 #include "forward/failure_watch.h"
 #include "packet_head.h"
@@ -37,7 +37,8 @@
          static_cast<double>(Spent.tv_nsec);
 }
 
-/// A packet of flow \p Number with \p Data bytes; \p Flags as on the wire.
+/// Returns a packet of flow \p Number with \p Data bytes of payload and the
+/// wire flags \p Flags.
 static std::vector<std::uint8_t> packet(unsigned Number, std::uint8_t Flags,
                                         std::uint16_t Data, bool FromCaller) {
   std::vector<std::uint8_t> Bytes(HeadBytes + Data);
@@ -59,7 +60,8 @@
 static constexpr std::uint8_t Syn = 1;
 static constexpr std::uint8_t Ack = 32;
 
-/// Runs \p Step \p Count times; prints the least of five rounds.
+/// Runs \p Step \p Count times in each of five rounds; prints the time of the
+/// fastest round and the allocations of the last.
 template <typename Callable>
 static void measure(const char *Name, unsigned Count, Callable Step) {
   double BestNs = 1e18;
@@ -145,7 +147,8 @@
           [&](unsigned I) { Agent.onTargetPacket(Out[I % Flows], Now); });
 }
 
-/// One report of an agent, to a balancer that knows \p Agents of its zone.
+/// Measures how a balancer handles one load report, with \p Agents agents in
+/// its zone.
 static void measureReports(unsigned Agents) {
   const instant Now(std::chrono::seconds(1));
   forward_balancer_hooks Hooks;
@@ -176,7 +179,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Where flows go
+// Placement of flows
 //===----------------------------------------------------------------------===//
 
 enum class policy { Rendezvous, LeastKnown, Placement };
@@ -189,11 +192,13 @@
 
 enum class fault_scenario { None, FailingTargets };
 
-/// Targets with a queue, two thirds of their slots in use; flows that ask once
-/// a second; reports five times a second, which is all that is known (the worst
-/// case: many balancers, none of which sees the others' flows). One target is
-/// replaced by an empty one half-way. With FailingTargets, two targets answer
-/// four requests in ten with an error, at once, in the middle half of the time.
+/// Simulates the placement of flows on targets that have a queue and two thirds
+/// of their slots in use. Each flow sends one request per second. Placement
+/// knows only the reports that the targets send five times per second; this is
+/// the worst case of many balancers, none of which sees the flows of the
+/// others. Half-way, one target is replaced by an empty one. With
+/// FailingTargets, two targets answer four in ten requests at once with an
+/// error during the middle half of the run.
 class placing_model {
 public:
   placing_model(policy Policy, fault_scenario Scenario)
@@ -355,7 +360,7 @@
 int main() {
   measureBalancer();
   measureAgent();
-  // A zone of the users' largest site, and one of the target size.
+  // A zone of the users' largest site, and a zone of the intended maximum size.
   measureReports(41);
   measureReports(7650);
   for (const auto &[Policy, Name] : PolicyNames) {
--- a/include/marjoramrail/flowstore.h
+++ b/include/marjoramrail/flowstore.h
@@ -1,10 +1,11 @@
-//===- flowstore.h - Open flows that outlast a loss of power ----*- C++ -*-===//
+//===- flowstore.h - Open flows saved in the store --------------*- C++ -*-===//
 ///
 /// \file
-/// Keeps the open flows of a zone's targets in the platform's store, so that
-/// their callers are told when VMs have lost power. Agents report their flows
-/// to one balancer of the zone, which writes them all in one object; after a
-/// restart an agent reads there what its target held before.
+/// Saves the open flows of a zone's targets in the platform's store, so that
+/// callers can be sent a reset after their target's VM has lost power. Agents
+/// report their open flows to one balancer of the zone, which writes the flows
+/// of all agents into one object, the checkpoint. After a restart an agent
+/// reads from the checkpoint which flows its target held before.
 ///
 /// Usage:
 /// \code
@@ -12,12 +13,12 @@
 ///                          {.OpenFlows = ..., .OnLost = ...});
 ///   Reporter.start(/*HasPrevious=*/true);
 ///   Reporter.onRun({"run-2", Born});          // each time the target reports
-///   Reporter.input(From, Datagram);           // a collector's question
+///   Reporter.input(From, Datagram);           // a request of a collector
 ///
 ///   flow_collector Collector(Timers, Store, checkpointKey("brugge"),
 ///                            {.Agents = ..., .Send = ...});
 ///   Collector.start();
-///   Collector.input(Datagram);                // an agent's report
+///   Collector.input(Datagram);                // a report of an agent
 /// \endcode
 ///
 //===----------------------------------------------------------------------===//
@@ -39,13 +40,13 @@
 namespace marjoramrail {
 
 //===----------------------------------------------------------------------===//
-// What is kept
+// The checkpoint
 //===----------------------------------------------------------------------===//
 
-/// An open flow, as a reset of it needs it.
+/// An open flow, with the data needed to send its caller a valid reset.
 struct open_flow {
   flow_key Flow;
-  /// What the caller acknowledged last.
+  /// Sequence number that the caller acknowledged last.
   std::uint32_t Acknowledged = 0;
 
   bool operator==(const open_flow &) const = default;
@@ -59,7 +60,7 @@
   bool operator==(const target_run &) const = default;
 };
 
-/// The flows that one run of a target held a short while ago.
+/// The open flows of one run of a target, as last saved.
 struct flow_checkpoint {
   target_run Run;
   std::vector<open_flow> Flows;
@@ -67,7 +68,8 @@
   bool operator==(const flow_checkpoint &) const = default;
 };
 
-/// The flows of a zone's targets, by the names of their entries.
+/// The checkpoints of a zone's targets, by the names of the targets' entries in
+/// the store.
 using zone_checkpoint = std::map<std::string, flow_checkpoint>;
 
 std::string encodeCheckpoint(const zone_checkpoint &Zone);
@@ -75,28 +77,31 @@
 result<zone_checkpoint> decodeCheckpoint(const object_key &Key,
                                          const std::string &Body);
 
-/// The kind under which flows are kept. Not that of targets and balancers:
-/// nobody watches it.
+/// Object kind of checkpoints. It differs from the kind of targets and
+/// balancers, because nobody watches checkpoints.
 inline constexpr const char *CheckpointKind = "marjoramrail-flows";
-/// Where the flows of \p Zone's targets are kept.
+/// Key of the object that holds the checkpoint of \p Zone's targets.
 object_key checkpointKey(const std::string &Zone);
 
 //===----------------------------------------------------------------------===//
-// What agents and collectors tell each other
+// Messages between agents and collectors
 //===----------------------------------------------------------------------===//
 
-/// A collector asks for an agent's open flows, unless it has them already.
+/// Sent by a collector to request an agent's open flows. The agent does not
+/// answer if the collector already has its latest report.
 struct flow_report_request {
-  /// Of the last report that the collector has; 0: of none.
+  /// Sequence number of the last report that the collector has; 0 if it has
+  /// none.
   std::uint64_t Sequence = 0;
 };
 
-/// An agent's open flows, or a part of them if they fill several datagrams.
+/// An agent's open flows. They are split into several parts if they do not fit
+/// into one datagram.
 struct flow_report {
-  /// The entry's name.
+  /// Name of the target's entry in the store.
   std::string Name;
   target_run Run;
-  /// Differs whenever the flows do.
+  /// Changes whenever the reported flows change.
   std::uint64_t Sequence = 0;
   std::uint8_t Part = 0;
   std::uint8_t Parts = 1;
@@ -115,34 +120,37 @@
 decodeFlowReport(std::span<const std::uint8_t> Bytes);
 
 //===----------------------------------------------------------------------===//
-// The agent's side
+// Agent
 //===----------------------------------------------------------------------===//
 
-/// The agent's side of keeping flows: answers the collector of its zone, and
-/// after a restart reads what was kept.
+/// Reports the agent's open flows to the collector of its zone. After a restart
+/// it reads the flows that were saved before.
 ///
-/// Nothing on a VM that has lost power knows which flows there were, and an
-/// idle caller finds out only by its next request: one that may run only once
-/// is lost with it, because nobody can say that it has not run. The symptom is
-/// a tail of failed requests for many seconds after the power is back. With the
-/// flows from the store each caller gets a reset before it asks again, and
-/// opens a new flow.
+/// When a VM loses power, its agent and target forget all flows. An idle caller
+/// notices only when it sends its next request. If that request may run only
+/// once, it cannot be repeated, because nobody can tell whether it has run.
+/// Requests then fail for many seconds after power has returned. With the flows
+/// from the store, the agent sends each caller a reset before its next request,
+/// and the caller opens a new flow.
 class flow_reporter {
 public:
   struct settings {
-    /// The entry's name.
+    /// Name of the target's entry in the store.
     std::string Name;
     std::string Zone;
   };
 
   struct hooks {
-    /// The flows that were open at \p Moment and still are, the oldest first.
+    /// Returns the flows that were open at \p Moment and still are, the oldest
+    /// first.
     std::function<std::vector<open_flow>(instant Moment)> OpenFlows;
-    /// These flows are lost: another run of the target has begun.
+    /// Called with the flows of the previous run once a later run of the target
+    /// has begun; these flows are lost.
     std::function<void(const std::vector<open_flow> &)> OnLost;
-    /// A datagram for a collector.
+    /// Sends a datagram to a collector.
     std::function<void(const endpoint &To, std::span<const std::uint8_t>)> Send;
-    /// A call failed; \p Reason for the log.
+    /// Called when a call to the store or the decoding of a checkpoint has
+    /// failed; \p Reason is meant for the log.
     std::function<void(const std::string &Reason)> OnError;
   };
 
@@ -152,15 +160,18 @@
   flow_reporter(const flow_reporter &) = delete;
   flow_reporter &operator=(const flow_reporter &) = delete;
 
-  /// Reads what a process before this one has reported, if there was one
-  /// (\p HasPrevious). Until it has, or has given up, no collector gets an
-  /// answer, which would replace that.
+  /// Reads the checkpoint if an earlier process of this agent may have reported
+  /// flows (\p HasPrevious). Collectors get no report until the read has
+  /// succeeded or its retries have ended; an earlier report would overwrite the
+  /// checkpoint.
   void start(bool HasPrevious);
-  /// The target has said which run it is.
+  /// The target has reported that it runs as \p Run.
   void onRun(const target_run &Run);
-  /// The target has left: no flows are reported until another run begins.
+  /// The target has deregistered: no flows are reported until another run
+  /// begins.
   void leave();
-  /// False if \p Bytes is no question.
+  /// Handles a datagram. Returns false if \p Bytes is not a
+  /// flow_report_request.
   bool input(const endpoint &From, std::span<const std::uint8_t> Bytes);
 
 private:
@@ -169,24 +180,26 @@
 };
 
 //===----------------------------------------------------------------------===//
-// The balancer's side
+// Balancer
 //===----------------------------------------------------------------------===//
 
-/// The balancer's side of keeping flows: the first balancer of a zone collects
-/// the open flows of the zone's agents and keeps them in one object.
+/// Collects the open flows of a zone's agents and saves them in one object of
+/// the store. Only the first balancer of a zone does so.
 ///
-/// Were each agent to write its own flows, they would need a call each: within
-/// the few calls that a site can spend, 200 agents would write every 40 s, and
-/// hardly a flow would be kept when the power goes.
+/// If each agent wrote its own flows, it would need one call to the store each
+/// time. Within the call rate that the store grants a site, 200 agents could
+/// write only every 40 s, and most flows would be missing from the checkpoint
+/// when power is lost.
 class flow_collector {
 public:
   struct hooks {
-    /// The agents to ask, by the names of their entries; none unless this
-    /// balancer is the first of its zone.
+    /// Returns the agents that reports are requested from, by the names of
+    /// their entries. Empty unless this balancer is the first of its zone.
     std::function<std::map<std::string, endpoint>()> Agents;
-    /// A datagram for an agent.
+    /// Sends a datagram to an agent.
     std::function<void(const endpoint &To, std::span<const std::uint8_t>)> Send;
-    /// A call failed; \p Reason for the log.
+    /// Called when a call to the store or the decoding of a checkpoint has
+    /// failed; \p Reason is meant for the log.
     std::function<void(const std::string &Reason)> OnError;
   };
 
@@ -197,7 +210,7 @@
   flow_collector &operator=(const flow_collector &) = delete;
 
   void start();
-  /// A datagram for which isFlowReport() is true.
+  /// Handles a datagram for which isFlowReport() is true.
   void input(std::span<const std::uint8_t> Bytes);
 
 private:
--- a/src/flowstore/flow_checkpoint.cpp
+++ b/src/flowstore/flow_checkpoint.cpp
@@ -7,8 +7,8 @@
 
 using json = nlohmann::json;
 
-/// A flow's caller and acknowledgement in hexadecimal digits: address, port,
-/// number.
+/// A flow is stored as hexadecimal digits: the caller's address, its port, and
+/// the number that it acknowledged last.
 static constexpr std::size_t AddressDigits = 8;
 static constexpr std::size_t PortDigits = 4;
 static constexpr std::size_t NumberDigits = 8;
@@ -27,8 +27,9 @@
     Text += Hex[Value >> ((Left - 1) * BitsPerDigit) & 0xf];
 }
 
-/// The flows by the service's address, a string of digits each: most targets
-/// have one or two, and callers differ.
+/// Groups the flows by the service's address, with one string of digits for
+/// each. Most targets have only one or two service addresses, while callers
+/// differ.
 static json encodeByAddress(const std::vector<open_flow> &Flows) {
   std::map<std::string, std::string> ByAddress;
   for (const open_flow &Open : Flows) {
@@ -49,7 +50,7 @@
   return json{{"targets", Targets}}.dump();
 }
 
-/// Takes \p Digits digits off the front of \p Text.
+/// Removes \p Digits digits from the front of \p Text and returns their value.
 static std::optional<std::uint32_t> takeDigits(std::string_view &Text,
                                                std::size_t Digits) {
   static constexpr int Hexadecimal = 16;
@@ -66,13 +67,15 @@
                                  std::string_view Text,
                                  std::vector<open_flow> &Flows) {
   if (Text.size() % FlowDigits != 0)
-    return fail(step::ValidateObject, Key.Name, "a flow is cut off");
+    return fail(step::ValidateObject, Key.Name,
+                "flow checkpoint: truncated flow");
   while (!Text.empty()) {
     const auto Address = takeDigits(Text, AddressDigits);
     const auto Port = Address ? takeDigits(Text, PortDigits) : std::nullopt;
     const auto Number = Port ? takeDigits(Text, NumberDigits) : std::nullopt;
     if (!Number)
-      return fail(step::ValidateObject, Key.Name, "a flow has no digits");
+      return fail(step::ValidateObject, Key.Name,
+                  "flow checkpoint: invalid digits in a flow");
     const endpoint Caller{*Address, static_cast<std::uint16_t>(*Port)};
     Flows.push_back({{Caller, Service}, *Number});
   }
@@ -84,14 +87,16 @@
   if (!Item.is_object() || !Item.contains("run") || !Item["run"].is_string() ||
       !Item.contains("born") || !Item["born"].is_number_integer() ||
       !Item.contains("flows") || !Item["flows"].is_object())
-    return fail(step::ValidateObject, Key.Name, "these are no kept flows");
+    return fail(step::ValidateObject, Key.Name,
+                "flow checkpoint: invalid entry of a target");
   flow_checkpoint Checkpoint;
   Checkpoint.Run = {Item["run"].get<std::string>(),
                     Item["born"].get<std::int64_t>()};
   for (const auto &[Address, Digits] : Item["flows"].items()) {
     const auto Service = parseEndpoint(Address);
     if (!Service || !Digits.is_string())
-      return fail(step::ValidateObject, Key.Name, "a flow has no address");
+      return fail(step::ValidateObject, Key.Name,
+                  "flow checkpoint: invalid service address");
     BOOST_LEAF_CHECK(decodeDigits(Key, *Service,
                                   Digits.get_ref<const std::string &>(),
                                   Checkpoint.Flows));
@@ -104,7 +109,8 @@
   const json Json = json::parse(Body, nullptr, /*allow_exceptions=*/false);
   if (!Json.is_object() || !Json.contains("targets") ||
       !Json["targets"].is_object())
-    return fail(step::ValidateObject, Key.Name, "these are no zone's flows");
+    return fail(step::ValidateObject, Key.Name,
+                "flow checkpoint: no targets object");
   zone_checkpoint Zone;
   for (const auto &[Name, Item] : Json["targets"].items()) {
     BOOST_LEAF_AUTO(Checkpoint, decodeTarget(Key, Item));
--- a/src/flowstore/flow_collector.cpp
+++ b/src/flowstore/flow_collector.cpp
@@ -4,22 +4,25 @@
 
 namespace marjoramrail {
 
-/// How long the news of an agent waits for the next question, at most.
+/// Interval of the requests for reports, and so the maximum delay until an
+/// agent's changed flows are known here.
 static constexpr duration RequestPeriod = std::chrono::milliseconds(500);
-/// The least time between two writes: a call a second for each zone.
+/// Minimum interval between two writes: one call per second for each zone.
 static constexpr duration MinWriteInterval = std::chrono::seconds(1);
-/// Bounds what writing costs the one balancer that does it for its zone: the
-/// larger the object, the longer the pause before the next write.
+/// Bounds the cost of writing for the one balancer that does it for its zone:
+/// the larger the object, the longer the pause before the next write.
 static constexpr std::int64_t WriteBytesPerSecond = 32 * 1024;
-/// After a failed call, or when another balancer has written: that one keeps
-/// the zone's flows until it falls silent.
+/// Delay after a failed call, or after a conflict with a write of another
+/// balancer. The other balancer then goes on writing the zone's checkpoint
+/// until it stops.
 static constexpr duration RetryDelay = std::chrono::seconds(3);
-/// The flows of an agent that has said nothing for longer are over.
+/// The flows of an agent that has not reported for longer than this are
+/// removed.
 static constexpr duration ReporterTimeout = std::chrono::seconds(70);
-/// An agent whose flows do not change is asked all the same now and then, to
-/// hear that it is there.
+/// An agent whose flows do not change gets a request for a full report at this
+/// interval, so that an agent that is still running is not removed.
 static constexpr duration RefreshInterval = std::chrono::seconds(30);
-/// Of one zone: half of what an object of the store may hold.
+/// Half of what an object of the store can hold.
 static constexpr std::size_t MaxFlowsPerZone = 25'000;
 
 struct flow_collector::impl {
@@ -27,12 +30,12 @@
       : Timers(Timers), Store(std::move(Store)), Key(std::move(Key)),
         Hooks(std::move(Hooks)) {}
 
-  /// One agent as it has reported itself, or as the store has it.
+  /// The last report of one agent, or its flows as loaded from the checkpoint.
   struct reporter {
     target_run Run;
     std::uint64_t Sequence = 0;
     std::vector<std::vector<open_flow>> Parts;
-    /// Bits of the parts of Sequence that have come.
+    /// Bit mask of the received parts of report Sequence.
     std::uint32_t ReceivedParts = 0;
     instant LastReportAt;
 
@@ -57,7 +60,7 @@
   object_key Key;
   hooks Hooks;
   bool IsCollecting = false;
-  /// What the store holds as version Version was taken in.
+  /// The checkpoint in the store has been loaded, and its version is Version.
   bool IsVersionKnown = false;
   std::uint64_t Version = 0;
   bool Busy = false;
@@ -122,8 +125,8 @@
     loadCheckpoint(Reply.Object);
 }
 
-/// What the store holds of agents that have not reported yet goes on being
-/// kept: their VMs may be dark, and ask for it when they are back.
+/// Flows of agents that have not reported yet stay in the checkpoint: their VMs
+/// may be without power, and read their flows when they are back.
 void flow_collector::impl::loadCheckpoint(const platform_object &Object) {
   const auto Failure = failureOf([&]() -> result<void> {
     BOOST_LEAF_AUTO(Zone, decodeCheckpoint(Key, Object.Body));
@@ -142,7 +145,8 @@
 
 void flow_collector::impl::applyReport(flow_report Report) {
   reporter &Reporter = Reporters[Report.Name];
-  // Held up on its way, or of an agent that was restarted with its target.
+  // The report was delayed, or comes from an agent that was restarted together
+  // with its target.
   if (Report.Run.Born < Reporter.Run.Born)
     return;
   if (Report.Run != Reporter.Run) {
@@ -203,7 +207,7 @@
     return;
   }
   Changed = true;
-  // Another version stands, or nobody knows which.
+  // The store holds another version than expected, or its version is unknown.
   if (Reply.Outcome != platform_outcome::Unavailable)
     IsVersionKnown = false;
   delayNextCall(Reply.Reason);
--- a/src/flowstore/flow_messages.cpp
+++ b/src/flowstore/flow_messages.cpp
@@ -5,10 +5,10 @@
 
 using namespace internal;
 
-/// u16 magic | u8 format | u64 sequence
+/// Layout: u16 magic | u8 format | u64 sequence
 static constexpr std::uint16_t RequestMagic = 0x4d57;
-/// u16 magic | u8 format | u8 part | u8 parts | u64 sequence | i64 born |
-/// u8 length of the name | u8 length of the run | name | run |
+/// Layout: u16 magic | u8 format | u8 part | u8 parts | u64 sequence |
+/// i64 born | u8 length of the name | u8 length of the run | name | run |
 /// n x (endpoint of the caller, endpoint of the service, u32 acknowledged)
 static constexpr std::uint16_t ReportMagic = 0x4d58;
 static constexpr std::uint8_t Format = 1;
--- a/src/flowstore/flow_reporter.cpp
+++ b/src/flowstore/flow_reporter.cpp
@@ -5,17 +5,20 @@
 
 namespace marjoramrail {
 
-/// A reset within 76,800 of the caller's last acknowledgement counts; reported
-/// anew at half of that, as the flow goes on until the next report.
+/// A caller accepts a reset within 76,800 bytes of its last acknowledgement. A
+/// flow is reported again at half of that, because it goes on until the next
+/// report.
 static constexpr std::uint32_t MaxAcknowledgementDrift = 38'400;
-/// With the names this fits a datagram of 1,300 bytes.
+/// Together with the names this fits into a datagram of 1,300 bytes.
 static constexpr std::size_t FlowsPerDatagram = 64;
-/// What one answer may cost; the oldest flows go first, as callers who have
-/// kept a flow for long keep it on.
+/// Bounds the cost of one report. The oldest flows come first, because callers
+/// that have kept a flow for long are likely to keep it.
 static constexpr std::size_t MaxDatagramsPerReport = 4;
-/// A store that refuses is not asked more often than it takes to answer slowly.
+/// A store that refuses calls is read no more often than it takes to answer a
+/// slow call.
 static constexpr duration ReadRetryInterval = std::chrono::seconds(1);
-/// Callers of flows that were lost longer ago have asked by themselves.
+/// Callers of flows that were lost longer ago have sent their next request
+/// already, so a reset would come too late.
 static constexpr duration ReadTimeout = std::chrono::seconds(15);
 /// The longest life of a flow.
 static constexpr duration PreviousFlowsLifetime = std::chrono::minutes(1);
@@ -40,16 +43,17 @@
   settings Settings;
   hooks Hooks;
   instant StartedAt;
-  /// What the process before this one reported is known, or given up.
+  /// The checkpoint has been read, or reading it was given up.
   bool IsReady = false;
-  /// Of a run before the present one, until its callers are told.
+  /// The flows of an earlier run, until their callers have been sent resets.
   std::optional<flow_checkpoint> Previous;
   std::optional<target_run> Run;
-  /// When the target last said that this run goes on. A flow that was opened
-  /// later may belong to the next run already.
+  /// When the target last reported that this run goes on. A flow that was
+  /// opened later may belong to the next run already.
   instant ConfirmedAt;
   bool HasLeft = false;
-  /// Unlike that of a process before this one, as it starts with the clock.
+  /// Starts with the clock, so that it differs from the sequence numbers of an
+  /// earlier process.
   std::uint64_t Sequence = 0;
   target_run ReportedRun;
   std::map<flow_key, std::uint32_t> Reported;
@@ -77,7 +81,8 @@
     return;
   }
   if (!IsVersionKnown)
-    Hooks.OnError("what was kept is given up: " + Reply.Reason);
+    Hooks.OnError("cannot read the flow checkpoint, giving up: " +
+                  Reply.Reason);
   IsReady = true;
   if (Reply.Outcome == platform_outcome::Ok)
     loadPrevious(Reply.Object);
@@ -96,9 +101,8 @@
   reportLostFlows();
 }
 
-/// Only a run that began later proves that the one before is over. A report
-/// that was held up names an earlier one, and the target that is there may
-/// still hold the flows.
+/// Only a run that began later proves that the previous one is over. A delayed
+/// report names an earlier run; the present target may still hold the flows.
 void flow_reporter::impl::reportLostFlows() {
   if (!Previous || !Run || Run->Born <= Previous->Run.Born)
     return;
@@ -106,7 +110,7 @@
   Hooks.OnLost(Lost.Flows);
 }
 
-/// Flows that have ended do no harm where they are kept; they stay until
+/// Flows that have ended do no harm in the checkpoint. They stay there until
 /// something else has to be reported.
 bool flow_reporter::impl::isReported(
     const std::vector<open_flow> &Current) const {
@@ -120,8 +124,9 @@
       });
 }
 
-/// The flows of the present run that a process of this agent has seen open.
-/// What the process before reported may be idle, and not have been seen since.
+/// Returns the open flows of the present run. This includes the flows that an
+/// earlier process of this agent reported for the same run: they may be idle,
+/// so that this process has seen no packet of them.
 std::vector<open_flow> flow_reporter::impl::current() const {
   if (HasLeft)
     return {};
--- a/src/forward/decline_watch.h
+++ b/src/forward/decline_watch.h
@@ -1,17 +1,19 @@
-//===- decline_watch.h - A target that takes no new flows -------*- C++ -*-===//
+//===- decline_watch.h - Detects a target that accepts no flows -*- C++ -*-===//
 ///
 /// \file
-/// The load: a target whose process has ended, or that is full, gives every new
-/// flow back within a millisecond. Its agent passes the flow on, so nothing is
-/// lost at once; but the target has few flows and none in progress, looks like
-/// the idlest of its zone, and is named first for every new flow. All of them
-/// then fall upon the next in its zone, whatever that one's load. In one play
-/// of a zone with two targets, one of which crashed, a full queue refused 682
-/// requests while other zones idled, and 640 of the zone's 8,563 were late;
-/// with this watch 85 were.
+/// Detects a target that accepts no new flows. A target whose process has
+/// ended, or that is full, declines every new flow within a millisecond. Its
+/// agent passes each flow to the next agent, so no flow is lost. But such a
+/// target has few flows and no requests in progress, so it looks like the least
+/// loaded of its zone, and balancers list it first for every new flow. All
+/// these flows then go to the next target of the zone, regardless of its load.
+/// In a run of a zone with two targets, one of which had crashed, a full queue
+/// refused 682 requests while other zones were idle, and 640 of the zone's
+/// 8,563 requests were late; with this detection 85 were.
 ///
-/// So an agent whose target declines several new flows in a row says that it
-/// does not answer, and balancers choose among the others.
+/// Remedy: an agent whose target has declined several new flows in a row
+/// reports that the target does not answer, and balancers choose among the
+/// others.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -24,18 +26,22 @@
 
 namespace marjoramrail::internal {
 
+/// Counts the new flows that the target has declined in a row.
 class decline_watch {
 public:
-  /// New flows declined in a row after which a target counts as taking none: a
-  /// single one may have come in the moment in which a slot was refilled.
+  /// Number of new flows declined in a row after which the target counts as
+  /// declining. A single one may have arrived just before a slot became free.
   static constexpr unsigned DeclineThreshold = 3;
-  /// A target that takes flows again is found by offering it one; it costs that
-  /// flow a detour of a millisecond. Targets report somewhat more often.
+  /// Interval after which a declining target is offered one new flow, to detect
+  /// that it accepts flows again. The trial delays that flow by about a
+  /// millisecond. Targets report somewhat more often than this.
   static constexpr duration TrialInterval = std::chrono::seconds(2);
 
+  /// The target has accepted a new flow.
   void onOpened() { ConsecutiveDeclines = 0; }
 
-  /// Returns true if the target counts as taking no new flows from now on.
+  /// The target has declined a new flow. Returns true if it counts as declining
+  /// from now on.
   bool onDeclined(instant Now) {
     if (ConsecutiveDeclines == 0)
       FirstAt = Now;
@@ -44,12 +50,14 @@
     return ConsecutiveDeclines == DeclineThreshold;
   }
 
-  /// The target has said that it takes flows: the next one is a trial.
+  /// The target has reported that it accepts flows: the next flow is a trial,
+  /// and one more decline suffices to count the target as declining.
   void onReady() {
     ConsecutiveDeclines = std::min(ConsecutiveDeclines, DeclineThreshold - 1);
   }
 
-  /// Call it now and then: makes the next flow a trial when it is time.
+  /// Makes the next flow a trial once TrialInterval has passed since the last
+  /// decline. Must be called regularly.
   void tick(instant Now) {
     if (isDeclining() && Now - LastAt >= TrialInterval)
       onReady();
@@ -57,7 +65,7 @@
 
   bool isDeclining() const { return ConsecutiveDeclines >= DeclineThreshold; }
   unsigned consecutiveDeclines() const { return ConsecutiveDeclines; }
-  /// When the first of the row was declined.
+  /// When the first flow of the current sequence was declined.
   instant firstDeclinedAt() const { return FirstAt; }
 
 private:
--- a/src/forward/forward_agent.cpp
+++ b/src/forward/forward_agent.cpp
@@ -9,15 +9,17 @@
 
 namespace {
 
-/// Balancers that have sent nothing for longer get no reports: longer than
-/// their AskAfter, so that one that asks keeps hearing.
+/// A balancer that has sent nothing for this long gets no more reports. Longer
+/// than agent_roster::AskAfter, the interval at which balancers request
+/// reports, so that a balancer that requests them gets reports without a gap.
 constexpr duration ReportDuration = std::chrono::seconds(2);
-/// A report to the last balancer known, when none has been heard: rare enough
-/// to cost nothing, often enough for an agent that comes back after a long cut.
+/// Interval of the reports to the last known balancer while no balancer makes
+/// contact. Rare enough to cost next to nothing, and frequent enough for an
+/// agent that is reachable again after a long network partition.
 constexpr duration LastBalancerReportPeriod = std::chrono::seconds(5);
-/// A look at the store when nobody calls at all: as long as the entry of a VM
-/// that is cut off stands, so that thousands of idle agents cost the store
-/// little.
+/// Interval of the checks of the store's registry while no balancer makes
+/// contact. Equals the time for which the entry of an unreachable VM is kept,
+/// so that thousands of idle agents put little load on the store.
 constexpr duration RegistryCheckPeriod = std::chrono::minutes(1);
 
 } // namespace
@@ -84,9 +86,10 @@
 
 bool forward_agent::targetGone() const { return Impl->TargetGone; }
 
-/// The flows of a process that is gone are lost. Their callers are told before
-/// they ask for anything on them: a request that may run only once, sent into a
-/// dead flow, cannot be repeated, because nobody can say that it has not run.
+/// The flows of a process that has ended are lost. Their callers get a reset
+/// before they send their next request: a request that may run only once cannot
+/// be repeated after it was sent on a lost flow, because nobody can tell
+/// whether it has run.
 void forward_agent::impl::resetAll(instant Now) {
   Load.forgetAll(Now, [&](const flow_key &Key, const watched_flow &Flow) {
     resetFlow({Key, Flow.CallerAcknowledged}, "target gone");
@@ -223,9 +226,11 @@
       sendReport(Balancer, Now);
 }
 
-/// The entry may have been taken out while this agent was cut off, and the last
-/// balancer known be gone as well: then nobody would ever ask or tell, and a
-/// target that is well would get no flow for the rest of its life.
+/// The target's entry may have been removed from the store while this agent was
+/// unreachable, and the last known balancer may have stopped as well. Then no
+/// balancer would ever contact this agent again, and a healthy target would get
+/// no flows for the rest of its life. So the agent has the store's registry
+/// checked.
 void forward_agent::impl::detectIsolation(instant Now) {
   const bool HasContact = !Balancers.empty() || !ReportOnceTo.empty();
   if (HasContact || !LastContactOrCheckAt) {
@@ -239,8 +244,9 @@
     Hooks.Unheard();
 }
 
-/// Nobody sends or asks: calm, or this agent was cut off and taken out of the
-/// list meanwhile. The last balancer known says which.
+/// No balancer makes contact if there is no traffic, or if this agent was
+/// unreachable and its target's entry has been removed from the store. The
+/// answer of the last known balancer tells which of the two it is.
 void forward_agent::impl::reportToLastBalancer(instant Now) {
   if (!LastBalancer || Now - LastBalancer->second < LastBalancerReportPeriod)
     return;
--- a/src/forward/forward_agent_impl.h
+++ b/src/forward/forward_agent_impl.h
@@ -1,9 +1,10 @@
-//===- forward_agent_impl.h - The parts of the agent ------------*- C++ -*-===//
+//===- forward_agent_impl.h - Implementation of the agent -------*- C++ -*-===//
 ///
 /// \file
-/// The agent's core behind its public face. routed_packets.cpp takes what
-/// balancers and other agents send, target_packets.cpp what the target writes
-/// and how it answers, forward_agent.cpp does the rest.
+/// Implementation class of forward_agent, spread over three source files.
+/// routed_packets.cpp handles packets from balancers and other agents;
+/// target_packets.cpp handles packets from the target; forward_agent.cpp holds
+/// the reports, the timers and the public interface.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -66,19 +67,24 @@
   forward_agent_hooks Hooks;
   internal::offered_packets Offered;
   internal::target_load Load;
-  /// Balancers that have use for this target's load, and when they were heard.
+  /// Balancers that get regular load reports, and when each last sent a
+  /// message. A balancer is added when it sends a new flow, a packet of a known
+  /// flow, or a lasting request for load reports.
   std::map<endpoint, instant> Balancers;
-  /// Those whose packets only came by on a walk: they need to know that this
-  /// agent is there. Reporting to them for seconds, after a loss of power all
-  /// agents of a site would report to all balancers.
+  /// Balancers whose packets arrived here only during an owner lookup. They
+  /// need a single report, as a sign that this agent is running. If they got
+  /// reports for seconds instead, all agents of a site would report to all
+  /// balancers after a loss of power.
   std::set<endpoint> ReportOnceTo;
-  /// The last balancer heard, and when it was heard or called last.
+  /// The balancer that was known last, and the time of its last message or of
+  /// the last report sent to it.
   std::optional<std::pair<endpoint, instant>> LastBalancer;
-  /// When a balancer was heard last, or the store asked in its place.
+  /// When a balancer last made contact, or when a check of the store's registry
+  /// was last started because none had.
   std::optional<instant> LastContactOrCheckAt;
   bool Admitting = false;
   bool TargetGone = false;
-  /// The target has not answered the last thing put to it.
+  /// The target has not answered the last packet that required an answer.
   bool TargetUnresponsive = false;
   internal::decline_watch Declines;
   internal::failure_watch Failures;
--- a/src/forward/offered_packets.cpp
+++ b/src/forward/offered_packets.cpp
@@ -5,7 +5,7 @@
 std::uint32_t offered_packets::add(const routed_packet &Routed,
                                    const tcp_packet &Head, bool NeedsAnswer,
                                    instant Now) {
-  // 0 is what targets and callers write.
+  // 0 is the tag of packets written by targets and callers.
   if (++LastTag == 0)
     ++LastTag;
   const std::size_t Place = LastTag % Capacity;
--- a/src/forward/routed_packets.cpp
+++ b/src/forward/routed_packets.cpp
@@ -4,7 +4,8 @@
 
 using namespace internal;
 
-/// The same balancer is told the owner of the same flow at most this often.
+/// Minimum interval between two owner notices to the same balancer about the
+/// same flow.
 static constexpr duration OwnerNoticeInterval = std::chrono::milliseconds(100);
 
 agent_outcome forward_agent::impl::onRouted(const routed_packet &Routed,
@@ -35,8 +36,8 @@
                                              instant Now) {
   if (Hooks.Witness && Routed.Version != 0)
     Hooks.Witness(Routed.Version);
-  // An address is used again by other services; the balancer's list may be of
-  // before.
+  // Addresses are reused by other services, and the balancer's list may be
+  // older than the change.
   if (Routed.Service != Settings.Service)
     return passToNext(Routed, Segment.Head, "another service");
   if (!Admitting)
@@ -74,9 +75,10 @@
   return Outcome;
 }
 
-/// The target does not answer: it may hold the flow and be unable to say so,
-/// and nobody may call the flow lost; but if another target holds it, the
-/// packet must get there.
+/// Passes on a packet that the target does not answer. The target may hold the
+/// flow without being able to answer, so no agent may treat the flow as lost:
+/// the flags for a complete list are cleared. But if another target holds the
+/// flow, the packet has to reach it.
 void forward_agent::impl::passToNextIncomplete(routed_packet Routed,
                                                const tcp_packet &Head) {
   Routed.Flags &= ~(static_cast<std::uint8_t>(routed_flag::Whole) |
@@ -95,8 +97,9 @@
   return agent_outcome::Delivered;
 }
 
-/// The flow's packets came by way of others: the balancer is told, so that the
-/// next ones come straight.
+/// The packet came through other agents first. The notice tells the balancer
+/// which agent's target owns the flow, so that it sends the next packets here
+/// directly.
 void forward_agent::impl::sendOwnerNotice(const routed_packet &Routed,
                                           const flow_key &Flow, instant Now) {
   if (Routed.Position == 0 || Routed.Balancer == endpoint())
@@ -134,7 +137,8 @@
   return agent_outcome::PassedOn;
 }
 
-/// Tells the caller of \p Packet that its flow is over.
+/// Sends the caller of \p Packet a reset. Returns false if none could be
+/// written.
 bool forward_agent::impl::sendReset(const tcp_packet &Packet) {
   std::array<std::uint8_t, MaxPacketBytes> Buffer;
   const std::size_t Size = Codec.WriteReset(Packet, Buffer);
@@ -144,22 +148,23 @@
   return true;
 }
 
-/// Nobody in the list takes the packet. A new flow has been offered to all that
-/// admit, and was opened by none: its caller may be told. A flow that is open
-/// may only be reset if the list was whole and all have said no.
+/// No agent in the list accepts the packet. A new flow was offered to all
+/// agents that admit flows, and none opened it, so its caller gets a reset. An
+/// open flow may be reset only if the list was complete and all targets have
+/// declined.
 agent_outcome forward_agent::impl::onListExhausted(const routed_packet &Routed,
                                                    const tcp_packet &Head,
                                                    std::string_view Why) {
   const bool IsNew = Head.opensFlow();
   if (!IsNew && Routed.has(routed_flag::Continues)) {
     logEvent(event_kind::FlowPassedOn,
-             "back to its balancer, for the next list", Head.Flow,
+             "returned to its balancer for the next list", Head.Flow,
              Routed.Balancer);
     return requestNextList(Routed);
   }
   if (Head.Rst || (!IsNew && !Routed.has(routed_flag::Whole))) {
-    logEvent(event_kind::FlowPassedOn, "to nobody: its list may not be whole",
-             Head.Flow, {});
+    logEvent(event_kind::FlowPassedOn,
+             "not passed on: its list may be incomplete", Head.Flow, {});
     return agent_outcome::Unsure;
   }
   if (!sendReset(Head))
@@ -169,8 +174,9 @@
   return IsNew ? agent_outcome::Refused : agent_outcome::Reset;
 }
 
-/// The list named only a part of those who can hold the flow; the balancer that
-/// wrote it knows the rest.
+/// Returns the packet to its balancer. The list held only a part of the agents
+/// whose targets may own the flow; the balancer sends the packet to the next
+/// ones.
 agent_outcome forward_agent::impl::requestNextList(routed_packet Routed) {
   if (Routed.Balancer == endpoint())
     return agent_outcome::Unsure;
--- a/src/forward/target_load.cpp
+++ b/src/forward/target_load.cpp
@@ -2,16 +2,17 @@
 
 namespace marjoramrail::internal {
 
-/// Weight of the newest sample: at a sample each 200 ms the share follows a
-/// change within about a second.
+/// Weight of the newest sample. With one sample every 200 ms the average
+/// follows a change within about a second.
 static constexpr double BusySmoothing = 0.3;
-/// Over some ten requests, so that one long answer does not empty a target.
+/// Averages over about ten requests, so that a single slow answer does not
+/// drive all new flows away from the target.
 static constexpr double LatencySmoothing = 0.1;
 static constexpr duration SweepPeriod = std::chrono::seconds(5);
 
-/// What two packets of one flow can be apart: the ends have at most 16 packets
-/// of some 1,200 bytes in flight; four times that. A new flow on a used port
-/// starts anywhere.
+/// Returns whether two sequence numbers can belong to the same flow. The ends
+/// have at most 16 packets of about 1,200 bytes in flight; the window is four
+/// times that. A new flow on a reused port starts at an arbitrary number.
 static bool isNear(std::uint32_t A, std::uint32_t B) {
   constexpr std::uint32_t Window = 76'800;
   return A - B <= Window || B - A <= Window;
@@ -63,10 +64,10 @@
   ++Open;
 }
 
-/// A caller that has given up ends its flow, and the target follows without an
-/// answer. Counted as in progress until the flow is forgotten, such requests
-/// make a target look full for seconds after a burst, and new flows go to the
-/// others.
+/// A caller that gives up a request closes its flow, and the target closes it
+/// too, without an answer. If such requests counted as in progress until the
+/// flow is removed, a target would look full for seconds after a burst, and new
+/// flows would go to other targets.
 void target_load::updateClosed(watched_flow &Flow, instant Now) {
   if (Flow.Closed || !Flow.CallerEnded || !Flow.TargetEnded)
     return;
@@ -109,13 +110,13 @@
   Flow.SeenAt = Now;
   Flow.SequenceKnown = true;
   if (Packet.Syn) {
-    // Another flow under the same addresses counts from elsewhere.
+    // A different initial sequence number: a new flow under the same addresses.
     if (Flow.TargetSequence != Packet.Sequence)
       Flow.CallerSent = Flow.TargetSent = sequence_tracker();
     Flow.TargetSequence = Packet.Sequence;
     return std::nullopt;
   }
-  // A flow of before this agent's start.
+  // A flow that was opened before this agent started.
   if (Flow.HalfOpen)
     markOpen(Flow, Now);
   Flow.TargetEnded |= Packet.Fin;
--- a/src/forward/target_load.h
+++ b/src/forward/target_load.h
@@ -1,9 +1,10 @@
-//===- target_load.h - How busy the target beside an agent is ---*- C++ -*-===//
+//===- target_load.h - Load of the target beside an agent -------*- C++ -*-===//
 ///
 /// \file
-/// Watches the flows that pass: which are open, which wait for an answer, how
-/// long answers take. The agent cannot slow the target down or queue for it;
-/// this tells balancers where the next flow is served soonest.
+/// Measures the load of the agent's target from the packets that pass: which
+/// flows are open, which requests are unanswered, and how long answers take.
+/// The agent can neither slow the target down nor queue requests for it;
+/// balancers use the figures to place new flows where they are served soonest.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -16,12 +17,12 @@
 
 namespace marjoramrail::internal {
 
-/// The bytes that one end of a flow has sent.
+/// Tracks the bytes that one end of a flow has sent, by their sequence numbers.
 class sequence_tracker {
 public:
-  /// Takes a packet in; true if it holds bytes that were not sent before. What
-  /// was lost or answered late is sent again, and is neither another request
-  /// nor another answer.
+  /// Records a packet. Returns true if it holds bytes that were not sent
+  /// before. Retransmitted bytes are neither another request nor another
+  /// answer.
   bool take(const tcp_packet &Packet) {
     const std::uint32_t End = Packet.Sequence + Packet.Payload;
     const bool IsNew = Packet.Payload > 0 && (!Known || isAfter(End, Next));
@@ -33,7 +34,8 @@
   }
 
 private:
-  /// Numbers wrap; two of one flow are never half of all apart.
+  /// Sequence numbers wrap around. Two numbers of one flow never differ by more
+  /// than half of the number range.
   static bool isAfter(std::uint32_t A, std::uint32_t B) {
     return static_cast<std::int32_t>(A - B) > 0;
   }
@@ -42,39 +44,45 @@
   std::uint32_t Next = 0;
 };
 
+/// What the agent has observed of one flow.
 struct watched_flow {
   instant SeenAt;
-  /// The number with which the target's end began, once it has answered.
+  /// The target's initial sequence number; valid if SequenceKnown is set.
   std::uint32_t TargetSequence = 0;
   bool SequenceKnown = false;
-  /// The caller has not confirmed the target's end yet.
+  /// The caller has not acknowledged the target's SYN yet.
   bool HalfOpen = true;
-  /// When it did, as far as this agent has seen.
+  /// When the agent first saw the flow open.
   instant OpenedAt;
-  /// What the caller acknowledged last: a reset has to be near it.
+  /// Sequence number that the caller acknowledged last. A reset must be close
+  /// to it, or the caller ignores the reset.
   std::uint32_t CallerAcknowledged = 0;
   sequence_tracker CallerSent;
   sequence_tracker TargetSent;
+  /// The caller has sent a request, and the target has not begun its answer.
   bool RequestPending = false;
   bool CallerEnded = false;
   bool TargetEnded = false;
-  /// Both have ended; only packets that were under way may still come.
+  /// Both ends have sent a FIN; only packets already in flight may still
+  /// arrive.
   bool Closed = false;
   instant RequestedAt;
   endpoint NotifiedBalancer;
   instant NotifiedAt;
 };
 
+/// Tracks the flows of one target and computes its load.
 class target_load {
 public:
-  /// What a packet of the caller says about the flow.
+  /// How a packet from the caller relates to the flows that the agent has
+  /// observed.
   enum class flow_match {
-    /// Of a flow that the target has answered on.
+    /// It belongs to a flow on which the target has answered.
     Known,
-    /// Of none, or of a new one on a port that is used again.
+    /// It belongs to no observed flow, or to a new flow on a reused port.
     Unknown,
-    /// It confirms another target's answer: two targets answered copies of one
-    /// SYN, and the caller took the other one.
+    /// It acknowledges another target's answer: two targets answered copies of
+    /// one SYN, and the caller accepted the other answer.
     OtherTarget,
   };
 
@@ -82,26 +90,27 @@
   void setIdleFlow(duration Time) { IdleFlow = Time; }
 
   flow_match matchFlow(const tcp_packet &Packet) const;
-  /// Whether the target was seen to hold the open flow of \p Packet. A port
-  /// that is used again has a new flow under the same addresses; what the
-  /// caller acknowledges tells them apart.
+  /// Returns whether the target was seen to hold the open flow of \p Packet. A
+  /// new flow on a reused port has the same addresses; it is told apart by the
+  /// number that the caller acknowledges.
   bool hasOpenFlow(const tcp_packet &Packet) const;
-  /// The packet goes to the target. True if it begins a request.
+  /// Records a packet that is delivered to the target. Returns true if it
+  /// begins a request.
   bool onCaller(const tcp_packet &Packet, instant Now);
-  /// The target wrote a packet (Flow.Service is the target's end). If it begins
-  /// an answer, returns how long that took.
+  /// Records a packet that the target sent. Flow.Service is the target's end.
+  /// If the packet begins an answer, returns the time since the request.
   std::optional<duration> onTarget(const tcp_packet &Packet, instant Now);
   void forget(const flow_key &Flow, instant Now);
-  /// Forgets every flow; \p Each is told of those that were open.
+  /// Removes all flows after calling \p Each for those that were open.
   void forgetAll(
       instant Now,
       const std::function<void(const flow_key &, const watched_flow &)> &Each);
   watched_flow *find(const flow_key &Flow);
-  /// Open flows that neither end has closed.
+  /// Calls \p Each for the open flows that the target has not closed.
   void forEachOpen(const std::function<void(const flow_key &,
                                             const watched_flow &)> &Each) const;
 
-  /// Samples the load; call it every forward_agent::TickPeriod.
+  /// Samples the load; must be called every forward_agent::TickPeriod.
   void tick(instant Now);
 
   std::uint32_t open() const { return Open; }
--- a/src/forward/target_packets.cpp
+++ b/src/forward/target_packets.cpp
@@ -32,7 +32,7 @@
     return;
   if (Hooks.OnEvent)
     Hooks.OnEvent({event_kind::TargetDeclines,
-                   "new flows in a row",
+                   "new flows declined in a row",
                    Flow,
                    {},
                    static_cast<double>(Declines.consecutiveDeclines()),
@@ -46,8 +46,8 @@
   logFailureState(Flow);
 }
 
-/// A target that takes requests and answers nothing is found out by callers who
-/// give up: they end a flow on which their request still waits.
+/// Counts a failure if the caller closes or resets a flow while its request is
+/// unanswered. This detects a target that accepts requests and answers none.
 void forward_agent::impl::noteAbortedRequest(const tcp_packet &Head,
                                              instant Now) {
   const watched_flow *Watched = Load.find(Head.Flow);
@@ -56,7 +56,8 @@
     noteAnswer(Head.Flow, /*Failed=*/true, Now);
 }
 
-/// Figure of the event: failures in thousandths, as balancers are told.
+/// The event's figure is the share of failures in thousandths, as in load
+/// reports.
 void forward_agent::impl::logFailureState(const flow_key &Flow) {
   if (!Failures.review() || !Hooks.OnEvent)
     return;
@@ -68,12 +69,12 @@
                  duration::zero()});
 }
 
-/// An open flow is held by one target; if that one has lost it, no other needs
-/// to be asked. After a target's crash this saves a walk for each of its flows,
-/// and holds also where the list may not be whole.
+/// Only one target holds an open flow. If that target has lost it, no other
+/// needs to be tried, even if the list may be incomplete. After a crash of the
+/// target this saves an owner lookup for each of its flows.
 agent_outcome forward_agent::impl::resetLostFlow(const tcp_packet &Head) {
-  logEvent(event_kind::FlowLost, "its target does not hold it any more",
-           Head.Flow, {});
+  logEvent(event_kind::FlowLost, "its target no longer holds it", Head.Flow,
+           {});
   return !Head.Rst && sendReset(Head) ? agent_outcome::Reset
                                       : agent_outcome::Unsure;
 }
--- a/test/flowstore/flow_checkpoint_test.cpp
+++ b/test/flowstore/flow_checkpoint_test.cpp
@@ -15,7 +15,7 @@
 struct checkpoint_fixture : flow_zone {
   std::unique_ptr<collector_process> Collector = startCollector();
 
-  /// A target's flows are kept; then its VM, and the collector's, lose power.
+  /// Saves a target's flows; then its VM and the collector's VM lose power.
   void checkpointAndLosePower() {
     runAgent(Web, FirstRun, TwoFlows);
     pass(10s);
@@ -34,10 +34,10 @@
 } // namespace
 
 TEST_CASE_FIXTURE(checkpoint_fixture,
-                  "callers of flows lost with a VM are told") {
-  // A VM loses power and comes back: neither its agent nor its target knows of
-  // their flows any more. A caller that sends an amendment into such a flow
-  // cannot repeat it, because nobody can say that it has not run.
+                  "callers get resets for flows lost with a VM") {
+  // A VM loses power and comes back; neither its agent nor its target knows the
+  // flows they had. A caller that sends a request that may run only once on
+  // such a flow cannot repeat it, because nobody can tell whether it has run.
   checkpointAndLosePower();
   reporter_process &Agent = startAgent(Web);
   pass(100ms);
@@ -48,8 +48,9 @@
 }
 
 TEST_CASE_FIXTURE(checkpoint_fixture,
-                  "a run is told before the store answers") {
-  // The target reports while the store is still out of reach.
+                  "the target reports before the store answers") {
+  // The target reports while the store is still unreachable. The resets are
+  // sent as soon as the checkpoint has been read.
   checkpointAndLosePower();
   Store.Down = true;
   reporter_process &Agent = runAgent(Web, SecondRun);
@@ -61,9 +62,10 @@
   CHECK(Agent.Lost == TwoFlows);
 }
 
-TEST_CASE_FIXTURE(checkpoint_fixture, "flows of a target that lives are left") {
-  // Only the agent was restarted. Its target holds the flows as before, and a
-  // reset would break every one of them.
+TEST_CASE_FIXTURE(checkpoint_fixture,
+                  "flows of a running target are not reset") {
+  // Only the agent was restarted. Its target still holds the flows, and a reset
+  // would break every one of them.
   checkpointAndLosePower();
   reporter_process &Agent = startAgent(Web);
   pass(100ms);
@@ -74,9 +76,10 @@
 }
 
 TEST_CASE_FIXTURE(checkpoint_fixture,
-                  "an agent's restart loses none of the flows") {
-  // The agent is restarted while its target lives, and sees no packet of an
-  // idle flow until its caller asks again. Then the VM loses power.
+                  "an agent's restart keeps all flows in the checkpoint") {
+  // The agent is restarted while its target keeps running. The new process sees
+  // no packet of an idle flow until its caller sends the next request. If the
+  // VM loses power before that, the caller must still get a reset.
   runAgent(Web, FirstRun, TwoFlows);
   pass(4s);
   runAgent(Web, FirstRun, {{{{0x64400003, 1003}, FirstAddress}, 9}});
@@ -90,8 +93,9 @@
 }
 
 TEST_CASE_FIXTURE(checkpoint_fixture,
-                  "a late word of an earlier run resets none") {
-  // A report that was held up arrives after a restart of the agent.
+                  "a late report of an earlier run resets no flow") {
+  // A delayed report of an earlier run arrives after a restart of the agent.
+  // The target may still hold the flows.
   checkpointAndLosePower();
   reporter_process &Agent = startAgent(Web);
   pass(100ms);
@@ -100,7 +104,7 @@
   CHECK(Agent.Lost.empty());
 }
 
-TEST_CASE_FIXTURE(checkpoint_fixture, "callers are told once") {
+TEST_CASE_FIXTURE(checkpoint_fixture, "callers get one reset per lost flow") {
   checkpointAndLosePower();
   reporter_process &Agent = startAgent(Web);
   pass(100ms);
@@ -111,11 +115,12 @@
   CHECK(Agent.Lost.size() == TwoFlows.size());
 }
 
-TEST_CASE_FIXTURE(checkpoint_fixture,
-                  "a large site keeps flows as fresh as a small one") {
-  // All VMs of a zone of 41 targets lose power. A caller that is not told asks
-  // for its next amendment in a flow that nobody holds, and that amendment is
-  // lost.
+TEST_CASE_FIXTURE(
+    checkpoint_fixture,
+    "checkpoints of a large site are as fresh as of a small one") {
+  // All VMs of a zone with 41 targets lose power soon after a flow was opened.
+  // If the checkpoint lacks the flow, its caller gets no reset and loses its
+  // next request on a flow that nobody holds.
   for (int Number = 0; Number < 41; ++Number)
     runAgent("target." + std::to_string(Number), FirstRun, TwoFlows);
   pass(4s);
@@ -130,9 +135,10 @@
   CHECK(Agent.Lost.size() == 3);
 }
 
-TEST_CASE_FIXTURE(checkpoint_fixture, "a VM that was dark for long is told") {
-  // One VM is dark while the zone's flows go on being written. What the others
-  // report must not push out what was kept of it.
+TEST_CASE_FIXTURE(checkpoint_fixture,
+                  "flows of a VM without power stay in the checkpoint") {
+  // One VM is without power while the zone's checkpoint is written many times.
+  // The reports of other agents must not displace the flows of that VM.
   runAgent(Web, FirstRun, TwoFlows);
   reporter_process &Other = runAgent("target.web-2", FirstRun);
   pass(4s);
@@ -148,9 +154,9 @@
 }
 
 TEST_CASE_FIXTURE(checkpoint_fixture,
-                  "a collector that starts keeps what was kept") {
-  // The zone's collector dies while a VM is dark. The next one has never heard
-  // of that VM's flows.
+                  "a new collector keeps the existing checkpoint") {
+  // The zone's collector stops while a VM is without power. The next collector
+  // has received no report of that VM's flows and must not drop them.
   runAgent(Web, FirstRun, TwoFlows);
   reporter_process &Other = runAgent("target.web-2", FirstRun);
   pass(4s);
@@ -166,10 +172,11 @@
   CHECK(Agent.Lost == TwoFlows);
 }
 
-TEST_CASE_FIXTURE(checkpoint_fixture, "an agent reads before it reports") {
-  // After a loss of all power the collector is back at once, and an agent's
-  // store is slow. Its first report, which names no flows, must not replace
-  // those that it is about to read.
+TEST_CASE_FIXTURE(checkpoint_fixture,
+                  "an agent reads the checkpoint before it reports") {
+  // After a loss of all power the collector is back at once, while the agent
+  // cannot reach the store yet. The agent's first report, which contains no
+  // flows, must not overwrite the flows that the agent is about to read.
   checkpointAndLosePower();
   Collector = startCollector();
   Store.Down = true;
@@ -182,8 +189,9 @@
 }
 
 TEST_CASE_FIXTURE(checkpoint_fixture,
-                  "an agent that finds no store reports anew") {
-  // The store refuses one VM for long and serves the collector's.
+                  "an agent reports after its reads of the store failed") {
+  // The store is unreachable for longer than the agent retries its read. The
+  // agent must still report its flows afterwards.
   Store.Down = true;
   runAgent(Web, FirstRun, TwoFlows);
   pass(30s);
@@ -194,9 +202,9 @@
 }
 
 TEST_CASE_FIXTURE(checkpoint_fixture,
-                  "what is kept already is not written again") {
-  // Long flows stay for minutes; each write is a call to a store whose rate
-  // grows more slowly than the fleet.
+                  "an unchanged checkpoint is not written again") {
+  // Flows stay open for minutes. Each write is a call to a store whose call
+  // rate grows more slowly than the fleet.
   reporter_process &Agent = runAgent(Web, FirstRun, TwoFlows);
   pass(4s);
   const auto Writes = Store.Writes;
@@ -204,7 +212,7 @@
   pass(30s);
   CHECK(Store.Writes == Writes);
 
-  // Flows that have ended need no word; one that has come does.
+  // A flow that has ended causes no write; a new flow does.
   Agent.Open.pop_back();
   pass(10s);
   CHECK(Store.Writes == Writes);
@@ -214,9 +222,10 @@
 }
 
 TEST_CASE_FIXTURE(checkpoint_fixture,
-                  "flows of hours stay kept without a change") {
-  // Brokers keep their sessions for hours, and nothing is to be reported
-  // meanwhile. Taken for one that is gone, their agent would be forgotten.
+                  "long-lived unchanged flows stay in the checkpoint") {
+  // Brokers keep their sessions open for hours, with nothing new to report. The
+  // collector must not mistake their agent for a removed one and drop its
+  // flows.
   runAgent(Web, FirstRun, TwoFlows);
   pass(4s);
   for (int Second = 0; Second < 300; ++Second) {
@@ -228,9 +237,9 @@
 }
 
 TEST_CASE_FIXTURE(checkpoint_fixture,
-                  "a flow that has moved on is written again") {
-  // A reset has to be near what the caller acknowledged last; an old number
-  // would be ignored.
+                  "an outdated acknowledgement is written again") {
+  // A caller ignores a reset that is not close to its last acknowledgement, so
+  // an old number in the checkpoint is useless.
   reporter_process &Agent = runAgent(Web, FirstRun, TwoFlows);
   pass(4s);
   Agent.Open.front().Acknowledged += 60'000;
@@ -240,9 +249,10 @@
   CHECK(checkpointOf(Web).Flows == Agent.Open);
 }
 
-TEST_CASE_FIXTURE(checkpoint_fixture, "a lost answer stops nothing") {
-  // The write takes effect, its answer is lost: the version that stands is not
-  // the one known.
+TEST_CASE_FIXTURE(checkpoint_fixture,
+                  "a lost answer of the store does not stop writing") {
+  // A write takes effect but its answer is lost, so the version in the store is
+  // not the one that the collector knows.
   reporter_process &Agent = runAgent(Web, FirstRun, TwoFlows);
   Store.LoseAnswers = 1;
   pass(4s);
@@ -253,9 +263,9 @@
 }
 
 TEST_CASE_FIXTURE(checkpoint_fixture,
-                  "an agent's report stays within its budget") {
-  // A target holds thousands of flows; a node has a few kilobytes a second for
-  // all of its control traffic.
+                  "an agent's report stays within its traffic budget") {
+  // A target holds thousands of flows, while a node may use only a few
+  // kilobytes per second for all of its control traffic.
   runAgent(Web, FirstRun, manyFlows(2000));
   pass(4s);
 
@@ -265,8 +275,8 @@
 }
 
 TEST_CASE_FIXTURE(checkpoint_fixture, "many agents share one write") {
-  // Flows come and go everywhere. A site with many agents must not spend the
-  // store's rate on them.
+  // Flows open and close at all agents. A site with many agents must not use up
+  // the store's call rate for checkpoints.
   for (int Number = 0; Number < 100; ++Number)
     runAgent("target." + std::to_string(Number), FirstRun, TwoFlows);
   pass(4s);
@@ -282,9 +292,10 @@
   CHECK(Store.Writes <= Writes + 100);
 }
 
-TEST_CASE_FIXTURE(checkpoint_fixture, "two collectors do not fight") {
-  // Two balancers of a zone cannot hear each other, and each takes itself for
-  // the first. Their writes conflict, and each conflict costs calls.
+TEST_CASE_FIXTURE(checkpoint_fixture, "two collectors cause few conflicts") {
+  // Two balancers of a zone cannot reach each other, and each takes itself for
+  // the first. Their writes conflict, and each conflict costs calls to the
+  // store.
   const auto Second = startCollector();
   reporter_process &Agent = runAgent(Web, FirstRun, TwoFlows);
   pass(4s);
@@ -299,7 +310,7 @@
 }
 
 TEST_CASE_FIXTURE(checkpoint_fixture,
-                  "a collector that is relieved writes no more") {
+                  "a collector that is no longer the first does not write") {
   reporter_process &Agent = runAgent(Web, FirstRun, TwoFlows);
   pass(4s);
   Collector->IsCollecting = false;
@@ -311,10 +322,10 @@
 }
 
 TEST_CASE_FIXTURE(checkpoint_fixture,
-                  "a flow counts for the run that held it") {
-  // A target crashes and starts again; until its next run reports, the agent
-  // sees new flows open. Kept under the run that is over, they would be reset
-  // by the next process of the agent.
+                  "a flow is reported for the run that holds it") {
+  // A target crashes and starts again. Until its next run reports, the agent
+  // already sees new flows open. If they were saved under the previous run, the
+  // next process of the agent would reset them.
   reporter_process &Agent = runAgent(Web, FirstRun);
   instant RequestedMoment;
   flow_reporter::hooks Hooks = Agent.hooks();
@@ -333,9 +344,10 @@
 }
 
 TEST_CASE_FIXTURE(checkpoint_fixture,
-                  "a late report of a former run is not taken") {
-  // Held up on its way, it names flows of a run that is over. Kept in place of
-  // the present ones, those would be lost with the next loss of power.
+                  "a collector ignores a late report of an earlier run") {
+  // A delayed report names the flows of a run that is over. If it replaced the
+  // present flows in the checkpoint, they would get no reset after the next
+  // loss of power.
   runAgent(Web, SecondRun, TwoFlows);
   pass(4s);
   flow_report Late{Web, FirstRun, 5, 0, 1, {}};
@@ -345,7 +357,8 @@
   CHECK(checkpointOf(Web) == flow_checkpoint{SecondRun, TwoFlows});
 }
 
-TEST_CASE_FIXTURE(checkpoint_fixture, "a target that leaves leaves no flows") {
+TEST_CASE_FIXTURE(checkpoint_fixture,
+                  "flows of a deregistered target are removed") {
   reporter_process &Agent = runAgent(Web, FirstRun, TwoFlows);
   pass(4s);
   Agent.Reporter.leave();
@@ -354,9 +367,9 @@
   CHECK(checkpointOf(Web).Flows.empty());
 }
 
-TEST_CASE_FIXTURE(checkpoint_fixture, "an agent that is gone is forgotten") {
-  // Thousands of VMs are replaced a day, and nobody else takes out what was
-  // kept of them.
+TEST_CASE_FIXTURE(checkpoint_fixture, "flows of a removed agent are removed") {
+  // Thousands of VMs are replaced per day, and nobody else removes their flows
+  // from the checkpoint.
   runAgent(Web, FirstRun, TwoFlows);
   runAgent("target.web-2", FirstRun, TwoFlows);
   pass(4s);
@@ -368,8 +381,8 @@
 }
 
 TEST_CASE_FIXTURE(checkpoint_fixture,
-                  "a target that comes back is kept again") {
-  // A target says that it leaves, ends, and another run starts on its VM.
+                  "flows of a re-registered target are saved again") {
+  // A target deregisters and ends, and another run starts on its VM.
   reporter_process &Agent = runAgent(Web, FirstRun, TwoFlows);
   pass(4s);
   Agent.Reporter.leave();
@@ -380,7 +393,7 @@
   CHECK(checkpointOf(Web) == flow_checkpoint{SecondRun, TwoFlows});
 }
 
-TEST_CASE_FIXTURE(checkpoint_fixture, "unreadable flows are no flows") {
+TEST_CASE_FIXTURE(checkpoint_fixture, "an invalid checkpoint is rejected") {
   const object_key Key = checkpointKey("brugge");
   for (const char *Body :
        {"", "null", "{}", "[]", R"({"targets":[]})", R"({"targets":{"a":1}})",
@@ -402,7 +415,7 @@
   }
 }
 
-TEST_CASE("kept flows read as they were written") {
+TEST_CASE("a checkpoint decodes to what was encoded") {
   zone_checkpoint Zone;
   Zone["target.a"] = {{"r", -5}, manyFlows(3)};
   Zone["target.b"] = {{"s", 1}, {}};
@@ -413,7 +426,7 @@
   CHECK(*Read == Zone);
 }
 
-TEST_CASE("a report reads as it was written") {
+TEST_CASE("a flow report decodes to what was encoded") {
   const flow_report Report{"target.a", {"r", -5}, 77, 1, 2, manyFlows(64)};
   const auto Bytes = encodeFlowReport(Report);
   const auto Read = decodeFlowReport(Bytes);
@@ -423,7 +436,7 @@
   CHECK(*Read == Report);
 }
 
-TEST_CASE("a report that is cut off or forged is none") {
+TEST_CASE("a truncated or forged flow report is rejected") {
   const auto Complete =
       encodeFlowReport({"target.a", {"r", 5}, 77, 0, 1, manyFlows(2)});
   const std::size_t FlowBytes = 16;
--- a/test/flowstore/flow_zone.h
+++ b/test/flowstore/flow_zone.h
@@ -1,8 +1,8 @@
-//===- flow_zone.h - A zone whose flows are kept ----------------*- C++ -*-===//
+//===- flow_zone.h - A zone that saves its open flows -----------*- C++ -*-===//
 ///
 /// \file
-/// Reporters and collectors over one store, on a hand-turned clock. Datagrams
-/// arrive at once, unless they are lost.
+/// Test fixture with reporters and collectors that share one store, on a clock
+/// that the test advances. Datagrams arrive at once unless the test drops them.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -14,7 +14,7 @@
 
 namespace marjoramrail::testing {
 
-/// One process of an agent.
+/// A process of an agent.
 struct reporter_process {
   reporter_process(timer_service &Timers, fake_platform &Store,
                    const std::string &Name, const endpoint &Self,
@@ -42,15 +42,15 @@
   store_faults Faults;
   std::vector<open_flow> Open;
   std::vector<open_flow> Lost;
-  /// Datagrams on their way to a collector.
+  /// Datagrams in flight to a collector.
   std::vector<std::vector<std::uint8_t>> Sent;
   flow_reporter Reporter;
 };
 
-/// Agents by the names of their entries.
+/// Agents by the names of their entries in the store.
 using reporters = std::map<std::string, std::unique_ptr<reporter_process>>;
 
-/// One process of a balancer.
+/// A process of a balancer.
 struct collector_process {
   collector_process(timer_service &Timers, fake_platform &Store,
                     reporters &Agents)
@@ -90,9 +90,9 @@
   reporters &Agents;
   store_faults Faults;
   bool IsCollecting = true;
-  /// No datagram comes or goes.
+  /// All datagrams of this collector are dropped.
   bool Cut = false;
-  /// Bytes of agents' reports.
+  /// Total size of the agents' reports in bytes.
   std::size_t Received = 0;
   flow_collector Collector;
 };
@@ -112,7 +112,8 @@
     return std::make_unique<collector_process>(Timers, Store, Agents);
   }
 
-  /// A process of the agent of \p Name; the one before it is gone.
+  /// Starts a process of the agent of \p Name; its previous process is
+  /// destroyed.
   reporter_process &startAgent(const std::string &Name,
                                std::vector<open_flow> Open = {}) {
     const endpoint Self{0x0a000200 + static_cast<std::uint32_t>(
@@ -124,7 +125,7 @@
     return *Agents[Name];
   }
 
-  /// An agent whose target runs as \p Run.
+  /// Starts an agent whose target runs as \p Run.
   reporter_process &runAgent(const std::string &Name, const target_run &Run,
                              std::vector<open_flow> Open = {}) {
     reporter_process &Agent = startAgent(Name, std::move(Open));
@@ -132,7 +133,7 @@
     return Agent;
   }
 
-  /// What the store keeps of \p Name.
+  /// Returns the flows of \p Name that the store holds.
   flow_checkpoint checkpointOf(const std::string &Name) const {
     const object_key Key = checkpointKey("brugge");
     const auto Zone = decodeCheckpoint(Key, Store.get(Key.Kind, Key.Name).Body);
--- a/test/forward/decline_watch_test.cpp
+++ b/test/forward/decline_watch_test.cpp
@@ -8,7 +8,7 @@
 
 static instant at(duration Time) { return instant(10s) + Time; }
 
-TEST_CASE("decline_watch believes several flows in a row") {
+TEST_CASE("decline_watch reports several declines in a row") {
   decline_watch Watch;
   CHECK_FALSE(Watch.onDeclined(at(0ms)));
   CHECK_FALSE(Watch.onDeclined(at(1ms)));
@@ -17,9 +17,9 @@
   CHECK(Watch.isDeclining());
 }
 
-TEST_CASE("decline_watch forgets after a flow that was taken") {
-  // A target whose queue is full for a moment takes one flow in two. Left out,
-  // it would idle while the others get its share.
+TEST_CASE("decline_watch starts again after an accepted flow") {
+  // A target whose queue is full for a moment accepts every second flow. If it
+  // counted as declining, it would be idle while the others get its share.
   decline_watch Watch;
   for (int Round = 0; Round < 20; ++Round) {
     Watch.onDeclined(at(0ms));
@@ -29,7 +29,7 @@
   CHECK_FALSE(Watch.isDeclining());
 }
 
-TEST_CASE("decline_watch tells the change once") {
+TEST_CASE("decline_watch reports the transition once") {
   decline_watch Watch;
   int Transitions = 0;
   for (int Flow = 0; Flow < 50; ++Flow)
@@ -38,8 +38,9 @@
 }
 
 TEST_CASE(
-    "decline_watch tries one flow when the target says that it is ready") {
-  // A target restarts after a crash and reports. One flow decides.
+    "decline_watch allows one trial when the target reports that it is ready") {
+  // A target restarts after a crash and reports. A single flow then decides
+  // whether it counts as declining.
   decline_watch Watch;
   for (int Flow = 0; Flow < 50; ++Flow)
     Watch.onDeclined(at(0ms));
@@ -49,8 +50,9 @@
   CHECK(Watch.isDeclining());
 }
 
-TEST_CASE("decline_watch tries again by itself") {
-  // A target that is full reports nothing new when it has room again.
+TEST_CASE("decline_watch allows a trial after an interval") {
+  // A target that was full sends no special report when it has free slots
+  // again, so the watch must offer a flow by itself.
   decline_watch Watch;
   for (int Flow = 0; Flow < 3; ++Flow)
     Watch.onDeclined(at(0ms));
--- a/test/forward/target_load_test.cpp
+++ b/test/forward/target_load_test.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// One flow, packet by packet; sequence numbers as its two ends would write.
+/// Sends the packets of one flow, with the sequence numbers that its two ends
+/// would write.
 struct load_fixture {
   target_load Load;
   instant Now{10s};
@@ -69,10 +70,11 @@
   CHECK(Load.active() == 0);
 }
 
-TEST_CASE_FIXTURE(load_fixture, "a request sent again is not another one") {
-  // The answer is lost on its way, and the caller sends its request once more.
-  // The target has answered and does not begin again; counted as in progress,
-  // it would make an idle target look full until its flows end, and new flows
+TEST_CASE_FIXTURE(load_fixture,
+                  "a retransmitted request is not counted again") {
+  // The answer is lost, and the caller retransmits its request. The target has
+  // answered already and does not start again. If the request counted as in
+  // progress, an idle target would look full until its flows end, and new flows
   // would go elsewhere.
   const tcp_packet Request = sendRequest();
   sendAnswer();
@@ -80,10 +82,10 @@
   CHECK(Load.active() == 0);
 }
 
-TEST_CASE_FIXTURE(load_fixture, "an answer sent again ends no request") {
-  // The target sends its last answer once more while the next request runs. A
-  // request that counts as over makes a busy target look idle, and its time to
-  // an answer too short.
+TEST_CASE_FIXTURE(load_fixture, "a retransmitted answer ends no request") {
+  // The target retransmits its last answer while the next request is in
+  // progress. If that request counted as finished, a busy target would look
+  // idle, and the measured latency would be too short.
   sendRequest();
   const tcp_packet Answer = fromTarget(100);
   sendAnswer();
@@ -95,7 +97,7 @@
   CHECK(sendAnswer() == std::optional<duration>(30ms));
 }
 
-TEST_CASE_FIXTURE(load_fixture, "a long request is one") {
+TEST_CASE_FIXTURE(load_fixture, "a request of several packets counts once") {
   sendRequest(1200);
   sendRequest(1200);
   CHECK(Load.active() == 1);
@@ -104,9 +106,11 @@
   CHECK(Load.active() == 0);
 }
 
-TEST_CASE_FIXTURE(load_fixture, "a request given up on is over") {
-  // The caller's time is over and it ends its flow; the target ends it too,
-  // without an answer.
+TEST_CASE_FIXTURE(
+    load_fixture,
+    "a request that the caller gives up is no longer in progress") {
+  // The caller's time limit passes and it closes its flow; the target closes it
+  // too, without an answer.
   sendRequest();
   tcp_packet End = fromCaller(0);
   End.Fin = true;
@@ -123,7 +127,7 @@
   CHECK(Load.open() == 0);
 }
 
-TEST_CASE_FIXTURE(load_fixture, "sequence numbers may wrap") {
+TEST_CASE_FIXTURE(load_fixture, "sequence numbers may wrap around") {
   CallerNext = 0xffffffff - 50;
   sendRequest();
   sendAnswer();
@@ -131,9 +135,10 @@
   CHECK(Load.active() == 1);
 }
 
-TEST_CASE_FIXTURE(load_fixture, "a port used again begins anew") {
-  // A caller opens another flow from the same port before the former one is
-  // forgotten; its numbers are lower.
+TEST_CASE_FIXTURE(load_fixture,
+                  "a new flow on a reused port is tracked from its start") {
+  // A caller opens a new flow from the same port before the previous one is
+  // removed. The new flow has lower sequence numbers.
   sendRequest();
   sendAnswer();
   CallerNext = 100;
@@ -149,7 +154,7 @@
 }
 
 TEST_CASE(
-    "a flow of before the agent's start is counted from its next packet") {
+    "a flow opened before the agent's start is counted from its next packet") {
   target_load Load;
   const instant Now{10s};
   tcp_packet Packet;
