--- a/src/flowstore/flow_collector.cpp
+++ b/src/flowstore/flow_collector.cpp
@@ -53,7 +53,7 @@
   void write();
   void onWritten(const platform_reply &Reply);
   void delayNextCall(const std::string &Reason);
-  platform_callback then(void (impl::*Step)(const platform_reply &));
+  platform_callback bindReply(void (impl::*Step)(const platform_reply &));
 
   timer_service &Timers;
   platform_api Store;
@@ -63,7 +63,7 @@
   /// The checkpoint in the store has been loaded, and its version is Version.
   bool IsVersionKnown = false;
   std::uint64_t Version = 0;
-  bool Busy = false;
+  bool CallPending = false;
   instant NextCall;
   bool Changed = false;
   std::map<std::string, reporter> Reporters;
@@ -71,12 +71,12 @@
 };
 
 platform_callback
-flow_collector::impl::then(void (impl::*Step)(const platform_reply &)) {
-  Busy = true;
+flow_collector::impl::bindReply(void (impl::*Step)(const platform_reply &)) {
+  CallPending = true;
   return [this, Step, Alive = Alive](const platform_reply &Reply) {
     if (!*Alive)
       return;
-    Busy = false;
+    CallPending = false;
     (this->*Step)(Reply);
   };
 }
@@ -91,7 +91,7 @@
   }
   requestReports(Agents);
   removeExpired();
-  if (Busy || Timers.now() < NextCall)
+  if (CallPending || Timers.now() < NextCall)
     return;
   if (!IsVersionKnown)
     read();
@@ -113,7 +113,7 @@
   }
 }
 
-void flow_collector::impl::read() { Store.Read(Key, then(&impl::onRead)); }
+void flow_collector::impl::read() { Store.Read(Key, bindReply(&impl::onRead)); }
 
 void flow_collector::impl::onRead(const platform_reply &Reply) {
   const bool Exists = Reply.Outcome == platform_outcome::Ok;
@@ -198,7 +198,7 @@
              std::max(MinWriteInterval, duration(std::chrono::seconds(1)) *
                                             Bytes / WriteBytesPerSecond);
   Changed = false;
-  Store.Write(Write, then(&impl::onWritten));
+  Store.Write(Write, bindReply(&impl::onWritten));
 }
 
 void flow_collector::impl::onWritten(const platform_reply &Reply) {
--- a/src/forward/decline_watch.h
+++ b/src/forward/decline_watch.h
@@ -38,7 +38,7 @@
   static constexpr duration TrialInterval = std::chrono::seconds(2);
 
   /// The target has accepted a new flow.
-  void onOpened() { ConsecutiveDeclines = 0; }
+  void onAccepted() { ConsecutiveDeclines = 0; }
 
   /// The target has declined a new flow. Returns true if it counts as declining
   /// from now on.
--- a/src/forward/forward_agent.cpp
+++ b/src/forward/forward_agent.cpp
@@ -91,7 +91,7 @@
 /// be repeated after it was sent on a lost flow, because nobody can tell
 /// whether it has run.
 void forward_agent::impl::resetAll(instant Now) {
-  Load.forgetAll(Now, [&](const flow_key &Key, const watched_flow &Flow) {
+  Load.removeAllFlows(Now, [&](const flow_key &Key, const watched_flow &Flow) {
     resetFlow({Key, Flow.CallerAcknowledged}, "target gone");
   });
 }
--- a/src/forward/target_load.cpp
+++ b/src/forward/target_load.cpp
@@ -93,7 +93,8 @@
   }
   Flow.CallerEnded |= Packet.Fin;
   updateClosed(Flow, Now);
-  if (!Flow.CallerSent.take(Packet) || Flow.RequestPending || Flow.Closed)
+  if (!Flow.CallerSent.recordPacket(Packet) || Flow.RequestPending ||
+      Flow.Closed)
     return false;
   setRequestPending(Flow, true, Now);
   Flow.RequestedAt = Now;
@@ -103,7 +104,7 @@
 std::optional<duration> target_load::onTarget(const tcp_packet &Packet,
                                               instant Now) {
   if (Packet.Rst) {
-    forget(Packet.Flow, Now);
+    removeFlow(Packet.Flow, Now);
     return std::nullopt;
   }
   watched_flow &Flow = Flows[Packet.Flow];
@@ -121,7 +122,7 @@
     markOpen(Flow, Now);
   Flow.TargetEnded |= Packet.Fin;
   updateClosed(Flow, Now);
-  if (!Flow.TargetSent.take(Packet) || !Flow.RequestPending)
+  if (!Flow.TargetSent.recordPacket(Packet) || !Flow.RequestPending)
     return std::nullopt;
   const duration Took = Now - Flow.RequestedAt;
   const auto TookUs = static_cast<double>(Took.count());
@@ -140,13 +141,13 @@
   Flows.erase(Place);
 }
 
-void target_load::forget(const flow_key &Flow, instant Now) {
+void target_load::removeFlow(const flow_key &Flow, instant Now) {
   const auto Found = Flows.find(Flow);
   if (Found != Flows.end())
     erase(Found, Now);
 }
 
-void target_load::forgetAll(
+void target_load::removeAllFlows(
     instant Now,
     const std::function<void(const flow_key &, const watched_flow &)> &Each) {
   integrate(Now);
--- a/src/forward/target_load.h
+++ b/src/forward/target_load.h
@@ -23,7 +23,7 @@
   /// Records a packet. Returns true if it holds bytes that were not sent
   /// before. Retransmitted bytes are neither another request nor another
   /// answer.
-  bool take(const tcp_packet &Packet) {
+  bool recordPacket(const tcp_packet &Packet) {
     const std::uint32_t End = Packet.Sequence + Packet.Payload;
     const bool IsNew = Packet.Payload > 0 && (!Known || isAfter(End, Next));
     if (IsNew) {
@@ -100,9 +100,9 @@
   /// Records a packet that the target sent. Flow.Service is the target's end.
   /// If the packet begins an answer, returns the time since the request.
   std::optional<duration> onTarget(const tcp_packet &Packet, instant Now);
-  void forget(const flow_key &Flow, instant Now);
+  void removeFlow(const flow_key &Flow, instant Now);
   /// Removes all flows after calling \p Each for those that were open.
-  void forgetAll(
+  void removeAllFlows(
       instant Now,
       const std::function<void(const flow_key &, const watched_flow &)> &Each);
   watched_flow *find(const flow_key &Flow);
--- a/src/forward/target_packets.cpp
+++ b/src/forward/target_packets.cpp
@@ -15,7 +15,7 @@
   if (Segment.Head.opensFlow())
     noteDeclined(Segment.Head.Flow, Now);
   else
-    Load.forget(Segment.Head.Flow, Now);
+    Load.removeFlow(Segment.Head.Flow, Now);
   if (WasOpen)
     return resetLostFlow(Segment.Head);
   std::array<std::uint8_t, MaxPacketBytes> Buffer;
@@ -85,7 +85,7 @@
   std::swap(Head.Flow.Caller, Head.Flow.Service);
   TargetUnresponsive = false;
   if (Head.Syn)
-    Declines.onOpened();
+    Declines.onAccepted();
   Offered.onTargetAnswer(Head.Flow);
   const watched_flow *Watched = Load.find(Head.Flow);
   if (Head.Rst && Watched && Watched->RequestPending)
--- a/test/flowstore/flow_checkpoint_test.cpp
+++ b/test/flowstore/flow_checkpoint_test.cpp
@@ -18,7 +18,7 @@
   /// Saves a target's flows; then its VM and the collector's VM lose power.
   void checkpointAndLosePower() {
     runAgent(Web, FirstRun, TwoFlows);
-    pass(10s);
+    advanceTime(10s);
     Agents.clear();
     Collector.reset();
   }
@@ -40,7 +40,7 @@
   // such a flow cannot repeat it, because nobody can tell whether it has run.
   checkpointAndLosePower();
   reporter_process &Agent = startAgent(Web);
-  pass(100ms);
+  advanceTime(100ms);
   CHECK(Agent.Lost.empty());
   Agent.Reporter.onRun(SecondRun);
 
@@ -54,10 +54,10 @@
   checkpointAndLosePower();
   Store.Down = true;
   reporter_process &Agent = runAgent(Web, SecondRun);
-  pass(2s);
+  advanceTime(2s);
   CHECK(Agent.Lost.empty());
   Store.Down = false;
-  pass(2s);
+  advanceTime(2s);
 
   CHECK(Agent.Lost == TwoFlows);
 }
@@ -68,9 +68,9 @@
   // would break every one of them.
   checkpointAndLosePower();
   reporter_process &Agent = startAgent(Web);
-  pass(100ms);
+  advanceTime(100ms);
   Agent.Reporter.onRun(FirstRun);
-  pass(10s);
+  advanceTime(10s);
 
   CHECK(Agent.Lost.empty());
 }
@@ -81,14 +81,14 @@
   // no packet of an idle flow until its caller sends the next request. If the
   // VM loses power before that, the caller must still get a reset.
   runAgent(Web, FirstRun, TwoFlows);
-  pass(4s);
+  advanceTime(4s);
   runAgent(Web, FirstRun, {{{{0x64400003, 1003}, FirstAddress}, 9}});
-  pass(4s);
+  advanceTime(4s);
   CHECK(checkpointOf(Web).Flows.size() == 3);
   reporter_process &Agent = runAgent(Web, SecondRun);
-  pass(100ms);
+  advanceTime(100ms);
   CHECK(Agent.Lost.size() == 3);
-  pass(4s);
+  advanceTime(4s);
   CHECK(checkpointOf(Web) == flow_checkpoint{SecondRun, {}});
 }
 
@@ -98,7 +98,7 @@
   // The target may still hold the flows.
   checkpointAndLosePower();
   reporter_process &Agent = startAgent(Web);
-  pass(100ms);
+  advanceTime(100ms);
   Agent.Reporter.onRun({"run-0", 50});
 
   CHECK(Agent.Lost.empty());
@@ -107,7 +107,7 @@
 TEST_CASE_FIXTURE(checkpoint_fixture, "callers get one reset per lost flow") {
   checkpointAndLosePower();
   reporter_process &Agent = startAgent(Web);
-  pass(100ms);
+  advanceTime(100ms);
   Agent.Reporter.onRun(SecondRun);
   Agent.Reporter.onRun(SecondRun);
   Agent.Reporter.onRun({"run-3", 300});
@@ -123,13 +123,13 @@
   // next request on a flow that nobody holds.
   for (int Number = 0; Number < 41; ++Number)
     runAgent("target." + std::to_string(Number), FirstRun, TwoFlows);
-  pass(4s);
+  advanceTime(4s);
   Agents["target.7"]->Open.push_back({{{0x64400003, 1003}, FirstAddress}, 9});
-  pass(2500ms);
+  advanceTime(2500ms);
   Agents.clear();
   Collector.reset();
   reporter_process &Agent = startAgent("target.7");
-  pass(100ms);
+  advanceTime(100ms);
   Agent.Reporter.onRun(SecondRun);
 
   CHECK(Agent.Lost.size() == 3);
@@ -141,14 +141,14 @@
   // The reports of other agents must not displace the flows of that VM.
   runAgent(Web, FirstRun, TwoFlows);
   reporter_process &Other = runAgent("target.web-2", FirstRun);
-  pass(4s);
+  advanceTime(4s);
   Agents.erase(Web);
   for (std::uint16_t Port = 1; Port <= 30; ++Port) {
     Other.Open = manyFlows(Port);
-    pass(1s);
+    advanceTime(1s);
   }
   reporter_process &Agent = runAgent(Web, SecondRun);
-  pass(100ms);
+  advanceTime(100ms);
 
   CHECK(Agent.Lost == TwoFlows);
 }
@@ -159,15 +159,15 @@
   // has received no report of that VM's flows and must not drop them.
   runAgent(Web, FirstRun, TwoFlows);
   reporter_process &Other = runAgent("target.web-2", FirstRun);
-  pass(4s);
+  advanceTime(4s);
   Agents.erase(Web);
   Collector = startCollector();
   for (std::uint16_t Port = 1; Port <= 10; ++Port) {
     Other.Open = manyFlows(Port);
-    pass(1s);
+    advanceTime(1s);
   }
   reporter_process &Agent = runAgent(Web, SecondRun);
-  pass(100ms);
+  advanceTime(100ms);
 
   CHECK(Agent.Lost == TwoFlows);
 }
@@ -181,9 +181,9 @@
   Collector = startCollector();
   Store.Down = true;
   reporter_process &Agent = runAgent(Web, SecondRun);
-  pass(5s);
+  advanceTime(5s);
   Store.Down = false;
-  pass(5s);
+  advanceTime(5s);
 
   CHECK(Agent.Lost == TwoFlows);
 }
@@ -194,9 +194,9 @@
   // agent must still report its flows afterwards.
   Store.Down = true;
   runAgent(Web, FirstRun, TwoFlows);
-  pass(30s);
+  advanceTime(30s);
   Store.Down = false;
-  pass(10s);
+  advanceTime(10s);
 
   CHECK(checkpointOf(Web).Flows == TwoFlows);
 }
@@ -206,18 +206,18 @@
   // Flows stay open for minutes. Each write is a call to a store whose call
   // rate grows more slowly than the fleet.
   reporter_process &Agent = runAgent(Web, FirstRun, TwoFlows);
-  pass(4s);
+  advanceTime(4s);
   const auto Writes = Store.Writes;
   CHECK(Writes == 1);
-  pass(30s);
+  advanceTime(30s);
   CHECK(Store.Writes == Writes);
 
   // A flow that has ended causes no write; a new flow does.
   Agent.Open.pop_back();
-  pass(10s);
+  advanceTime(10s);
   CHECK(Store.Writes == Writes);
   Agent.Open.push_back({{{0x64400003, 1003}, FirstAddress}, 9});
-  pass(4s);
+  advanceTime(4s);
   CHECK(Store.Writes == Writes + 1);
 }
 
@@ -227,9 +227,9 @@
   // collector must not mistake their agent for a removed one and drop its
   // flows.
   runAgent(Web, FirstRun, TwoFlows);
-  pass(4s);
+  advanceTime(4s);
   for (int Second = 0; Second < 300; ++Second) {
-    pass(1s);
+    advanceTime(1s);
     REQUIRE(checkpointOf(Web).Flows == TwoFlows);
   }
 
@@ -241,9 +241,9 @@
   // A caller ignores a reset that is not close to its last acknowledgement, so
   // an old number in the checkpoint is useless.
   reporter_process &Agent = runAgent(Web, FirstRun, TwoFlows);
-  pass(4s);
+  advanceTime(4s);
   Agent.Open.front().Acknowledged += 60'000;
-  pass(4s);
+  advanceTime(4s);
 
   CHECK(Store.Writes == 2);
   CHECK(checkpointOf(Web).Flows == Agent.Open);
@@ -255,9 +255,9 @@
   // not the one that the collector knows.
   reporter_process &Agent = runAgent(Web, FirstRun, TwoFlows);
   Store.LoseAnswers = 1;
-  pass(4s);
+  advanceTime(4s);
   Agent.Open.push_back({{{0x64400003, 1003}, FirstAddress}, 9});
-  pass(8s);
+  advanceTime(8s);
 
   CHECK(checkpointOf(Web).Flows == Agent.Open);
 }
@@ -267,7 +267,7 @@
   // A target holds thousands of flows, while a node may use only a few
   // kilobytes per second for all of its control traffic.
   runAgent(Web, FirstRun, manyFlows(2000));
-  pass(4s);
+  advanceTime(4s);
 
   CHECK(Collector->Received > 1000);
   CHECK(Collector->Received <= 2 * 4096);
@@ -279,13 +279,13 @@
   // the store's call rate for checkpoints.
   for (int Number = 0; Number < 100; ++Number)
     runAgent("target." + std::to_string(Number), FirstRun, TwoFlows);
-  pass(4s);
+  advanceTime(4s);
   const auto Writes = Store.Writes;
   std::uint16_t Port = 2000;
   for (int Second = 0; Second < 100; ++Second) {
     for (auto &[Name, Agent] : Agents)
       Agent->Open.push_back({{{0x64400003, ++Port}, FirstAddress}, 9});
-    pass(1s);
+    advanceTime(1s);
   }
 
   CHECK(Store.Writes > Writes);
@@ -298,11 +298,11 @@
   // store.
   const auto Second = startCollector();
   reporter_process &Agent = runAgent(Web, FirstRun, TwoFlows);
-  pass(4s);
+  advanceTime(4s);
   const auto Calls = Store.Calls;
   for (std::uint16_t Port = 1; Port <= 60; ++Port) {
     Agent.Open = manyFlows(Port);
-    pass(1s);
+    advanceTime(1s);
   }
 
   CHECK(checkpointOf(Web).Flows.size() >= 56);
@@ -312,11 +312,11 @@
 TEST_CASE_FIXTURE(checkpoint_fixture,
                   "a collector that is no longer the first does not write") {
   reporter_process &Agent = runAgent(Web, FirstRun, TwoFlows);
-  pass(4s);
+  advanceTime(4s);
   Collector->IsCollecting = false;
   Agent.Open = manyFlows(5);
   const auto Calls = Store.Calls;
-  pass(10s);
+  advanceTime(10s);
 
   CHECK(Store.Calls == Calls);
 }
@@ -337,7 +337,7 @@
   Reporter.start(/*HasPrevious=*/false);
   Reporter.onRun(FirstRun);
   const instant Confirmed = Timers.now();
-  pass(700ms);
+  advanceTime(700ms);
   Reporter.input({}, encodeFlowReportRequest({}));
 
   CHECK(RequestedMoment == Confirmed);
@@ -349,10 +349,10 @@
   // present flows in the checkpoint, they would get no reset after the next
   // loss of power.
   runAgent(Web, SecondRun, TwoFlows);
-  pass(4s);
+  advanceTime(4s);
   flow_report Late{Web, FirstRun, 5, 0, 1, {}};
   Collector->Collector.input(encodeFlowReport(Late));
-  pass(4s);
+  advanceTime(4s);
 
   CHECK(checkpointOf(Web) == flow_checkpoint{SecondRun, TwoFlows});
 }
@@ -360,9 +360,9 @@
 TEST_CASE_FIXTURE(checkpoint_fixture,
                   "flows of a deregistered target are removed") {
   reporter_process &Agent = runAgent(Web, FirstRun, TwoFlows);
-  pass(4s);
+  advanceTime(4s);
   Agent.Reporter.leave();
-  pass(10s);
+  advanceTime(10s);
 
   CHECK(checkpointOf(Web).Flows.empty());
 }
@@ -372,9 +372,9 @@
   // from the checkpoint.
   runAgent(Web, FirstRun, TwoFlows);
   runAgent("target.web-2", FirstRun, TwoFlows);
-  pass(4s);
+  advanceTime(4s);
   Agents.erase(Web);
-  pass(90s);
+  advanceTime(90s);
 
   CHECK(checkpointOf(Web).Flows.empty());
   CHECK(checkpointOf("target.web-2").Flows == TwoFlows);
@@ -384,11 +384,11 @@
                   "flows of a re-registered target are saved again") {
   // A target deregisters and ends, and another run starts on its VM.
   reporter_process &Agent = runAgent(Web, FirstRun, TwoFlows);
-  pass(4s);
+  advanceTime(4s);
   Agent.Reporter.leave();
-  pass(4s);
+  advanceTime(4s);
   Agent.Reporter.onRun(SecondRun);
-  pass(10s);
+  advanceTime(10s);
 
   CHECK(checkpointOf(Web) == flow_checkpoint{SecondRun, TwoFlows});
 }
--- a/test/flowstore/flow_zone.h
+++ b/test/flowstore/flow_zone.h
@@ -72,7 +72,7 @@
     Hooks.Send = [this](const endpoint &To,
                         std::span<const std::uint8_t> Bytes) {
       for (auto &[Name, Agent] : Agents)
-        if (Agent->Self == To && !Cut)
+        if (Agent->Self == To && !DropsDatagrams)
           exchange(*Agent, Bytes);
     };
     Hooks.OnError = [](const std::string &) {};
@@ -91,7 +91,7 @@
   store_faults Faults;
   bool IsCollecting = true;
   /// All datagrams of this collector are dropped.
-  bool Cut = false;
+  bool DropsDatagrams = false;
   /// Total size of the agents' reports in bytes.
   std::size_t Received = 0;
   flow_collector Collector;
@@ -104,9 +104,9 @@
   std::vector<open_flow> TwoFlows{{{{0x64400001, 1001}, FirstAddress}, 7},
                                   {{{0x64400002, 1002}, FirstAddress}, 8}};
 
-  flow_zone() { pass(std::chrono::seconds(1)); }
+  flow_zone() { advanceTime(std::chrono::seconds(1)); }
 
-  void pass(duration Time) { Timers.advance(Timers.now() + Time); }
+  void advanceTime(duration Time) { Timers.advance(Timers.now() + Time); }
 
   std::unique_ptr<collector_process> startCollector() {
     return std::make_unique<collector_process>(Timers, Store, Agents);
--- a/test/forward/decline_watch_test.cpp
+++ b/test/forward/decline_watch_test.cpp
@@ -24,7 +24,7 @@
   for (int Round = 0; Round < 20; ++Round) {
     Watch.onDeclined(at(0ms));
     Watch.onDeclined(at(0ms));
-    Watch.onOpened();
+    Watch.onAccepted();
   }
   CHECK_FALSE(Watch.isDeclining());
 }
--- a/test/forward/target_load_test.cpp
+++ b/test/forward/target_load_test.cpp
@@ -123,7 +123,7 @@
   CHECK(Load.active() == 0);
   CHECK(Load.open() == 0);
   Load.onTarget(Other, Now);
-  Load.forget(Flow, Now);
+  Load.removeFlow(Flow, Now);
   CHECK(Load.open() == 0);
 }
 
