--- a/src/forward/routed_packets.cpp
+++ b/src/forward/routed_packets.cpp
@@ -44,7 +44,7 @@
     return passToNext(Routed, Segment.Head, "not admitting");
   if (TargetGone)
     return passToNext(Routed, Segment.Head, "target gone");
-  return deliver(Routed, Segment, /*Waits=*/true, Now);
+  return deliver(Routed, Segment, /*NeedsAnswer=*/true, Now);
 }
 
 agent_outcome forward_agent::impl::onFlowPacket(const routed_packet &Routed,
@@ -69,7 +69,8 @@
         Hooks.OnRequest(Segment.Head.Flow, Routed.Packet);
     }
   }
-  const agent_outcome Outcome = deliver(Routed, Segment, /*Waits=*/false, Now);
+  const agent_outcome Outcome =
+      deliver(Routed, Segment, /*NeedsAnswer=*/false, Now);
   if (!IsKnown && TargetUnresponsive)
     passToNextIncomplete(Routed, Segment.Head);
   return Outcome;
