--- a/src/forward/forward_agent_impl.h
+++ b/src/forward/forward_agent_impl.h
@@ -1,9 +1,10 @@
-//===- forward_agent_impl.h - The parts of the agent ------------*- C++ -*-===//
+//===- forward_agent_impl.h - Implementation of the agent -------*- C++ -*-===//
 ///
 /// \file
-/// The agent's core behind its public face. routed_packets.cpp takes what
-/// balancers and other agents send, target_packets.cpp what the target writes
-/// and how it answers, forward_agent.cpp does the rest.
+/// Implementation class of forward_agent, spread over three source files.
+/// routed_packets.cpp handles packets from balancers and other agents;
+/// target_packets.cpp handles packets from the target; forward_agent.cpp holds
+/// the reports, the timers and the public interface.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -30,56 +31,61 @@
   agent_outcome onFlowPacket(const routed_packet &Routed,
                              const segment &Segment, instant Now);
   agent_outcome deliver(const routed_packet &Routed, const segment &Segment,
-                        bool Waits, instant Now);
-  agent_outcome passOn(routed_packet Routed, const tcp_packet &Head,
-                       std::string_view Why);
-  void passOnUnsure(routed_packet Routed, const tcp_packet &Head);
-  agent_outcome endOfList(const routed_packet &Routed, const tcp_packet &Head,
-                          std::string_view Why);
-  agent_outcome askForMore(routed_packet Routed);
+                        bool NeedsAnswer, instant Now);
+  agent_outcome passToNext(routed_packet Routed, const tcp_packet &Head,
+                           std::string_view Why);
+  void passToNextIncomplete(routed_packet Routed, const tcp_packet &Head);
+  agent_outcome onListExhausted(const routed_packet &Routed,
+                                const tcp_packet &Head, std::string_view Why);
+  agent_outcome requestNextList(routed_packet Routed);
   agent_outcome onDeclined(const segment &Segment, bytes_view Bytes,
                            instant Now);
   bool sendReset(const tcp_packet &Packet);
-  agent_outcome resetLost(const tcp_packet &Head);
+  agent_outcome resetLostFlow(const tcp_packet &Head);
   void noteDeclined(const flow_key &Flow, instant Now);
   void noteAnswer(const flow_key &Flow, bool Failed, instant Now);
-  void noteGivenUp(const tcp_packet &Head, instant Now);
-  void tellFailures(const flow_key &Flow);
+  void noteAbortedRequest(const tcp_packet &Head, instant Now);
+  void logFailureState(const flow_key &Flow);
   agent_outcome onAnswer(segment Segment, bytes_view Bytes, instant Now);
-  void noteUser(const routed_packet &Routed, instant Now);
-  void noteWalk(const routed_packet &Routed);
-  void nameOwner(const routed_packet &Routed, const flow_key &Flow,
-                 instant Now);
+  void addReportReceiver(const routed_packet &Routed, instant Now);
+  void addOneTimeReceiver(const routed_packet &Routed);
+  void sendOwnerNotice(const routed_packet &Routed, const flow_key &Flow,
+                       instant Now);
   void resetAll(instant Now);
-  void resetOpen(const open_flow &Open, std::string_view Why);
-  void callOut(instant Now);
-  void lookForCallers(instant Now);
+  void resetFlow(const open_flow &Open, std::string_view Why);
+  void reportToLastBalancer(instant Now);
+  void detectIsolation(instant Now);
   void sendReport(const endpoint &Balancer, instant Now);
   void reportNow(instant Now);
   void reportOnce(instant Now);
   load_report report(instant Now) const;
-  void tell(event_kind What, std::string_view Why, const flow_key &Flow,
-            const endpoint &Agent);
+  void logEvent(event_kind What, std::string_view Why, const flow_key &Flow,
+                const endpoint &Agent);
 
   forward_agent_settings Settings;
   segment_codec Codec;
   forward_agent_hooks Hooks;
   internal::offered_packets Offered;
   internal::target_load Load;
-  /// Balancers that have use for this target's load, and when they were heard.
+  /// Balancers that get regular load reports, and when each last sent a
+  /// message. A balancer is added when it sends a new flow, a packet of a known
+  /// flow, or a lasting request for load reports.
   std::map<endpoint, instant> Balancers;
-  /// Those whose packets only came by on a walk: they need to know that this
-  /// agent is there. Reporting to them for seconds, after a loss of power all
-  /// agents of a site would report to all balancers.
+  /// Balancers whose packets arrived here only during an owner lookup. They
+  /// need a single report, as a sign that this agent is running. If they got
+  /// reports for seconds instead, all agents of a site would report to all
+  /// balancers after a loss of power.
   std::set<endpoint> ReportOnceTo;
-  /// The last balancer heard, and when it was heard or called last.
+  /// The balancer that was known last, and the time of its last message or of
+  /// the last report sent to it.
   std::optional<std::pair<endpoint, instant>> LastBalancer;
-  /// When a balancer was heard last, or the store asked in its place.
-  std::optional<instant> HeardOrLookedAt;
+  /// When a balancer last made contact, or when a check of the store's registry
+  /// was last started because none had.
+  std::optional<instant> LastContactOrCheckAt;
   bool Admitting = false;
   bool TargetGone = false;
-  /// The target has not answered the last thing put to it.
-  bool Silent = false;
+  /// The target has not answered the last packet that required an answer.
+  bool TargetUnresponsive = false;
   internal::decline_watch Declines;
   internal::failure_watch Failures;
   std::uint32_t Slots = 1;
--- a/src/forward/target_load.cpp
+++ b/src/forward/target_load.cpp
@@ -2,38 +2,39 @@
 
 namespace marjoramrail::internal {
 
-/// Weight of the newest sample: at a sample each 200 ms the share follows a
-/// change within about a second.
+/// Weight of the newest sample. With one sample every 200 ms the average
+/// follows a change within about a second.
 static constexpr double BusySmoothing = 0.3;
-/// Over some ten requests, so that one long answer does not empty a target.
+/// Averages over about ten requests, so that a single slow answer does not
+/// drive all new flows away from the target.
 static constexpr double LatencySmoothing = 0.1;
 static constexpr duration SweepPeriod = std::chrono::seconds(5);
 
-/// What two packets of one flow can be apart: the ends have at most 16 packets
-/// of some 1,200 bytes in flight; four times that. A new flow on a used port
-/// starts anywhere.
+/// Returns whether two sequence numbers can belong to the same flow. The ends
+/// have at most 16 packets of about 1,200 bytes in flight; the window is four
+/// times that. A new flow on a reused port starts at an arbitrary number.
 static bool isNear(std::uint32_t A, std::uint32_t B) {
   constexpr std::uint32_t Window = 76'800;
   return A - B <= Window || B - A <= Window;
 }
 
-target_load::caller_packet target_load::judge(const tcp_packet &Packet) const {
+target_load::flow_match target_load::matchFlow(const tcp_packet &Packet) const {
   const auto Found = Flows.find(Packet.Flow);
   if (Found == Flows.end())
-    return caller_packet::Unknown;
+    return flow_match::Unknown;
   const watched_flow &Flow = Found->second;
   if (!Flow.SequenceKnown)
-    return caller_packet::Unknown;
+    return flow_match::Unknown;
   if (Flow.HalfOpen && Packet.Ack &&
       Packet.Acknowledged != Flow.TargetSequence + 1)
-    return caller_packet::Elsewhere;
+    return flow_match::OtherTarget;
   const std::uint32_t Last = Flow.CallerAcknowledged;
   if (!Flow.HalfOpen && Last != 0 && !isNear(Packet.Acknowledged, Last))
-    return caller_packet::Unknown;
-  return caller_packet::Known;
+    return flow_match::Unknown;
+  return flow_match::Known;
 }
 
-bool target_load::heldOpen(const tcp_packet &Packet) const {
+bool target_load::hasOpenFlow(const tcp_packet &Packet) const {
   const auto Found = Flows.find(Packet.Flow);
   if (Found == Flows.end() || Found->second.HalfOpen)
     return false;
@@ -44,33 +45,34 @@
 void target_load::integrate(instant Now) {
   const double Passed =
       std::chrono::duration<double>(Now - IntegratedAt).count();
-  SlotTime += Passed * std::min(Active, Slots);
+  SlotSeconds += Passed * std::min(Active, Slots);
   IntegratedAt = Now;
 }
 
-void target_load::setAsking(watched_flow &Flow, bool Asking, instant Now) {
-  if (Flow.Asking == Asking)
+void target_load::setRequestPending(watched_flow &Flow, bool RequestPending,
+                                    instant Now) {
+  if (Flow.RequestPending == RequestPending)
     return;
   integrate(Now);
-  Flow.Asking = Asking;
-  Active += Asking ? 1 : -1;
+  Flow.RequestPending = RequestPending;
+  Active += RequestPending ? 1 : -1;
 }
 
-void target_load::noteOpen(watched_flow &Flow, instant Now) {
+void target_load::markOpen(watched_flow &Flow, instant Now) {
   Flow.HalfOpen = false;
   Flow.OpenedAt = Now;
   ++Open;
 }
 
-/// A caller that has given up ends its flow, and the target follows without an
-/// answer. Counted as in progress until the flow is forgotten, such requests
-/// make a target look full for seconds after a burst, and new flows go to the
-/// others.
-void target_load::noteEnds(watched_flow &Flow, instant Now) {
-  if (Flow.Over || !Flow.CallerEnded || !Flow.TargetEnded)
+/// A caller that gives up a request closes its flow, and the target closes it
+/// too, without an answer. If such requests counted as in progress until the
+/// flow is removed, a target would look full for seconds after a burst, and new
+/// flows would go to other targets.
+void target_load::updateClosed(watched_flow &Flow, instant Now) {
+  if (Flow.Closed || !Flow.CallerEnded || !Flow.TargetEnded)
     return;
-  Flow.Over = true;
-  setAsking(Flow, false, Now);
+  Flow.Closed = true;
+  setRequestPending(Flow, false, Now);
   --Open;
 }
 
@@ -84,67 +86,68 @@
   Flow.SeenAt = Now;
   Flow.CallerAcknowledged = Packet.Acknowledged;
   if (Flow.HalfOpen)
-    noteOpen(Flow, Now);
+    markOpen(Flow, Now);
   if (Packet.Rst) {
     erase(Found, Now);
     return false;
   }
   Flow.CallerEnded |= Packet.Fin;
-  noteEnds(Flow, Now);
-  if (!Flow.CallerSent.take(Packet) || Flow.Asking || Flow.Over)
+  updateClosed(Flow, Now);
+  if (!Flow.CallerSent.recordPacket(Packet) || Flow.RequestPending ||
+      Flow.Closed)
     return false;
-  setAsking(Flow, true, Now);
-  Flow.AskedAt = Now;
+  setRequestPending(Flow, true, Now);
+  Flow.RequestedAt = Now;
   return true;
 }
 
 std::optional<duration> target_load::onTarget(const tcp_packet &Packet,
                                               instant Now) {
   if (Packet.Rst) {
-    forget(Packet.Flow, Now);
+    removeFlow(Packet.Flow, Now);
     return std::nullopt;
   }
   watched_flow &Flow = Flows[Packet.Flow];
   Flow.SeenAt = Now;
   Flow.SequenceKnown = true;
   if (Packet.Syn) {
-    // Another flow under the same addresses counts from elsewhere.
+    // A different initial sequence number: a new flow under the same addresses.
     if (Flow.TargetSequence != Packet.Sequence)
-      Flow.CallerSent = Flow.TargetSent = sent_bytes();
+      Flow.CallerSent = Flow.TargetSent = sequence_tracker();
     Flow.TargetSequence = Packet.Sequence;
     return std::nullopt;
   }
-  // A flow of before this agent's start.
+  // A flow that was opened before this agent started.
   if (Flow.HalfOpen)
-    noteOpen(Flow, Now);
+    markOpen(Flow, Now);
   Flow.TargetEnded |= Packet.Fin;
-  noteEnds(Flow, Now);
-  if (!Flow.TargetSent.take(Packet) || !Flow.Asking)
+  updateClosed(Flow, Now);
+  if (!Flow.TargetSent.recordPacket(Packet) || !Flow.RequestPending)
     return std::nullopt;
-  const duration Took = Now - Flow.AskedAt;
+  const duration Took = Now - Flow.RequestedAt;
   const auto TookUs = static_cast<double>(Took.count());
   LatencyUs +=
       LatencyUs == 0 ? TookUs : LatencySmoothing * (TookUs - LatencyUs);
-  setAsking(Flow, false, Now);
+  setRequestPending(Flow, false, Now);
   return Took;
 }
 
 void target_load::erase(
     std::unordered_map<flow_key, watched_flow, flow_key_hash>::iterator Place,
     instant Now) {
-  setAsking(Place->second, false, Now);
-  if (!Place->second.HalfOpen && !Place->second.Over)
+  setRequestPending(Place->second, false, Now);
+  if (!Place->second.HalfOpen && !Place->second.Closed)
     --Open;
   Flows.erase(Place);
 }
 
-void target_load::forget(const flow_key &Flow, instant Now) {
+void target_load::removeFlow(const flow_key &Flow, instant Now) {
   const auto Found = Flows.find(Flow);
   if (Found != Flows.end())
     erase(Found, Now);
 }
 
-void target_load::forgetAll(
+void target_load::removeAllFlows(
     instant Now,
     const std::function<void(const flow_key &, const watched_flow &)> &Each) {
   integrate(Now);
@@ -171,8 +174,9 @@
   integrate(Now);
   const double Passed = std::chrono::duration<double>(Now - TickedAt).count();
   if (Passed > 0)
-    Busy += BusySmoothing * (std::min(SlotTime / (Passed * Slots), 1.0) - Busy);
-  SlotTime = 0;
+    Busy +=
+        BusySmoothing * (std::min(SlotSeconds / (Passed * Slots), 1.0) - Busy);
+  SlotSeconds = 0;
   TickedAt = Now;
   if (Now - SweptAt < SweepPeriod)
     return;
@@ -180,7 +184,7 @@
   for (auto Place = Flows.begin(); Place != Flows.end();) {
     const auto Next = std::next(Place);
     const watched_flow &Flow = Place->second;
-    if (Flow.Over || Now - Flow.SeenAt > IdleFlow)
+    if (Flow.Closed || Now - Flow.SeenAt > IdleFlow)
       erase(Place, Now);
     Place = Next;
   }
--- a/test/flowstore/flow_zone.h
+++ b/test/flowstore/flow_zone.h
@@ -1,8 +1,8 @@
-//===- flow_zone.h - A zone whose flows are kept ----------------*- C++ -*-===//
+//===- flow_zone.h - A zone that saves its open flows -----------*- C++ -*-===//
 ///
 /// \file
-/// Reporters and collectors over one store, on a hand-turned clock. Datagrams
-/// arrive at once, unless they are lost.
+/// Test fixture with reporters and collectors that share one store, on a clock
+/// that the test advances. Datagrams arrive at once unless the test drops them.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -14,15 +14,15 @@
 
 namespace marjoramrail::testing {
 
-/// One process of an agent.
+/// A process of an agent.
 struct reporter_process {
   reporter_process(timer_service &Timers, fake_platform &Store,
                    const std::string &Name, const endpoint &Self,
                    std::vector<open_flow> Open)
       : Self(Self), Open(std::move(Open)),
-        Reporter(Timers, siteStore(Store, Faults, KeptFlowsKind),
+        Reporter(Timers, siteStore(Store, Faults, CheckpointKind),
                  {Name, "brugge"}, hooks()) {
-    Reporter.start(/*HasFormer=*/true);
+    Reporter.start(/*HasPrevious=*/true);
   }
 
   flow_reporter::hooks hooks() {
@@ -34,7 +34,7 @@
     Hooks.Send = [this](const endpoint &, std::span<const std::uint8_t> Bytes) {
       Sent.emplace_back(Bytes.begin(), Bytes.end());
     };
-    Hooks.OnTrouble = [](const std::string &) {};
+    Hooks.OnError = [](const std::string &) {};
     return Hooks;
   }
 
@@ -42,21 +42,21 @@
   store_faults Faults;
   std::vector<open_flow> Open;
   std::vector<open_flow> Lost;
-  /// Datagrams on their way to a collector.
+  /// Datagrams in flight to a collector.
   std::vector<std::vector<std::uint8_t>> Sent;
   flow_reporter Reporter;
 };
 
-/// Agents by the names of their entries.
+/// Agents by the names of their entries in the store.
 using reporters = std::map<std::string, std::unique_ptr<reporter_process>>;
 
-/// One process of a balancer.
+/// A process of a balancer.
 struct collector_process {
   collector_process(timer_service &Timers, fake_platform &Store,
                     reporters &Agents)
       : Agents(Agents),
-        Collector(Timers, siteStore(Store, Faults, KeptFlowsKind),
-                  keptFlowsKey("brugge"), hooks()) {
+        Collector(Timers, siteStore(Store, Faults, CheckpointKind),
+                  checkpointKey("brugge"), hooks()) {
     Collector.start();
   }
 
@@ -65,17 +65,17 @@
     Hooks.Agents = [this] {
       std::map<std::string, endpoint> Known;
       for (const auto &[Name, Agent] : Agents)
-        if (InCharge)
+        if (IsCollecting)
           Known[Name] = Agent->Self;
       return Known;
     };
     Hooks.Send = [this](const endpoint &To,
                         std::span<const std::uint8_t> Bytes) {
       for (auto &[Name, Agent] : Agents)
-        if (Agent->Self == To && !Cut)
+        if (Agent->Self == To && !DropsDatagrams)
           exchange(*Agent, Bytes);
     };
-    Hooks.OnTrouble = [](const std::string &) {};
+    Hooks.OnError = [](const std::string &) {};
     return Hooks;
   }
 
@@ -89,10 +89,10 @@
 
   reporters &Agents;
   store_faults Faults;
-  bool InCharge = true;
-  /// No datagram comes or goes.
-  bool Cut = false;
-  /// Bytes of agents' reports.
+  bool IsCollecting = true;
+  /// All datagrams of this collector are dropped.
+  bool DropsDatagrams = false;
+  /// Total size of the agents' reports in bytes.
   std::size_t Received = 0;
   flow_collector Collector;
 };
@@ -101,18 +101,19 @@
   timer_service Timers;
   fake_platform Store{Timers};
   reporters Agents;
-  std::vector<open_flow> Two{{{{0x64400001, 1001}, FirstAddress}, 7},
-                             {{{0x64400002, 1002}, FirstAddress}, 8}};
+  std::vector<open_flow> TwoFlows{{{{0x64400001, 1001}, FirstAddress}, 7},
+                                  {{{0x64400002, 1002}, FirstAddress}, 8}};
 
-  flow_zone() { pass(std::chrono::seconds(1)); }
+  flow_zone() { advanceTime(std::chrono::seconds(1)); }
 
-  void pass(duration Time) { Timers.advance(Timers.now() + Time); }
+  void advanceTime(duration Time) { Timers.advance(Timers.now() + Time); }
 
   std::unique_ptr<collector_process> startCollector() {
     return std::make_unique<collector_process>(Timers, Store, Agents);
   }
 
-  /// A process of the agent of \p Name; the one before it is gone.
+  /// Starts a process of the agent of \p Name; its previous process is
+  /// destroyed.
   reporter_process &startAgent(const std::string &Name,
                                std::vector<open_flow> Open = {}) {
     const endpoint Self{0x0a000200 + static_cast<std::uint32_t>(
@@ -124,7 +125,7 @@
     return *Agents[Name];
   }
 
-  /// An agent whose target runs as \p Run.
+  /// Starts an agent whose target runs as \p Run.
   reporter_process &runAgent(const std::string &Name, const target_run &Run,
                              std::vector<open_flow> Open = {}) {
     reporter_process &Agent = startAgent(Name, std::move(Open));
@@ -132,10 +133,10 @@
     return Agent;
   }
 
-  /// What the store keeps of \p Name.
-  kept_flows kept(const std::string &Name) const {
-    const object_key Key = keptFlowsKey("brugge");
-    const auto Zone = decodeFlows(Key, Store.get(Key.Kind, Key.Name).Body);
+  /// Returns the flows of \p Name that the store holds.
+  flow_checkpoint checkpointOf(const std::string &Name) const {
+    const object_key Key = checkpointKey("brugge");
+    const auto Zone = decodeCheckpoint(Key, Store.get(Key.Kind, Key.Name).Body);
     if (!Zone || !Zone->contains(Name))
       return {};
     return Zone->at(Name);
