--- a/bench/work/sweep.cpp
+++ b/bench/work/sweep.cpp
@@ -232,7 +232,7 @@
       scenario Scenario = Sweep.Scenario;
       Scenario.Seed = Seed;
       Sweep.Set(Scenario, Value);
-      const outcome Got = play(Scenario);
+      const outcome Got = simulate(Scenario);
       Point.Left += Sweep.Left(Got) / double(Seeds);
       Point.Right += Sweep.Right(Got) / double(Seeds);
     }
--- a/bench/work/work_bench.cpp
+++ b/bench/work/work_bench.cpp
@@ -20,7 +20,7 @@
 }
 
 void rowsOf(const std::string &Name, const scenario &Scenario) {
-  const outcome Got = play(Scenario);
+  const outcome Got = simulate(Scenario);
   row(Name, "goodput", Got.Goodput, "of_capacity");
   row(Name, "answered", double(Got.Answered) / double(Got.Offered),
       "of_offered");
--- a/daemons/agent/agent_view.cpp
+++ b/daemons/agent/agent_view.cpp
@@ -238,9 +238,10 @@
   Proxied.SilentFlow = Settings.SilentFlow;
   Proxied.Incarnation = Incarnation;
   Proxied.Keys.MaxRecords = Settings.KeyRecords;
-  Proxied.Past = NeverRan ? keeper_past::NeverRan : keeper_past::MayHaveRun;
+  Proxied.Past =
+      NeverRan ? replica_history::NeverRan : replica_history::MayHaveRun;
   if (isFirstEver(View))
-    Proxied.Past = keeper_past::FirstOfService;
+    Proxied.Past = replica_history::FirstOfService;
   proxy_hooks Hooks;
   Hooks.Connect = [this](const endpoint &Peer, byte_events Events) {
     return connectByKernel(Loop, Settings.RelayListen, Peer, std::move(Events));
--- a/daemons/forwarder/forward_agent_process.cpp
+++ b/daemons/forwarder/forward_agent_process.cpp
@@ -59,7 +59,7 @@
   // A balancer without the store's news may name an entry that is gone.
   Hooks.Listed = [this] {
     if (Registrar.knownMissing() ||
-        this->Settings.Without.has(mechanism::ListedNotices))
+        this->Settings.Without.has(mechanism::RegisteredNotices))
       return;
     Admission.onListed(Loop.timers().now());
     review("a balancer has known this target for long");
@@ -67,7 +67,7 @@
   Hooks.Found = [this] {
     // An entry that this process has written may have been new to all.
     if (Registrar.hasWritten() || Registrar.knownMissing() ||
-        this->Settings.Without.has(mechanism::FoundNotices))
+        this->Settings.Without.has(mechanism::FoundRegistrations))
       return;
     Admission.onListed(Loop.timers().now());
     review("a balancer that started found this target in the store");
@@ -139,7 +139,7 @@
 }
 
 std::unique_ptr<flow_reporter> forward_agent_process::makeReporter() {
-  if (!Settings.KeepFlows || Settings.Without.has(mechanism::KeptFlows))
+  if (!Settings.KeepFlows || Settings.Without.has(mechanism::FlowCheckpoints))
     return nullptr;
   flow_reporter::hooks Hooks;
   Hooks.OpenFlows = [this](instant Moment) { return Core.openFlows(Moment); };
--- a/daemons/forwarder/forward_balancer_process.cpp
+++ b/daemons/forwarder/forward_balancer_process.cpp
@@ -139,7 +139,7 @@
   flow_collector::hooks Hooks;
   Hooks.Agents = [this] {
     std::map<std::string, endpoint> Agents;
-    if (this->Settings.Without.has(mechanism::KeptFlows))
+    if (this->Settings.Without.has(mechanism::FlowCheckpoints))
       return Agents;
     for (const target_entry &Target : Directory.targetsInCharge())
       Agents[Target.Name] = Target.Agent;
--- a/include/marjoramrail/mechanism.h
+++ b/include/marjoramrail/mechanism.h
@@ -46,19 +46,19 @@
   /// Agents that say nothing get no new flows.
   Suspicion,
   /// Open flows are kept in the store for the case that power is lost.
-  KeptFlows,
+  FlowCheckpoints,
   /// Balancers announce targets whose agent the store refuses.
   PeerAnnouncements,
   /// Balancers that have known a target for long stand for the store's word.
-  ListedNotices,
+  RegisteredNotices,
   /// Balancers that start tell the agents that they find.
-  FoundNotices,
+  FoundRegistrations,
   /// A store that has not answered once is asked again soon.
   EarlyStoreRetry,
   /// A new target waits for its first flow until everyone knows it.
   SettleTime,
   /// A list that was cut is walked on by its balancer.
-  WalkContinuation,
+  LookupContinuation,
 };
 
 inline constexpr name_table<mechanism, 15> MechanismNames = {{
@@ -70,13 +70,13 @@
     {mechanism::FailurePlacing, "failure_placing"},
     {mechanism::DeclineWatch, "decline_watch"},
     {mechanism::Suspicion, "suspicion"},
-    {mechanism::KeptFlows, "kept_flows"},
+    {mechanism::FlowCheckpoints, "kept_flows"},
     {mechanism::PeerAnnouncements, "peer_announcements"},
-    {mechanism::ListedNotices, "listed_notices"},
-    {mechanism::FoundNotices, "found_notices"},
+    {mechanism::RegisteredNotices, "listed_notices"},
+    {mechanism::FoundRegistrations, "found_notices"},
     {mechanism::EarlyStoreRetry, "early_store_retry"},
     {mechanism::SettleTime, "settle_time"},
-    {mechanism::WalkContinuation, "walk_continuation"},
+    {mechanism::LookupContinuation, "walk_continuation"},
 }};
 
 class mechanism_set {
--- a/include/marjoramrail/proxy.h
+++ b/include/marjoramrail/proxy.h
@@ -78,8 +78,8 @@
   std::size_t MaxBufferedBody = 64 * 1024;
   /// Of this agent; it names the runner in key records.
   std::uint32_t Incarnation = 0;
-  /// See key_keeper.
-  keeper_past Past = keeper_past::MayHaveRun;
+  /// See key_replica.
+  replica_history Past = replica_history::MayHaveRun;
   key_settings Keys;
 };
 
--- a/include/marjoramrail/routing.h
+++ b/include/marjoramrail/routing.h
@@ -166,7 +166,7 @@
 
   /// Whether owners() has room for every target, so that a flow will be found
   /// when no generation names its owner any more.
-  bool namesEveryone() const;
+  bool listsEveryTarget() const;
 
   const target &targetAt(std::uint16_t Position) const {
     return Targets[Position];
@@ -181,7 +181,7 @@
 
 private:
   void preferZoneOfFirst(owner_list &Choices) const;
-  void noteLive(const service_view &View);
+  void collectLiveTargets(const service_view &View);
 
   /// owners() for rows of \p Generations weights, a number known to the
   /// compiler so that it can work on several at a time.
@@ -202,7 +202,7 @@
   /// A generation has been let go, and a flow's owner may be named by none that
   /// is left. As long as none was, the shorter walk tells callers of a dead
   /// owner sooner.
-  bool LetGo = false;
+  bool HasDroppedGeneration = false;
 };
 
 /// The share of new flows, in percent of its full one, that a target should
@@ -226,9 +226,9 @@
 public:
   /// A claim says nothing once it is older: three missed readings of a usual
   /// endpoint, which is read every few seconds.
-  static constexpr duration ClaimLife = std::chrono::seconds(10);
+  static constexpr duration ClaimLifetime = std::chrono::seconds(10);
   /// Outcomes count for as long as the claim that they check.
-  static constexpr duration OutcomeLife = std::chrono::seconds(10);
+  static constexpr duration OutcomeLifetime = std::chrono::seconds(10);
   /// Failures in a row that refute a claim: one caller's bad requests make two
   /// or three, an ill target makes five within a fraction of a second.
   static constexpr std::uint32_t FailuresToRefute = 5;
--- a/include/marjoramrail/work.h
+++ b/include/marjoramrail/work.h
@@ -204,7 +204,7 @@
   /// The peer has left the service.
   void forget(host_id Peer);
   /// A request came from \p Peer by relay.
-  void relayedHere(host_id Peer, instant Now);
+  void receivedRelayFrom(host_id Peer, instant Now);
   /// \p Peer said "not run": it gets nothing before \p RetryAfter has passed or
   /// its next report has come.
   void notRun(host_id Peer, duration RetryAfter, instant Now);
@@ -349,12 +349,12 @@
   Claim,
   Query, // as Claim, but only asks
   Granted,
-  Held,   // not granted: Record.State says why
-  Full,   // no room for another key
-  Behind, // the sender's view is not the keeper's
-  Settle, // ends a claim: Record.State is Done, Unknown or Released
+  Held,         // not granted: Record.State says why
+  Full,         // no room for another key
+  ViewMismatch, // the sender's view is not the keeper's
+  Settle,       // ends a claim: Record.State is Done, Unknown or Released
   SettleAck,
-  SyncAsk, // for the records that both keep, with keys after Record.Key
+  SyncRequest, // for the records that both keep, with keys after Record.Key
   SyncRecords,
 };
 
@@ -367,11 +367,11 @@
   std::uint64_t Digest = 0;
   key_record Record;
   /// With Granted: the keeper would know of any earlier claim.
-  bool Sure = false;
+  bool RecordsComplete = false;
   std::vector<key_record> Records;
   /// With SyncRecords: no more follow, and for which generations all is told.
   bool Last = false;
-  std::vector<std::uint64_t> Vouched;
+  std::vector<std::uint64_t> CompleteGenerations;
 };
 using key_messages = std::vector<key_message>;
 
@@ -387,7 +387,7 @@
 };
 
 /// What a keeper knows of the time before it started.
-enum class keeper_past {
+enum class replica_history {
   /// It may have kept records and lost them with its memory.
   MayHaveRun,
   /// No agent ever ran on this host: it has lost nothing, but may have to learn
@@ -397,18 +397,18 @@
   FirstOfService,
 };
 
-inline constexpr name_table<keeper_past, 3> KeeperPastNames = {{
-    {keeper_past::MayHaveRun, "may_have_run"},
-    {keeper_past::NeverRan, "never_ran"},
-    {keeper_past::FirstOfService, "first_of_service"},
+inline constexpr name_table<replica_history, 3> ReplicaHistoryNames = {{
+    {replica_history::MayHaveRun, "may_have_run"},
+    {replica_history::NeverRan, "never_ran"},
+    {replica_history::FirstOfService, "first_of_service"},
 }};
 
 /// The records that one agent keeps for the service's keys.
-class key_keeper {
+class key_replica {
 public:
-  key_keeper(host_id Self, std::uint32_t Incarnation,
-             const key_settings &Settings, keeper_past Past);
-  ~key_keeper();
+  key_replica(host_id Self, std::uint32_t Incarnation,
+              const key_settings &Settings, replica_history Past);
+  ~key_replica();
 
   key_messages take(const key_view &View, instant Now);
   key_messages receive(const key_message &Message, instant Now);
@@ -437,7 +437,7 @@
   /// May have run; is never run again.
   Unknown,
   /// Not run by this attempt: no keeper is sure that it knows every key.
-  NotSure,
+  RecordsIncomplete,
   /// Not run by this attempt: the keepers are full.
   Full,
   /// Not run by this attempt: a keeper does not answer.
@@ -465,7 +465,7 @@
   /// After Run: \p State is Done, Unknown or Released (explicitly not run).
   key_messages settle(const std::string &Key, key_state State,
                       const std::string &Outcome, instant Now);
-  /// See key_keeper::lapsed(). What runs goes on; what is still asked ends.
+  /// See key_replica::lapsed(). What runs goes on; what is still asked ends.
   void lapsed(std::uint32_t Incarnation, instant Now);
   std::vector<key_result> results();
   /// Claims and notices under way.
@@ -503,7 +503,7 @@
 
   void opened(const flow_key &Flow, instant Now);
   /// Anything came from the caller: data, an ACK or a PING's answer.
-  void heard(const flow_key &Flow, instant Now);
+  void received(const flow_key &Flow, instant Now);
   void closed(const flow_key &Flow);
   /// What to do now; call it a few times a second.
   std::vector<silent_action> tick(instant Now);
--- a/src/agent/flow_owner.cpp
+++ b/src/agent/flow_owner.cpp
@@ -101,7 +101,7 @@
   // could come, the newest one's hosts would drain away under it, and callers
   // would be refused although new hosts stand ready. Where every packet names
   // every target, no flow needs a generation to be found.
-  if (Router->namesEveryone())
+  if (Router->listsEveryTarget())
     return View->Generations[Oldest].Number;
   Table.forEach([&](const flow_key &Flow) {
     Oldest = std::max(Oldest, neededPosition(Flow));
--- a/src/forward/flow_walk.cpp
+++ b/src/forward/flow_walk.cpp
@@ -45,7 +45,7 @@
   if (IsFarAsked && !Walks.begin(Flow, Holders.size(), Now))
     return sendNearby(Route, Flow, Bytes, Now);
   if (Remembered && Holders.size() > ShortWalk &&
-      !Settings.Without.has(mechanism::WalkContinuation)) {
+      !Settings.Without.has(mechanism::LookupContinuation)) {
     sendToOwner(Route, *Remembered, isSure(Now), Bytes, Now);
     return forward_outcome::SentByMemory;
   }
@@ -175,7 +175,7 @@
   const service_id Service =
       Route.Holders.empty() ? service_id{} : Route.Holders.front();
   const bool GoesOn =
-      Rest && !Settings.Without.has(mechanism::WalkContinuation);
+      Rest && !Settings.Without.has(mechanism::LookupContinuation);
   if (GoesOn && Sure)
     send(List, Service, {routed_flag::Continues, routed_flag::WholeSoFar},
          encodeCursor(*Rest), Bytes, Now);
--- a/src/proxy/answers.cpp
+++ b/src/proxy/answers.cpp
@@ -76,7 +76,7 @@
   case key_verdict::Run:
   case key_verdict::Unknown:
     return unknownOutcome(false);
-  case key_verdict::NotSure:
+  case key_verdict::RecordsIncomplete:
   case key_verdict::Full:
   case key_verdict::NoAnswer:
     break;
--- a/src/proxy/caller_side.cpp
+++ b/src/proxy/caller_side.cpp
@@ -28,7 +28,7 @@
     Exchange.Deadline = Timers.after(*Exchange.Work.Deadline - Now,
                                      [this, Id] { deadlinePassed(Id); });
   if (Exchange.Work.RelayedBy)
-    Peers.relayedHere(*Exchange.Work.RelayedBy, Now);
+    Peers.receivedRelayFrom(*Exchange.Work.RelayedBy, Now);
   begin(Id, Exchange);
 }
 
--- a/src/proxy/key_codec.cpp
+++ b/src/proxy/key_codec.cpp
@@ -21,8 +21,9 @@
   return json::array({static_cast<unsigned>(Message.Kind),
                       static_cast<std::uint32_t>(Message.From),
                       static_cast<std::uint32_t>(Message.To), Message.Digest,
-                      toFields(Message.Record), Message.Sure,
-                      std::move(Records), Message.Last, Message.Vouched});
+                      toFields(Message.Record), Message.RecordsComplete,
+                      std::move(Records), Message.Last,
+                      Message.CompleteGenerations});
 }
 
 std::string encodeKeyMessages(const key_messages &Messages) {
@@ -124,7 +125,7 @@
   Message.Digest = Reader.integer<std::uint64_t>();
   if (!readRecord(Reader.list(), Message.Record))
     return false;
-  Message.Sure = Reader.flag();
+  Message.RecordsComplete = Reader.flag();
   for (const json &Record : Reader.list()) {
     Message.Records.emplace_back();
     if (!readRecord(Record, Message.Records.back()))
@@ -134,7 +135,7 @@
   for (const json &Number : Reader.list()) {
     if (!Number.is_number_unsigned())
       return false;
-    Message.Vouched.push_back(Number.get<std::uint64_t>());
+    Message.CompleteGenerations.push_back(Number.get<std::uint64_t>());
   }
   return Reader.good();
 }
--- a/src/proxy/key_desk.cpp
+++ b/src/proxy/key_desk.cpp
@@ -25,10 +25,10 @@
   case key_message_kind::Claim:
   case key_message_kind::Query:
   case key_message_kind::Settle:
-  case key_message_kind::SyncAsk:
+  case key_message_kind::SyncRequest:
   case key_message_kind::SyncRecords:
     return post(Keeper.receive(Message, Timers.now()));
-  case key_message_kind::Behind:
+  case key_message_kind::ViewMismatch:
     // To whoever asked: a claim or a sync.
     post(Keeper.receive(Message, Timers.now()));
     return post(Claims.receive(Message, Timers.now()));
--- a/src/proxy/key_desk.h
+++ b/src/proxy/key_desk.h
@@ -14,7 +14,7 @@
 struct key_desk_settings {
   host_id Host{};
   std::uint32_t Incarnation = 0;
-  keeper_past Past = keeper_past::MayHaveRun;
+  replica_history Past = replica_history::MayHaveRun;
   key_settings Keys;
 };
 
@@ -62,7 +62,7 @@
   timer_service &Timers;
   key_desk_settings Settings;
   key_desk_hooks Hooks;
-  key_keeper Keeper;
+  key_replica Keeper;
   key_claims Claims;
   std::map<std::string, claimant> Claimants;
   /// Claims given up before their result came.
--- a/src/proxy/key_side.cpp
+++ b/src/proxy/key_side.cpp
@@ -6,7 +6,7 @@
   if (Exchange.Work.Key.empty() || Exchange.Claim != claim_state::None)
     return;
   if (!KeysKnown || Exchange.Work.Key.size() > LongestKey)
-    return onClaim(Id, {Exchange.Work.Key, key_verdict::NotSure, ""});
+    return onClaim(Id, {Exchange.Work.Key, key_verdict::RecordsIncomplete, ""});
   Exchange.Claim = claim_state::Asked;
   Keys.claim(Exchange.Work.Key, Id);
 }
--- a/src/routing/health_view.cpp
+++ b/src/routing/health_view.cpp
@@ -29,14 +29,14 @@
   // Refuted only for a while: a target without work could never show that it
   // has recovered.
   if (Evidence.Failures >= FailuresToRefute &&
-      Now - *Evidence.FailedAt < OutcomeLife)
+      Now - *Evidence.FailedAt < OutcomeLifetime)
     return false;
   if (Evidence.Claimed || !Evidence.ClaimedAt ||
-      Now - *Evidence.ClaimedAt >= ClaimLife)
+      Now - *Evidence.ClaimedAt >= ClaimLifetime)
     return true;
   // It calls itself ill; work done well since then says otherwise.
   return Evidence.SucceededAt && *Evidence.SucceededAt > *Evidence.ClaimedAt &&
-         Now - *Evidence.SucceededAt < OutcomeLife;
+         Now - *Evidence.SucceededAt < OutcomeLifetime;
 }
 
 std::vector<host_id> health_view::usable(const std::vector<host_id> &Candidates,
--- a/src/routing/service_router.cpp
+++ b/src/routing/service_router.cpp
@@ -64,13 +64,14 @@
           Found != PositionOf.end())
         Weights[Found->second * RowSize + G] =
             std::min(Member.Weight, MaxWeight);
-  noteLive(View);
+  collectLiveTargets(View);
 }
 
 /// By number, so that routers of one view agree whatever the order of its
 /// targets.
-void service_router::noteLive(const service_view &View) {
-  LetGo = !View.Generations.empty() && View.Generations.back().Number > 1;
+void service_router::collectLiveTargets(const service_view &View) {
+  HasDroppedGeneration =
+      !View.Generations.empty() && View.Generations.back().Number > 1;
   for (std::size_t I = 0; I < Targets.size(); ++I)
     if (Targets[I].State != target_state::Down)
       Live.push_back(static_cast<std::uint16_t>(I));
@@ -79,7 +80,7 @@
   });
 }
 
-bool service_router::namesEveryone() const {
+bool service_router::listsEveryTarget() const {
   return Live.size() <= owner_list::Capacity;
 }
 
@@ -170,7 +171,7 @@
     }
     Best.add(Keys);
   }
-  return mergeRanks(Best, Targets, LetGo ? Live : NoOthers);
+  return mergeRanks(Best, Targets, HasDroppedGeneration ? Live : NoOthers);
 }
 
 owner_list service_router::owners(const flow_key &Flow) const {
--- a/src/work/admission.cpp
+++ b/src/work/admission.cpp
@@ -11,8 +11,8 @@
 #include "work/busy_share.h"
 #include "work/concurrency_limit.h"
 #include "work/fair_queue.h"
+#include "work/retry_after_estimator.h"
 #include "work/retry_budget.h"
-#include "work/return_time.h"
 
 #include <algorithm>
 #include <unordered_map>
@@ -27,7 +27,7 @@
 /// A request that the estimate let in and that still waits after this many
 /// bounds is refused: the target has slowed down meanwhile. With two bounds the
 /// chance of four long requests at once refused 83 late in saturation.
-constexpr int HardBounds = 4;
+constexpr int MaxWaitBounds = 4;
 /// All slots taking this many mean service times is no accident: with four
 /// slots and exponential times it happens once in e^12.
 constexpr int StallFactor = 3;
@@ -37,7 +37,7 @@
 }
 
 /// No service time is taken to be shorter: it divides.
-constexpr duration Least = std::chrono::milliseconds(1);
+constexpr duration MinServiceTime = std::chrono::milliseconds(1);
 
 duration toDuration(double Seconds) {
   return std::chrono::duration_cast<duration>(
@@ -57,19 +57,20 @@
        std::uint64_t Seed)
       : Settings(Settings), PickPeer(std::move(PickPeer)),
         Queue(Settings.CallerQueues, Seed), Limit(Settings),
-        Return(Settings.MaxRetryAfter, Seed + 1), Budget(Settings.RetryShare),
-        Times(Settings.FirstEstimate) {}
+        RetryEstimator(Settings.MaxRetryAfter, Seed + 1),
+        Budget(Settings.RetryShare), Times(Settings.FirstEstimate) {}
 
   decision offer(const work_request &Request, instant Now);
   decision offerStream(const work_request &Request, instant Now);
-  decision enqueue(const work_request &Request, double Need, instant Now);
+  decision enqueue(const work_request &Request, double ServiceSeconds,
+                   instant Now);
   std::optional<decision> relay(const work_request &Request, relay_reason Why,
                                 instant Now);
   decision run(const work_request &Request, instant Now);
   decision refuse(const work_request &Request, refusal Why, instant Now);
   void freeSlot(request_id Id);
   void runWaiting(instant Now);
-  void refuseHopeless(instant Now);
+  void refuseExpired(instant Now);
   void relayWaiting(relay_reason Why, instant Now);
   duration stalledFor(instant Now) const;
   duration waitBound(work_kind Kind) const;
@@ -84,15 +85,16 @@
   bool hasSlot(work_kind Kind, instant Now) const;
   double servers(work_kind Kind, instant Now) const;
   duration expectedWait(const work_request &Request, instant Now) const;
-  bool tooLate(const work_request &Request, double Need, instant Start) const;
+  bool tooLate(const work_request &Request, double ServiceSeconds,
+               instant Start) const;
   load_report load(instant Now);
-  void noteUse(instant Now);
+  void recordUse(instant Now);
 
   admission_settings Settings;
   pick_peer PickPeer;
   fair_queue Queue;
   concurrency_limit Limit;
-  return_time Return;
+  retry_after_estimator RetryEstimator;
   retry_budget Budget;
   service_times Times;
   busy_share Busy;
@@ -102,7 +104,7 @@
   bool Draining = false;
   /// Relayed after they had been let in to the queue: one that no peer ran
   /// comes back and must not be refused then, later than if it had never come.
-  std::unordered_set<request_id> Moved;
+  std::unordered_set<request_id> RelayedFromQueue;
   std::vector<decision> Outbox;
   admission_counts Counts;
 };
@@ -157,12 +159,13 @@
          toDuration((Ahead + First) / servers(Request.Kind, Now));
 }
 
-bool admission::impl::tooLate(const work_request &Request, double Need,
-                              instant Start) const {
-  return Request.Deadline && Start + toDuration(Need) > *Request.Deadline;
+bool admission::impl::tooLate(const work_request &Request,
+                              double ServiceSeconds, instant Start) const {
+  return Request.Deadline &&
+         Start + toDuration(ServiceSeconds) > *Request.Deadline;
 }
 
-void admission::impl::noteUse(instant Now) {
+void admission::impl::recordUse(instant Now) {
   // In declared slots, so that trials of the limit do not look like load; a
   // cold target is full with fewer.
   const std::size_t Counted =
@@ -172,11 +175,12 @@
 }
 
 load_report admission::impl::load(instant Now) {
-  noteUse(Now);
+  recordUse(Now);
   load_report Report;
   Report.Slots = double(std::max<std::size_t>(Limit.limit(Now), 1));
   Report.Busy = Busy.value();
-  Report.Service = std::max(toDuration(Times.mean(work_kind::Short)), Least);
+  Report.Service =
+      std::max(toDuration(Times.mean(work_kind::Short)), MinServiceTime);
   Report.Pressure = double(inSlots() + Queue.size()) / Report.Slots;
   Report.Accepting = !Draining && Limit.pause(Now) == duration::zero();
   return Report;
@@ -196,9 +200,10 @@
                                  instant Now) {
   ++Counts.Refused;
   // A relayed request goes back to its own agent, which books it if it must.
-  const double Need = Request.RelayedBy ? 0 : Times.expected(Request);
-  const duration Later = Return.book(Need, Queue.work(Request.Kind),
-                                     servers(Request.Kind, Now), Now);
+  const double ServiceSeconds = Request.RelayedBy ? 0 : Times.expected(Request);
+  const duration Later =
+      RetryEstimator.book(ServiceSeconds, Queue.work(Request.Kind),
+                          servers(Request.Kind, Now), Now);
   return {.Id = Request.Id,
           .Verdict = verdict::Refuse,
           .Reason = Why,
@@ -229,24 +234,24 @@
 }
 
 decision admission::impl::offer(const work_request &Request, instant Now) {
-  noteUse(Now);
+  recordUse(Now);
   if (Request.Kind == work_kind::Stream)
     return offerStream(Request, Now);
   if (!Request.Retry) {
     Budget.firstTry();
-    Return.firstTry(Times.expected(Request), Now);
+    RetryEstimator.firstTry(Times.expected(Request), Now);
   }
   if (Draining) {
     if (const auto Relayed = relay(Request, relay_reason::Draining, Now))
       return *Relayed;
     return refuse(Request, refusal::Draining, Now);
   }
-  const double Need = Times.expected(Request);
-  if (!tooLate(Request, Need, Now)) {
+  const double ServiceSeconds = Times.expected(Request);
+  if (!tooLate(Request, ServiceSeconds, Now)) {
     if (const auto Relayed = relay(Request, relay_reason::Balance, Now))
       return *Relayed;
     if (Queue.empty(Request.Kind) && hasSlot(Request.Kind, Now)) {
-      Queue.forgive();
+      Queue.resetTags();
       return run(Request, Now);
     }
   }
@@ -254,13 +259,14 @@
       Limit.ramping(Now) ? relay_reason::Cold : relay_reason::Overloaded;
   if (const auto Relayed = relay(Request, Why, Now))
     return *Relayed;
-  return enqueue(Request, Need, Now);
+  return enqueue(Request, ServiceSeconds, Now);
 }
 
-decision admission::impl::enqueue(const work_request &Request, double Need,
-                                  instant Now) {
-  if (Moved.erase(Request.Id) > 0 && !tooLate(Request, Need, Now)) {
-    Queue.push({Request, Need, Now});
+decision admission::impl::enqueue(const work_request &Request,
+                                  double ServiceSeconds, instant Now) {
+  if (RelayedFromQueue.erase(Request.Id) > 0 &&
+      !tooLate(Request, ServiceSeconds, Now)) {
+    Queue.push({Request, ServiceSeconds, Now});
     return {.Id = Request.Id, .Verdict = verdict::Wait};
   }
   const duration Wait = expectedWait(Request, Now);
@@ -268,7 +274,7 @@
   // it into its own queue, where its caller's share is known.
   const bool CannotWait = Request.RelayedBy || Wait > waitBound(Request.Kind) ||
                           !hasRoom(Request, Now);
-  if (tooLate(Request, Need, Now + Wait))
+  if (tooLate(Request, ServiceSeconds, Now + Wait))
     return refuse(Request, refusal::DeadlineTooClose, Now);
   if (CannotWait) {
     const bool Paused = Limit.pause(Now) > duration::zero();
@@ -277,7 +283,7 @@
   }
   if (!retryAllowed(Request, Now))
     return refuse(Request, refusal::RetryBudget, Now);
-  Queue.push({Request, Need, Now});
+  Queue.push({Request, ServiceSeconds, Now});
   return {.Id = Request.Id, .Verdict = verdict::Wait};
 }
 
@@ -318,14 +324,14 @@
   Running.erase(Found);
 }
 
-void admission::impl::refuseHopeless(instant Now) {
-  const auto Hopeless = [&](const waiting_request &Each) {
+void admission::impl::refuseExpired(instant Now) {
+  const auto Expired = [&](const waiting_request &Each) {
     const bool Overdue =
-        Now - Each.Since > HardBounds * waitBound(Each.Request.Kind);
-    return Overdue || tooLate(Each.Request, Each.Need, Now);
+        Now - Each.Since > MaxWaitBounds * waitBound(Each.Request.Kind);
+    return Overdue || tooLate(Each.Request, Each.ServiceSeconds, Now);
   };
-  for (const waiting_request &Each : Queue.removeIf(Hopeless)) {
-    const bool Late = tooLate(Each.Request, Each.Need, Now);
+  for (const waiting_request &Each : Queue.removeIf(Expired)) {
+    const bool Late = tooLate(Each.Request, Each.ServiceSeconds, Now);
     Outbox.push_back(
         refuse(Each.Request,
                Late ? refusal::DeadlineTooClose : refusal::Overloaded, Now));
@@ -346,14 +352,14 @@
 /// what no peer takes keeps its place, as it has been accepted.
 void admission::impl::relayWaiting(relay_reason Why, instant Now) {
   // Most never come back; forgotten ones lose only their privilege.
-  if (Moved.size() > Settings.MaxWaiting)
-    Moved.clear();
+  if (RelayedFromQueue.size() > Settings.MaxWaiting)
+    RelayedFromQueue.clear();
   std::vector<decision> Relayed;
   const auto Moves = [&](const waiting_request &Each) {
     const auto Peer = relay(Each.Request, Why, Now);
     if (Peer) {
       Relayed.push_back(*Peer);
-      Moved.insert(Each.Request.Id);
+      RelayedFromQueue.insert(Each.Request.Id);
     }
     return Peer.has_value();
   };
@@ -375,7 +381,7 @@
   const auto Found = Impl->Running.find(Id);
   if (Found == Impl->Running.end())
     return;
-  Impl->noteUse(Now);
+  Impl->recordUse(Now);
   const auto Ran = Found->second;
   const std::size_t InFlight = Impl->inSlots();
   Impl->freeSlot(Id);
@@ -391,17 +397,17 @@
 }
 
 void admission::cancelled(request_id Id, instant Now) {
-  Impl->noteUse(Now);
+  Impl->recordUse(Now);
   Impl->freeSlot(Id);
   Impl->Queue.remove(Id);
   ++Impl->Counts.Cancelled;
 }
 
 std::vector<decision> admission::tick(instant Now) {
-  Impl->noteUse(Now);
+  Impl->recordUse(Now);
   if (Impl->stalledFor(Now) > Impl->Settings.WaitBound / 2)
     Impl->relayWaiting(relay_reason::Overloaded, Now);
-  Impl->refuseHopeless(Now);
+  Impl->refuseExpired(Now);
   Impl->runWaiting(Now);
   return std::exchange(Impl->Outbox, {});
 }
--- a/src/work/concurrency_limit.cpp
+++ b/src/work/concurrency_limit.cpp
@@ -13,9 +13,9 @@
 /// this share of 1/L: the target then only divides the same speed by more.
 constexpr double RaiseTolerance = 0.5;
 /// The mean of requests that ran alone is over about this many: within 9%.
-constexpr std::uint32_t AloneMemory = 128;
+constexpr std::uint32_t AloneWindow = 128;
 /// Until then it is not used.
-constexpr std::uint32_t AloneNeeded = 32;
+constexpr std::uint32_t MinAloneSamples = 32;
 constexpr duration DefaultPause = std::chrono::milliseconds(100);
 constexpr duration MaxPause = std::chrono::seconds(1);
 
@@ -27,7 +27,7 @@
 
 concurrency_limit::concurrency_limit(const admission_settings &Settings)
     : Declared(std::max<std::size_t>(Settings.Slots, 1)),
-      Most(std::max<std::size_t>(
+      MaxLimit(std::max<std::size_t>(
           Declared,
           std::size_t(std::lround(Declared * Settings.MaxLimitFactor)))),
       ColdStart(Settings.ColdStart), CutRatio(Settings.CutRatio),
@@ -50,35 +50,35 @@
   return std::max(duration::zero(), PausedUntil - Now);
 }
 
-void concurrency_limit::answered(duration Elapsed, bool Alone, bool Wanted,
-                                 instant Now) {
+void concurrency_limit::answered(duration Elapsed, bool Alone,
+                                 bool OthersWaiting, instant Now) {
   const double Seconds = toSeconds(Elapsed);
   if (Alone)
-    learnAlone(Seconds);
+    recordAlone(Seconds);
   if (ramping(Now))
     return;
   Sum += Seconds;
-  WantedCount += Wanted ? 1 : 0;
+  OthersWaitingCount += OthersWaiting ? 1 : 0;
   if (++Count < Window)
     return;
   const double Mean = Sum / Count;
-  const bool Needed = WantedCount * 2 > Count;
+  const bool Needed = OthersWaitingCount * 2 > Count;
   Sum = 0;
   Count = 0;
-  WantedCount = 0;
+  OthersWaitingCount = 0;
   closeWindow(Mean, Needed);
 }
 
-void concurrency_limit::learnAlone(double Seconds) {
-  AloneCount = std::min(AloneCount + 1, AloneMemory);
+void concurrency_limit::recordAlone(double Seconds) {
+  AloneCount = std::min(AloneCount + 1, AloneWindow);
   AloneMean += (Seconds - AloneMean) / AloneCount;
 }
 
-bool concurrency_limit::crowded(double Mean, double Ratio) const {
-  return AloneCount >= AloneNeeded && Mean > Ratio * AloneMean;
+bool concurrency_limit::exceedsAlone(double Mean, double Ratio) const {
+  return AloneCount >= MinAloneSamples && Mean > Ratio * AloneMean;
 }
 
-void concurrency_limit::closeWindow(double Mean, bool Wanted) {
+void concurrency_limit::closeWindow(double Mean, bool OthersWaiting) {
   if (Trial != trial::None) {
     judgeTrial(Mean);
     return;
@@ -87,18 +87,18 @@
     --HoldOff;
     return;
   }
-  if (crowded(Mean, CutRatio) && Limit > 1) {
+  if (exceedsAlone(Mean, CutRatio) && Limit > 1) {
     const double Ratio = std::min(Mean / AloneMean, 2.0);
     const auto Next = std::size_t(std::lround(double(Limit) / Ratio));
     beginTrial(trial::Cut, std::clamp<std::size_t>(Next, 1, Limit - 1), Mean);
     return;
   }
-  if (Wanted && AloneCount < AloneNeeded && Limit > 1) {
+  if (OthersWaiting && AloneCount < MinAloneSamples && Limit > 1) {
     // Always busy, so nothing ever ran alone: see whether fewer run faster.
     beginTrial(trial::Cut, Limit - Limit / 2, Mean);
     return;
   }
-  if (Wanted && Limit < Most)
+  if (OthersWaiting && Limit < MaxLimit)
     beginTrial(trial::Raise, Limit + 1, Mean);
 }
 
@@ -114,8 +114,8 @@
   const double Allowed =
       WasCut ? CutHelped : 1 + RaiseTolerance / double(LimitBefore);
   Trial = trial::None;
-  const bool Crowded = !WasCut && crowded(Mean, Allowed);
-  if (Mean <= MeanBefore * Allowed && !Crowded) {
+  const bool ExceedsAlone = !WasCut && exceedsAlone(Mean, Allowed);
+  if (Mean <= MeanBefore * Allowed && !ExceedsAlone) {
     NextHoldOff = FirstHoldOff;
     HoldOff = WasCut ? FirstHoldOff : 0;
     return;
--- a/src/work/concurrency_limit.h
+++ b/src/work/concurrency_limit.h
@@ -38,21 +38,21 @@
 
   /// A short request was answered after \p Elapsed. \p Alone: it was the only
   /// one in flight when it began. \p Wanted: others wait for a slot.
-  void answered(duration Elapsed, bool Alone, bool Wanted, instant Now);
+  void answered(duration Elapsed, bool Alone, bool OthersWaiting, instant Now);
   /// The target refused with \p InFlight requests, that one counted.
   void shed(std::size_t InFlight, duration RetryAfter, instant Now);
 
 private:
   enum class trial { None, Cut, Raise };
 
-  void learnAlone(double Seconds);
-  bool crowded(double Mean, double Ratio) const;
-  void closeWindow(double Mean, bool Wanted);
+  void recordAlone(double Seconds);
+  bool exceedsAlone(double Mean, double Ratio) const;
+  void closeWindow(double Mean, bool OthersWaiting);
   void judgeTrial(double Mean);
   void beginTrial(trial Kind, std::size_t Next, double Mean);
 
   std::size_t Declared;
-  std::size_t Most;
+  std::size_t MaxLimit;
   duration ColdStart;
   double CutRatio;
   std::uint32_t Window;
@@ -64,7 +64,7 @@
   std::uint32_t AloneCount = 0;
   double Sum = 0;
   std::uint32_t Count = 0;
-  std::uint32_t WantedCount = 0;
+  std::uint32_t OthersWaitingCount = 0;
 
   trial Trial = trial::None;
   std::size_t LimitBefore = 0;
--- a/src/work/fair_queue.h
+++ b/src/work/fair_queue.h
@@ -33,7 +33,7 @@
 struct waiting_request {
   work_request Request;
   /// Expected seconds in a slot.
-  double Need = 0;
+  double ServiceSeconds = 0;
   instant Since;
 };
 
@@ -42,9 +42,9 @@
   fair_queue(std::size_t CallerQueues, std::uint64_t Seed);
 
   std::size_t size() const { return Places.size(); }
-  bool empty(work_kind Kind) const { return lane(Kind).Entries.empty(); }
+  bool empty(work_kind Kind) const { return queueOf(Kind).Entries.empty(); }
   /// Expected seconds in a slot of all that waits.
-  double work(work_kind Kind) const { return lane(Kind).Work; }
+  double work(work_kind Kind) const { return queueOf(Kind).Work; }
 
   /// The part of work() that is of \p Caller (and of those who share its
   /// queue).
@@ -55,14 +55,16 @@
   void push(waiting_request Waiting);
   /// A request ran without waiting: nobody was kept back, so past use is
   /// forgiven; else a caller would pay later for slots no one wanted.
-  void forgive();
-  /// The next to run; long work only if \p LongToo. The oldest goes first if it
-  /// has waited \p Bound, and every other time if it has waited half of that.
-  std::optional<waiting_request> pop(bool LongToo, duration Bound, instant Now);
+  void resetTags();
+  /// The next to run; long work only if \p AllowLong. The oldest goes first if
+  /// it has waited \p Bound, and every other time if it has waited half of
+  /// that.
+  std::optional<waiting_request> pop(bool AllowLong, duration Bound,
+                                     instant Now);
   std::optional<waiting_request> remove(request_id Id);
   /// Takes out all that \p Hopeless names.
   std::vector<waiting_request>
-  removeIf(const std::function<bool(const waiting_request &)> &Hopeless);
+  removeIf(const std::function<bool(const waiting_request &)> &Predicate);
 
 private:
   struct tag {
@@ -72,34 +74,34 @@
       return std::tie(Start, Order) < std::tie(Other.Start, Other.Order);
     }
   };
-  struct entries {
+  struct kind_queue {
     std::map<tag, waiting_request> Entries;
     /// Tags in the order of arrival.
     std::map<std::uint64_t, tag> ByAge;
     double Work = 0;
     std::vector<double> WorkOf;
   };
-  struct place {
+  struct queue_position {
     work_kind Kind;
     tag Tag;
   };
 
-  entries &lane(work_kind Kind);
-  const entries &lane(work_kind Kind) const;
+  kind_queue &queueOf(work_kind Kind);
+  const kind_queue &queueOf(work_kind Kind) const;
   std::size_t bucketOf(std::uint64_t Caller) const;
   double startFor(std::uint64_t Caller) const;
-  const tag *aged(work_kind Kind, duration Bound, instant Now) const;
+  const tag *agedRequest(work_kind Kind, duration Bound, instant Now) const;
   waiting_request take(work_kind Kind,
                        std::map<tag, waiting_request>::iterator);
 
   std::uint64_t Seed;
-  std::vector<double> Ends;
-  double Present = 0;
+  std::vector<double> FinishTags;
+  double VirtualTime = 0;
   std::uint64_t LastOrder = 0;
-  bool TagsTurn = true;
-  entries Short;
-  entries Long;
-  std::unordered_map<request_id, place> Places;
+  bool TagFirst = true;
+  kind_queue Short;
+  kind_queue Long;
+  std::unordered_map<request_id, queue_position> Places;
 };
 
 } // namespace marjoramrail::internal
--- a/src/work/key_claims.cpp
+++ b/src/work/key_claims.cpp
@@ -32,11 +32,11 @@
     instant Since;
     instant SentAt;
     bool Running = false;
-    bool Sure = false;
-    std::vector<host_id> Keepers;
+    bool RecordsComplete = false;
+    std::vector<host_id> Replicas;
     std::size_t Next = 0;
     /// Keepers that may hold this claim.
-    std::set<host_id> Asked;
+    std::set<host_id> Contacted;
     std::optional<key_verdict> Refusal;
   };
   struct notice {
@@ -76,27 +76,27 @@
 };
 
 void key_claims::impl::begin(attempt &Attempt, instant Now) {
-  Attempt.Keepers = Ring.liveKeepers(Attempt.Record.Key);
+  Attempt.Replicas = Ring.liveReplicas(Attempt.Record.Key);
   Attempt.Next = 0;
-  Attempt.Sure = false;
+  Attempt.RecordsComplete = false;
   ask(Attempt, Now);
 }
 
 void key_claims::impl::ask(attempt &Attempt, instant Now) {
-  if (Attempt.Next == Attempt.Keepers.size()) {
+  if (Attempt.Next == Attempt.Replicas.size()) {
     conclude(Attempt.Record.Key, Now);
     return;
   }
-  const host_id Keeper = Attempt.Keepers[Attempt.Next];
+  const host_id Replica = Attempt.Replicas[Attempt.Next];
   key_message Message;
   Message.Kind =
       Attempt.Refusal ? key_message_kind::Query : key_message_kind::Claim;
   Message.From = Self;
-  Message.To = Keeper;
+  Message.To = Replica;
   Message.Digest = Ring.digest();
   Message.Record = Attempt.Record;
   if (!Attempt.Refusal)
-    Attempt.Asked.insert(Keeper);
+    Attempt.Contacted.insert(Replica);
   Attempt.SentAt = Now;
   Outbox.push_back(std::move(Message));
 }
@@ -105,7 +105,7 @@
                             instant Now) {
   switch (Answer.Kind) {
   case key_message_kind::Granted:
-    Attempt.Sure = Attempt.Sure || Answer.Sure;
+    Attempt.RecordsComplete = Attempt.RecordsComplete || Answer.RecordsComplete;
     ++Attempt.Next;
     ask(Attempt, Now);
     return;
@@ -145,8 +145,8 @@
     end(Key, *Attempt.Refusal, key_state::Released, Now);
     return;
   }
-  if (!Attempt.Sure) {
-    end(Key, key_verdict::NotSure, key_state::Released, Now);
+  if (!Attempt.RecordsComplete) {
+    end(Key, key_verdict::RecordsIncomplete, key_state::Released, Now);
     return;
   }
   Attempt.Running = true;
@@ -166,8 +166,8 @@
 }
 
 void key_claims::impl::notify(const attempt &Attempt, instant Now) {
-  for (const host_id Keeper : Attempt.Asked) {
-    Notices[{Attempt.Record.Key, Keeper}] = {Attempt.Record, instant(), 1};
+  for (const host_id Replica : Attempt.Contacted) {
+    Notices[{Attempt.Record.Key, Replica}] = {Attempt.Record, instant(), 1};
   }
   resend(Now);
 }
@@ -230,7 +230,7 @@
   for (const std::string &Key : Asking) {
     impl::attempt &Attempt = Impl->Attempts.at(Key);
     if (!Impl->member() || Attempt.Refusal)
-      Impl->end(Key, Attempt.Refusal.value_or(key_verdict::NotSure),
+      Impl->end(Key, Attempt.Refusal.value_or(key_verdict::RecordsIncomplete),
                 key_state::Released, Now);
     else
       Impl->begin(Attempt, Now);
@@ -257,7 +257,7 @@
   if (open() >= Impl->Settings.MaxRecords)
     return Refuse(key_verdict::Full, "");
   if (!Impl->member())
-    return Refuse(key_verdict::NotSure, "");
+    return Refuse(key_verdict::RecordsIncomplete, "");
   impl::attempt &Attempt = Impl->Attempts[Key];
   Attempt.Record.Key = Key;
   Attempt.Record.Runner = Impl->Self;
@@ -282,8 +282,8 @@
   if (Found == Impl->Attempts.end() || Found->second.Running)
     return Impl->drain();
   impl::attempt &Attempt = Found->second;
-  const bool Expected = Attempt.Next < Attempt.Keepers.size() &&
-                        Attempt.Keepers[Attempt.Next] == Message.From &&
+  const bool Expected = Attempt.Next < Attempt.Replicas.size() &&
+                        Attempt.Replicas[Attempt.Next] == Message.From &&
                         Attempt.Record.Attempt == Record.Attempt;
   if (Expected && Message.Digest == Impl->Ring.digest())
     Impl->take(Attempt, Message, Now);
@@ -312,8 +312,8 @@
   Attempt.Record.State = State;
   if (Outcome.size() <= Impl->Settings.MaxOutcome)
     Attempt.Record.Outcome = Outcome;
-  for (const host_id Keeper : Impl->Ring.liveKeepers(Key))
-    Attempt.Asked.insert(Keeper);
+  for (const host_id Replica : Impl->Ring.liveReplicas(Key))
+    Attempt.Contacted.insert(Replica);
   Impl->notify(Attempt, Now);
   return Impl->drain();
 }
@@ -324,7 +324,7 @@
     if (!Attempt.Running)
       Asking.push_back(Key);
   for (const std::string &Key : Asking)
-    Impl->end(Key, key_verdict::NotSure, key_state::Released, Now);
+    Impl->end(Key, key_verdict::RecordsIncomplete, key_state::Released, Now);
   Impl->Incarnation = Incarnation;
 }
 
--- a/src/work/key_keeper.cpp
+++ b/src/work/key_replica.cpp
@@ -8,7 +8,7 @@
 /// may be lost would have expired.
 #include "marjoramrail/work.h"
 
-#include "work/key_coverage.h"
+#include "work/record_completeness.h"
 
 namespace marjoramrail {
 
@@ -28,7 +28,7 @@
 }
 
 /// Of two attempts: one that ran, then one that may have, then one under way.
-int rankOf(key_state State) {
+int rankAcrossAttempts(key_state State) {
   switch (State) {
   case key_state::Done:
     return 3;
@@ -43,19 +43,24 @@
 }
 
 /// Of one attempt: done, given back by its runner, unknown, claimed.
-int rankWithin(key_state State) {
-  return State == key_state::Released ? rankOf(key_state::Unknown) + 1
-                                      : rankOf(State) * 2;
+int rankWithinAttempt(key_state State) {
+  return State == key_state::Released
+             ? rankAcrossAttempts(key_state::Unknown) + 1
+             : rankAcrossAttempts(State) * 2;
 }
 
 /// What a keeper goes by that had \p Known and hears of \p Other.
-key_record joined(const key_record &Known, const key_record &Other) {
+key_record mergedRecord(const key_record &Known, const key_record &Other) {
   if (sameAttempt(Known, Other))
-    return rankWithin(Other.State) > rankWithin(Known.State) ? Other : Known;
+    return rankWithinAttempt(Other.State) > rankWithinAttempt(Known.State)
+               ? Other
+               : Known;
   const bool BothClaimed =
       Known.State == key_state::Claimed && Other.State == key_state::Claimed;
   if (!BothClaimed)
-    return rankOf(Other.State) > rankOf(Known.State) ? Other : Known;
+    return rankAcrossAttempts(Other.State) > rankAcrossAttempts(Known.State)
+               ? Other
+               : Known;
   // One of them was granted by a keeper that was not sure and will be given
   // back; with one record for both, that would free the key while the other
   // runs. No attempt has the number 0, so nothing gives this one back.
@@ -67,8 +72,8 @@
 
 } // namespace
 
-struct key_keeper::impl {
-  struct kept {
+struct key_replica::impl {
+  struct stored_record {
     key_record Record;
     instant At;
   };
@@ -79,9 +84,9 @@
   };
 
   impl(host_id Self, std::uint32_t Incarnation, const key_settings &Settings,
-       keeper_past Past)
+       replica_history Past)
       : Self(Self), Incarnation(Incarnation), Settings(Settings),
-        Coverage(Self, Settings.Lifetime, Past) {}
+        Completeness(Self, Settings.Lifetime, Past) {}
 
   bool member() const {
     const key_member *Entry = Ring.member(Self);
@@ -93,99 +98,99 @@
   }
 
   key_messages take(const key_view &View, instant Now);
-  key_message answerTo(const key_message &Asked, key_message_kind Kind) const;
-  key_message decide(const key_message &Asked, instant Now);
-  key_message grant(const key_message &Asked, instant Now);
+  key_message answerTo(const key_message &Request, key_message_kind Kind) const;
+  key_message decide(const key_message &Request, instant Now);
+  key_message grant(const key_message &Request, instant Now);
   void settle(const key_record &Final, instant Now);
   void expire(instant Now);
-  void loseRunners(instant Now);
-  key_messages askForRecords(instant Now);
-  key_message sendRecords(const key_message &Asked, instant Now) const;
-  key_messages takeRecords(const key_message &Message, instant Now);
+  void markLostRunnersUnknown(instant Now);
+  key_messages requestRecords(instant Now);
+  key_message sendRecords(const key_message &Request, instant Now) const;
+  key_messages receiveRecords(const key_message &Message, instant Now);
   void merge(const key_record &Other, instant Now);
 
   host_id Self;
   std::uint32_t Incarnation;
   key_settings Settings;
   key_ring Ring;
-  key_coverage Coverage;
-  std::map<std::string, kept> Records;
+  record_completeness Completeness;
+  std::map<std::string, stored_record> Records;
   std::map<host_id, sync> Syncs;
   instant NextExpiry;
 };
 
-key_messages key_keeper::impl::take(const key_view &View, instant Now) {
+key_messages key_replica::impl::take(const key_view &View, instant Now) {
   const std::uint64_t Before = Ring.digest();
   Ring = key_ring(View);
   if (Ring.digest() == Before)
     return {};
   if (member())
-    Coverage.take(View, Now);
+    Completeness.take(View, Now);
   else
-    Coverage.lost(Now);
-  loseRunners(Now);
+    Completeness.resetRecords(Now);
+  markLostRunnersUnknown(Now);
   Syncs.clear();
-  return askForRecords(Now);
+  return requestRecords(Now);
 }
 
 /// A runner that is gone may have run its keys: nobody knows, so they are never
 /// run again.
-void key_keeper::impl::loseRunners(instant Now) {
-  for (auto &[Key, Kept] : Records) {
-    if (Kept.Record.State != key_state::Claimed || !runnerLost(Kept.Record))
+void key_replica::impl::markLostRunnersUnknown(instant Now) {
+  for (auto &[Key, Stored] : Records) {
+    if (Stored.Record.State != key_state::Claimed || !runnerLost(Stored.Record))
       continue;
-    Kept.Record.State = key_state::Unknown;
-    Kept.At = Now;
+    Stored.Record.State = key_state::Unknown;
+    Stored.At = Now;
   }
 }
 
-key_message key_keeper::impl::answerTo(const key_message &Asked,
-                                       key_message_kind Kind) const {
+key_message key_replica::impl::answerTo(const key_message &Request,
+                                        key_message_kind Kind) const {
   key_message Answer;
   Answer.Kind = Kind;
   Answer.From = Self;
-  Answer.To = Asked.From;
+  Answer.To = Request.From;
   Answer.Digest = Ring.digest();
-  Answer.Record = Asked.Record;
+  Answer.Record = Request.Record;
   return Answer;
 }
 
-key_message key_keeper::impl::grant(const key_message &Asked, instant Now) {
-  if (Asked.Kind == key_message_kind::Claim) {
-    Records[Asked.Record.Key] = {Asked.Record, Now};
-    Records[Asked.Record.Key].Record.State = key_state::Claimed;
+key_message key_replica::impl::grant(const key_message &Request, instant Now) {
+  if (Request.Kind == key_message_kind::Claim) {
+    Records[Request.Record.Key] = {Request.Record, Now};
+    Records[Request.Record.Key].Record.State = key_state::Claimed;
   }
-  key_message Answer = answerTo(Asked, key_message_kind::Granted);
-  Answer.Sure = Coverage.sure(Asked.Record.Key, Now);
+  key_message Answer = answerTo(Request, key_message_kind::Granted);
+  Answer.RecordsComplete = Completeness.isCompleteFor(Request.Record.Key, Now);
   return Answer;
 }
 
-key_message key_keeper::impl::decide(const key_message &Asked, instant Now) {
-  const bool Claims = Asked.Kind == key_message_kind::Claim;
-  if (Asked.Digest != Ring.digest() || !member())
-    return answerTo(Asked, key_message_kind::Behind);
-  const auto Found = Records.find(Asked.Record.Key);
+key_message key_replica::impl::decide(const key_message &Request, instant Now) {
+  const bool Claims = Request.Kind == key_message_kind::Claim;
+  if (Request.Digest != Ring.digest() || !member())
+    return answerTo(Request, key_message_kind::ViewMismatch);
+  const auto Found = Records.find(Request.Record.Key);
   if (Found == Records.end()) {
     if (Claims && Records.size() >= Settings.MaxRecords)
-      return answerTo(Asked, key_message_kind::Full);
-    return grant(Asked, Now);
+      return answerTo(Request, key_message_kind::Full);
+    return grant(Request, Now);
   }
   const key_record &Known = Found->second.Record;
-  const bool Same = sameAttempt(Known, Asked.Record);
-  const bool Given = Known.State == key_state::Released;
-  if (Same && Given) {
+  const bool Same = sameAttempt(Known, Request.Record);
+  const bool WasReleased = Known.State == key_state::Released;
+  if (Same && WasReleased) {
     // A claim that was given back and arrives again; its runner has moved on.
-    return answerTo(Asked, key_message_kind::Behind);
+    return answerTo(Request, key_message_kind::ViewMismatch);
   }
-  if (Given || (Same && Known.State == key_state::Claimed))
-    return grant(Asked, Now);
-  key_message Answer = answerTo(Asked, key_message_kind::Held);
+  if (WasReleased || (Same && Known.State == key_state::Claimed))
+    return grant(Request, Now);
+  key_message Answer = answerTo(Request, key_message_kind::Held);
   Answer.Record.State = Known.State;
   Answer.Record.Outcome = Known.Outcome;
   return Answer;
 }
 
-void key_keeper::impl::settle(const key_record &Final, instant Now) {
+void key_replica::impl::settle(const key_record &Final, instant Now) {
   const auto Found = Records.find(Final.Key);
   if (Found == Records.end()) {
     // A notice can overtake the claim that it ends; kept, it voids the claim.
@@ -201,21 +206,21 @@
   const bool Ends = sameAttempt(Known, Final) && Known.State != Final.State;
   if (MayHaveRun || Ends)
     Found->second.At = Now;
-  Known = Final.State == key_state::Done ? Final : joined(Known, Final);
+  Known = Final.State == key_state::Done ? Final : mergedRecord(Known, Final);
 }
 
-void key_keeper::impl::expire(instant Now) {
+void key_replica::impl::expire(instant Now) {
   if (Now < NextExpiry)
     return;
   NextExpiry = Now + Settings.Lifetime / 16;
   for (auto Next = Records.begin(); Next != Records.end();) {
-    kept &Kept = Next->second;
-    if (Now - Kept.At <= Settings.Lifetime) {
+    stored_record &Stored = Next->second;
+    if (Now - Stored.At <= Settings.Lifetime) {
       ++Next;
-    } else if (Kept.Record.State == key_state::Claimed) {
+    } else if (Stored.Record.State == key_state::Claimed) {
       // No request runs for so long: its end was lost.
-      Kept.Record.State = key_state::Unknown;
-      Kept.At = Now;
+      Stored.Record.State = key_state::Unknown;
+      Stored.At = Now;
       ++Next;
     } else {
       Next = Records.erase(Next);
@@ -223,12 +228,13 @@
   }
 }
 
-key_messages key_keeper::impl::askForRecords(instant Now) {
+key_messages key_replica::impl::requestRecords(instant Now) {
   key_messages Out;
   if (!member())
     return Out;
   for (const key_member &Peer : Ring.view().Hosts) {
-    if (Peer.Host == Self || Peer.Down || !Coverage.needs(Peer.Host, Now))
+    if (Peer.Host == Self || Peer.Down ||
+        !Completeness.needsRecordsFrom(Peer.Host, Now))
       continue;
     const bool New = !Syncs.contains(Peer.Host);
     sync &Sync = Syncs[Peer.Host];
@@ -239,7 +245,7 @@
       Sync = {};
     Sync.SentAt = Now;
     key_message Ask;
-    Ask.Kind = key_message_kind::SyncAsk;
+    Ask.Kind = key_message_kind::SyncRequest;
     Ask.From = Self;
     Ask.To = Peer.Host;
     Ask.Digest = Ring.digest();
@@ -249,37 +255,37 @@
   return Out;
 }
 
-key_message key_keeper::impl::sendRecords(const key_message &Asked,
-                                          instant Now) const {
-  key_message Answer = answerTo(Asked, key_message_kind::SyncRecords);
-  const std::string &Cursor = Asked.Record.Key;
+key_message key_replica::impl::sendRecords(const key_message &Request,
+                                           instant Now) const {
+  key_message Answer = answerTo(Request, key_message_kind::SyncRecords);
+  const std::string &Cursor = Request.Record.Key;
   auto Next = Cursor.empty() ? Records.begin() : Records.upper_bound(Cursor);
   for (; Next != Records.end() && Answer.Records.size() < SyncBatch; ++Next) {
-    if (!contains(Ring.keepers(Next->first), Asked.From))
+    if (!contains(Ring.replicas(Next->first), Request.From))
       continue;
     Answer.Records.push_back(Next->second.Record);
     Answer.Records.back().Age = Now - Next->second.At;
   }
   Answer.Last = Next == Records.end();
-  Answer.Vouched = Coverage.vouches(Now);
+  Answer.CompleteGenerations = Completeness.completeGenerations(Now);
   return Answer;
 }
 
-void key_keeper::impl::merge(const key_record &Other, instant Now) {
+void key_replica::impl::merge(const key_record &Other, instant Now) {
   const auto Found = Records.find(Other.Key);
-  const kept Given{Other, Now - Other.Age};
+  const stored_record Received{Other, Now - Other.Age};
   if (Found == Records.end()) {
-    Records[Other.Key] = Given;
+    Records[Other.Key] = Received;
     return;
   }
-  Found->second.Record = joined(Found->second.Record, Other);
+  Found->second.Record = mergedRecord(Found->second.Record, Other);
   // Whichever is kept stands for both: had the older one hidden a run after its
   // own expiry, the key would be free again too early.
-  Found->second.At = std::max(Found->second.At, Given.At);
+  Found->second.At = std::max(Found->second.At, Received.At);
 }
 
-key_messages key_keeper::impl::takeRecords(const key_message &Message,
-                                           instant Now) {
+key_messages key_replica::impl::receiveRecords(const key_message &Message,
+                                               instant Now) {
   const auto Found = Syncs.find(Message.From);
   const bool Expected = Found != Syncs.end() && !Found->second.Finished &&
                         Found->second.Cursor == Message.Record.Key;
@@ -287,29 +293,29 @@
     return {};
   for (const key_record &Record : Message.Records)
     merge(Record, Now);
-  loseRunners(Now);
+  markLostRunnersUnknown(Now);
   sync &Sync = Found->second;
   if (Message.Last) {
     Sync.Finished = true;
-    Coverage.vouched(Message.From, Message.Vouched);
+    Completeness.recordsReceived(Message.From, Message.CompleteGenerations);
     return {};
   }
   Sync.Cursor = Message.Records.back().Key;
   Sync.SentAt = instant();
-  return askForRecords(Now);
+  return requestRecords(Now);
 }
 
-key_keeper::key_keeper(host_id Self, std::uint32_t Incarnation,
-                       const key_settings &Settings, keeper_past Past)
+key_replica::key_replica(host_id Self, std::uint32_t Incarnation,
+                         const key_settings &Settings, replica_history Past)
     : Impl(std::make_unique<impl>(Self, Incarnation, Settings, Past)) {}
 
-key_keeper::~key_keeper() = default;
+key_replica::~key_replica() = default;
 
-key_messages key_keeper::take(const key_view &View, instant Now) {
+key_messages key_replica::take(const key_view &View, instant Now) {
   return Impl->take(View, Now);
 }
 
-key_messages key_keeper::receive(const key_message &Message, instant Now) {
+key_messages key_replica::receive(const key_message &Message, instant Now) {
   Impl->expire(Now);
   switch (Message.Kind) {
   case key_message_kind::Claim:
@@ -318,32 +324,32 @@
   case key_message_kind::Settle:
     Impl->settle(Message.Record, Now);
     return {Impl->answerTo(Message, key_message_kind::SettleAck)};
-  case key_message_kind::SyncAsk:
+  case key_message_kind::SyncRequest:
     if (Message.Digest != Impl->Ring.digest() || !Impl->member())
       return {};
     return {Impl->sendRecords(Message, Now)};
   case key_message_kind::SyncRecords:
-    return Impl->takeRecords(Message, Now);
+    return Impl->receiveRecords(Message, Now);
   default:
     return {};
   }
 }
 
-key_messages key_keeper::tick(instant Now) {
+key_messages key_replica::tick(instant Now) {
   Impl->expire(Now);
-  return Impl->askForRecords(Now);
+  return Impl->requestRecords(Now);
 }
 
-void key_keeper::lapsed(std::uint32_t Incarnation, instant Now) {
+void key_replica::lapsed(std::uint32_t Incarnation, instant Now) {
   Impl->Incarnation = Incarnation;
-  Impl->Coverage.lost(Now);
+  Impl->Completeness.resetRecords(Now);
   Impl->Syncs.clear();
 }
 
-std::size_t key_keeper::records() const { return Impl->Records.size(); }
+std::size_t key_replica::records() const { return Impl->Records.size(); }
 
-bool key_keeper::settled(instant Now) const {
-  return Impl->member() && Impl->Coverage.settled(Now);
+bool key_replica::settled(instant Now) const {
+  return Impl->member() && Impl->Completeness.settled(Now);
 }
 
 } // namespace marjoramrail
--- a/src/work/key_ring.cpp
+++ b/src/work/key_ring.cpp
@@ -31,10 +31,10 @@
 
 } // namespace
 
-std::vector<host_id> keepersUnder(const key_generation &Generation,
-                                  const std::string &Key) {
+std::vector<host_id> replicasUnder(const key_generation &Generation,
+                                   const std::string &Key) {
   std::vector<host_id> Hosts = Generation.Members;
-  const std::size_t Count = std::min(Hosts.size(), KeepersPerGeneration);
+  const std::size_t Count = std::min(Hosts.size(), ReplicasPerGeneration);
   std::partial_sort(Hosts.begin(), Hosts.begin() + std::ptrdiff_t(Count),
                     Hosts.end(), [&](host_id Left, host_id Right) {
                       return std::pair(scoreOf(Key, Left), Left) >
@@ -63,16 +63,16 @@
   return Member && !Member->Down;
 }
 
-std::vector<host_id> key_ring::keepers(const std::string &Key) const {
+std::vector<host_id> key_ring::replicas(const std::string &Key) const {
   std::set<host_id> All;
   for (const key_generation &Generation : View.Generations)
-    for (const host_id Host : keepersUnder(Generation, Key))
+    for (const host_id Host : replicasUnder(Generation, Key))
       All.insert(Host);
   return {All.begin(), All.end()};
 }
 
-std::vector<host_id> key_ring::liveKeepers(const std::string &Key) const {
-  std::vector<host_id> Live = keepers(Key);
+std::vector<host_id> key_ring::liveReplicas(const std::string &Key) const {
+  std::vector<host_id> Live = replicas(Key);
   std::erase_if(Live, [&](host_id Host) { return !up(Host); });
   return Live;
 }
--- a/src/work/key_ring.h
+++ b/src/work/key_ring.h
@@ -18,11 +18,11 @@
 
 namespace marjoramrail::internal {
 
-inline constexpr std::size_t KeepersPerGeneration = 2;
+inline constexpr std::size_t ReplicasPerGeneration = 2;
 
 /// The keepers of \p Key under one generation.
-std::vector<host_id> keepersUnder(const key_generation &Generation,
-                                  const std::string &Key);
+std::vector<host_id> replicasUnder(const key_generation &Generation,
+                                   const std::string &Key);
 
 bool contains(const std::vector<host_id> &Hosts, host_id Host);
 
@@ -39,9 +39,9 @@
   /// Keepers under all generations, in the order in which they are asked. All
   /// runners ask in this order, so that of two the first asked decides and
   /// neither waits for the other.
-  std::vector<host_id> keepers(const std::string &Key) const;
+  std::vector<host_id> replicas(const std::string &Key) const;
   /// Those of keepers() that are not down.
-  std::vector<host_id> liveKeepers(const std::string &Key) const;
+  std::vector<host_id> liveReplicas(const std::string &Key) const;
 
 private:
   key_view View;
--- a/src/work/key_coverage.cpp
+++ b/src/work/record_completeness.cpp
@@ -1,4 +1,4 @@
-#include "work/key_coverage.h"
+#include "work/record_completeness.h"
 
 #include <algorithm>
 
@@ -10,38 +10,39 @@
 /// was claimed there without it. Without that exception hosts that join
 /// together wait for each other's word until the lifetime has passed, and every
 /// key that two of them keep is refused meanwhile.
-key_coverage::covered key_coverage::covering(const key_generation &Generation,
-                                             instant Now) const {
-  const bool Continuous = !FirstView || Past == keeper_past::FirstOfService;
+record_completeness::generation_records
+record_completeness::startTracking(const key_generation &Generation,
+                                   instant Now) const {
+  const bool Continuous = !FirstView || Past == replica_history::FirstOfService;
   const bool AskedInAll =
-      Past == keeper_past::NeverRan && contains(Generation.Members, Self);
+      Past == replica_history::NeverRan && contains(Generation.Members, Self);
   return {Generation, Now, Continuous || AskedInAll, Continuous, {}};
 }
 
-void key_coverage::take(const key_view &View, instant Now) {
+void record_completeness::take(const key_view &View, instant Now) {
   bool Grew = false;
   for (const key_generation &Generation : View.Generations) {
     if (Generations.contains(Generation.Number))
       continue;
-    Generations[Generation.Number] = covering(Generation, Now);
+    Generations[Generation.Number] = startTracking(Generation, Now);
     Grew = true;
   }
   if (View.Generations.empty())
     return;
   const std::uint64_t Newest = View.Generations.front().Number;
   const bool MayBeNewKeeper = Grew && !FirstView;
-  if (FirstView && Past == keeper_past::MayHaveRun)
-    lost(Now);
+  if (FirstView && Past == replica_history::MayHaveRun)
+    resetRecords(Now);
   FirstView = false;
   for (auto &[Number, Each] : Generations) {
     if (Number >= Newest || !MayBeNewKeeper)
       continue;
     // Under the newest generation this agent keeps keys that it did not keep
     // before; their records are with the keepers of the older ones.
-    Each.Native = Each.Native || complete(Each, Now);
+    Each.SawAllClaims = Each.SawAllClaims || complete(Each, Now);
     Each.Complete = false;
     Each.Since = Now;
-    Each.Vouched.clear();
+    Each.SyncedHosts.clear();
     checkComplete(Each);
   }
   std::erase_if(Generations, [&](const auto &Entry) {
@@ -54,80 +55,84 @@
   });
 }
 
-void key_coverage::lost(instant Now) {
+void record_completeness::resetRecords(instant Now) {
   FirstView = true;
-  Past = keeper_past::MayHaveRun;
+  Past = replica_history::MayHaveRun;
   for (auto &[Number, Each] : Generations) {
-    Each.Native = false;
+    Each.SawAllClaims = false;
     Each.Complete = false;
     Each.Since = Now;
-    Each.Vouched.clear();
+    Each.SyncedHosts.clear();
   }
 }
 
-void key_coverage::vouched(host_id Host,
-                           const std::vector<std::uint64_t> &Numbers) {
+void record_completeness::recordsReceived(
+    host_id Host, const std::vector<std::uint64_t> &Numbers) {
   for (const std::uint64_t Number : Numbers) {
     const auto Found = Generations.find(Number);
     if (Found == Generations.end())
       continue;
-    Found->second.Vouched.insert(Host);
+    Found->second.SyncedHosts.insert(Host);
     checkComplete(Found->second);
   }
 }
 
 /// With two keepers a key, one that has not vouched may be missing as long as
 /// it is never the only other keeper of a key of ours.
-void key_coverage::checkComplete(covered &Each) const {
+void record_completeness::checkComplete(generation_records &Each) const {
   std::size_t Missing = 0;
   for (const host_id Host : Each.Generation.Members)
-    Missing += Host != Self && !Each.Vouched.contains(Host) ? 1 : 0;
-  const std::size_t Allowed = Each.Native ? 1 : 0;
+    Missing += Host != Self && !Each.SyncedHosts.contains(Host) ? 1 : 0;
+  const std::size_t Allowed = Each.SawAllClaims ? 1 : 0;
   if (Missing > Allowed)
     return;
   Each.Complete = true;
-  Each.Native = true;
+  Each.SawAllClaims = true;
 }
 
-bool key_coverage::complete(const covered &Each, instant Now) const {
+bool record_completeness::complete(const generation_records &Each,
+                                   instant Now) const {
   return Each.Complete || Now - Each.Since > Lifetime;
 }
 
-bool key_coverage::sure(const std::string &Key, instant Now) const {
+bool record_completeness::isCompleteFor(const std::string &Key,
+                                        instant Now) const {
   for (const auto &Entry : Generations) {
-    const covered &Each = Entry.second;
+    const generation_records &Each = Entry.second;
     if (complete(Each, Now))
       continue;
-    const std::vector<host_id> Keepers = keepersUnder(Each.Generation, Key);
+    const std::vector<host_id> Replicas = replicasUnder(Each.Generation, Key);
     const bool Known =
-        (Each.Native && contains(Keepers, Self)) ||
-        std::any_of(Keepers.begin(), Keepers.end(),
-                    [&](host_id Host) { return Each.Vouched.contains(Host); });
+        (Each.SawAllClaims && contains(Replicas, Self)) ||
+        std::any_of(Replicas.begin(), Replicas.end(), [&](host_id Host) {
+          return Each.SyncedHosts.contains(Host);
+        });
     if (!Known)
       return false;
   }
   return !Generations.empty();
 }
 
-bool key_coverage::needs(host_id Host, instant Now) const {
+bool record_completeness::needsRecordsFrom(host_id Host, instant Now) const {
   return std::any_of(
       Generations.begin(), Generations.end(), [&](const auto &Entry) {
-        const covered &Each = Entry.second;
-        return !complete(Each, Now) && !Each.Vouched.contains(Host) &&
+        const generation_records &Each = Entry.second;
+        return !complete(Each, Now) && !Each.SyncedHosts.contains(Host) &&
                contains(Each.Generation.Members, Host);
       });
 }
 
-bool key_coverage::settled(instant Now) const {
+bool record_completeness::settled(instant Now) const {
   return std::all_of(
       Generations.begin(), Generations.end(),
       [&](const auto &Entry) { return complete(Entry.second, Now); });
 }
 
-std::vector<std::uint64_t> key_coverage::vouches(instant Now) const {
+std::vector<std::uint64_t>
+record_completeness::completeGenerations(instant Now) const {
   std::vector<std::uint64_t> Numbers;
   for (const auto &[Number, Each] : Generations) {
-    if (Each.Native || complete(Each, Now))
+    if (Each.SawAllClaims || complete(Each, Now))
       Numbers.push_back(Number);
     // A later generation's keeper may lack what was claimed before it.
     if (!complete(Each, Now))
--- a/src/work/relay_choice.cpp
+++ b/src/work/relay_choice.cpp
@@ -39,7 +39,7 @@
 };
 
 /// Of what was sent, the share that is still in a slot.
-double leftAt(const peer &Peer, instant Now) {
+double remainingShare(const peer &Peer, instant Now) {
   const std::chrono::duration<double> Passed = Now - Peer.SentAt;
   const std::chrono::duration<double> Service = Peer.Load.Service;
   return std::exp(-Passed.count() / Service.count());
@@ -89,7 +89,7 @@
 
 void relay_choice::forget(host_id Peer) { Impl->Peers.erase(Peer); }
 
-void relay_choice::relayedHere(host_id Peer, instant Now) {
+void relay_choice::receivedRelayFrom(host_id Peer, instant Now) {
   const auto Found = Impl->Peers.find(Peer);
   if (Found == Impl->Peers.end())
     return;
@@ -117,12 +117,12 @@
 /// queue that grows is seen too late.
 double relay_choice::impl::loadOf(const peer &Peer, instant Now) {
   const double Sent =
-      Peer.Sent * leftAt(Peer, Now) / std::max(Peer.Load.Slots, 1.0);
+      Peer.Sent * remainingShare(Peer, Now) / std::max(Peer.Load.Slots, 1.0);
   return (Peer.Load.Busy + Peer.Load.Pressure) / 2 + Sent;
 }
 
 void relay_choice::impl::countSent(peer &Peer, instant Now) {
-  Peer.Sent = Peer.Sent * leftAt(Peer, Now) + 1;
+  Peer.Sent = Peer.Sent * remainingShare(Peer, Now) + 1;
   Peer.SentAt = Now;
 }
 
--- a/src/work/return_time.h
+++ b/src/work/retry_after_estimator.h
@@ -1,4 +1,5 @@
-//===- return_time.h - When a refused caller should come back ---*- C++ -*-===//
+//===- retry_after_estimator.h - When a refused caller should come back ---*-
+//C++ -*-===//
 ///
 /// \file
 /// An honest retry-after: the time until the queue has drained, and the work of
@@ -12,8 +13,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef MARJORAMRAIL_SRC_WORK_RETURN_TIME_H
-#define MARJORAMRAIL_SRC_WORK_RETURN_TIME_H
+#ifndef MARJORAMRAIL_SRC_WORK_RETRY_AFTER_ESTIMATOR_H
+#define MARJORAMRAIL_SRC_WORK_RETRY_AFTER_ESTIMATOR_H
 
 #include "marjoramrail/base.h"
 
@@ -21,16 +22,18 @@
 
 namespace marjoramrail::internal {
 
-class return_time {
+class retry_after_estimator {
 public:
-  return_time(duration Max, std::uint64_t Seed) : Max(Max), Random(Seed) {}
+  retry_after_estimator(duration Max, std::uint64_t Seed)
+      : Max(Max), Random(Seed) {}
 
   /// \p Need seconds of work came as a first try.
-  void firstTry(double Need, instant Now);
+  void firstTry(double ServiceSeconds, instant Now);
 
   /// Books \p Need seconds of work for later and says when, given \p Queued
   /// seconds of work that wait and \p Slots that serve them.
-  duration book(double Need, double Queued, double Slots, instant Now);
+  duration book(double ServiceSeconds, double Queued, double Slots,
+                instant Now);
 
   /// Callers come back up to this share later than the place they were given.
   static constexpr double Jitter = 0.25;
@@ -38,14 +41,14 @@
   /// pass for the load of the time after it.
   static constexpr double AverageSeconds = 30;
   /// Less is never assumed to be left beside first tries.
-  static constexpr double LeastSpare = 0.2;
-  static constexpr duration Least = std::chrono::milliseconds(20);
+  static constexpr double MinSpareShare = 0.2;
+  static constexpr duration MinRetryAfter = std::chrono::milliseconds(20);
 
 private:
   duration Max;
   std::mt19937_64 Random;
   /// Work sent away whose time has not come, seconds of a slot.
-  double SentAway = 0;
+  double DeferredWork = 0;
   instant At;
   /// Seconds of first-try work per second.
   double FirstTries = 0;
@@ -54,4 +57,4 @@
 
 } // namespace marjoramrail::internal
 
-#endif // MARJORAMRAIL_SRC_WORK_RETURN_TIME_H
+#endif // MARJORAMRAIL_SRC_WORK_RETRY_AFTER_ESTIMATOR_H
--- a/src/work/retry_budget.h
+++ b/src/work/retry_budget.h
@@ -21,7 +21,7 @@
 public:
   explicit retry_budget(double Share) : Share(Share) {}
 
-  void firstTry() { Tokens = std::min(Tokens + Share, Most); }
+  void firstTry() { Tokens = std::min(Tokens + Share, MaxTokens); }
 
   /// True if a retry may join the queue now.
   bool take() {
@@ -33,10 +33,10 @@
 
 private:
   /// What a quiet time may save up for a burst of retries.
-  static constexpr double Most = 10;
+  static constexpr double MaxTokens = 10;
 
   double Share;
-  double Tokens = Most;
+  double Tokens = MaxTokens;
 };
 
 } // namespace marjoramrail::internal
--- a/src/work/silent_flow.cpp
+++ b/src/work/silent_flow.cpp
@@ -21,11 +21,11 @@
 
 namespace {
 
-constexpr int Probes = 2;
+constexpr int ProbesBeforeClose = 2;
 /// A probe that the budget does not cover is tried again after this.
-constexpr duration PutOff = std::chrono::milliseconds(500);
+constexpr duration BudgetRetryInterval = std::chrono::milliseconds(500);
 /// Seconds of the budget that may be saved up.
-constexpr double SavedSeconds = 2;
+constexpr double MaxBudgetSeconds = 2;
 
 } // namespace
 
@@ -33,7 +33,7 @@
   struct state {
     instant Heard;
     int Sent = 0;
-    std::multimap<instant, flow_key>::iterator Turn;
+    std::multimap<instant, flow_key>::iterator DueEntry;
   };
   using flows = std::unordered_map<flow_key, state, flow_key_hash>;
 
@@ -42,28 +42,29 @@
     return Settings.Bound * (6 + Sent) / 8;
   }
   void schedule(const flow_key &Flow, state &State, instant When) {
-    State.Turn = Turns.emplace(When, Flow);
+    State.DueEntry = DueTimes.emplace(When, Flow);
   }
-  bool pay(instant Now);
+  bool takeProbeBudget(instant Now);
 
   silent_settings Settings;
   flows Flows;
   /// When each flow is next looked at; hearing from one only notes the time.
-  std::multimap<instant, flow_key> Turns;
-  double Saved = 0;
-  instant PaidAt;
-  double Spent = 0;
+  std::multimap<instant, flow_key> DueTimes;
+  double AvailableBytes = 0;
+  instant RefilledAt;
+  double SpentBytes = 0;
 };
 
-bool silent_flows::impl::pay(instant Now) {
-  const std::chrono::duration<double> Passed = Now - PaidAt;
-  PaidAt = Now;
-  const double Most = Settings.BytesPerSecond * SavedSeconds;
-  Saved = std::min(Most, Saved + Passed.count() * Settings.BytesPerSecond);
-  if (Saved < Settings.ProbeBytes)
+bool silent_flows::impl::takeProbeBudget(instant Now) {
+  const std::chrono::duration<double> Passed = Now - RefilledAt;
+  RefilledAt = Now;
+  const double Most = Settings.BytesPerSecond * MaxBudgetSeconds;
+  AvailableBytes =
+      std::min(Most, AvailableBytes + Passed.count() * Settings.BytesPerSecond);
+  if (AvailableBytes < Settings.ProbeBytes)
     return false;
-  Saved -= Settings.ProbeBytes;
-  Spent += Settings.ProbeBytes;
+  AvailableBytes -= Settings.ProbeBytes;
+  SpentBytes += Settings.ProbeBytes;
   return true;
 }
 
@@ -81,7 +82,7 @@
   Impl->schedule(Flow, State, Now + Impl->quietBefore(0));
 }
 
-void silent_flows::heard(const flow_key &Flow, instant Now) {
+void silent_flows::received(const flow_key &Flow, instant Now) {
   const auto Found = Impl->Flows.find(Flow);
   if (Found == Impl->Flows.end())
     return;
@@ -93,24 +94,24 @@
   const auto Found = Impl->Flows.find(Flow);
   if (Found == Impl->Flows.end())
     return;
-  Impl->Turns.erase(Found->second.Turn);
+  Impl->DueTimes.erase(Found->second.DueEntry);
   Impl->Flows.erase(Found);
 }
 
 std::vector<silent_action> silent_flows::tick(instant Now) {
   std::vector<silent_action> Actions;
-  while (!Impl->Turns.empty() && Impl->Turns.begin()->first <= Now) {
-    const flow_key Flow = Impl->Turns.begin()->second;
-    Impl->Turns.erase(Impl->Turns.begin());
+  while (!Impl->DueTimes.empty() && Impl->DueTimes.begin()->first <= Now) {
+    const flow_key Flow = Impl->DueTimes.begin()->second;
+    Impl->DueTimes.erase(Impl->DueTimes.begin());
     impl::state &State = Impl->Flows.at(Flow);
     const instant Due = State.Heard + Impl->quietBefore(State.Sent);
     if (Due > Now) {
       Impl->schedule(Flow, State, Due);
-    } else if (State.Sent == Probes) {
+    } else if (State.Sent == ProbesBeforeClose) {
       Impl->Flows.erase(Flow);
       Actions.push_back({Flow, silent_step::Close});
-    } else if (!Impl->pay(Now)) {
-      Impl->schedule(Flow, State, Now + PutOff);
+    } else if (!Impl->takeProbeBudget(Now)) {
+      Impl->schedule(Flow, State, Now + BudgetRetryInterval);
     } else {
       ++State.Sent;
       // The answer gets an eighth of the bound, also after a late probe.
@@ -121,6 +122,6 @@
   return Actions;
 }
 
-double silent_flows::probeBytes() const { return Impl->Spent; }
+double silent_flows::probeBytes() const { return Impl->SpentBytes; }
 
 } // namespace marjoramrail
--- a/test/mechanism/mechanism_test.cpp
+++ b/test/mechanism/mechanism_test.cpp
@@ -18,9 +18,9 @@
 TEST_CASE("a set holds what was added") {
   mechanism_set Without;
   CHECK(Without.empty());
-  Without.add(mechanism::KeptFlows);
+  Without.add(mechanism::FlowCheckpoints);
   Without.add(mechanism::TwoChoices);
-  CHECK(Without.has(mechanism::KeptFlows));
+  CHECK(Without.has(mechanism::FlowCheckpoints));
   CHECK_FALSE(Without.has(mechanism::SettleTime));
   CHECK(toText(Without) == "two_choices kept_flows");
 }
--- a/test/proxy/keyed_request_test.cpp
+++ b/test/proxy/keyed_request_test.cpp
@@ -172,11 +172,11 @@
   Message.Digest = 1ULL << 63;
   Message.Record = {"k1", key_state::Unknown,     host_id(5), 7, 9,
                     "",   std::chrono::seconds(5)};
-  Message.Sure = true;
+  Message.RecordsComplete = true;
   Message.Records = {{"k2", key_state::Done, host_id(6), 8, 1, "200\nok",
                       std::chrono::seconds(1)}};
   Message.Last = true;
-  Message.Vouched = {1, 2, 3};
+  Message.CompleteGenerations = {1, 2, 3};
 
   const auto Back =
       internal::decodeKeyMessages(internal::encodeKeyMessages({Message}));
@@ -190,7 +190,7 @@
   CHECK(Read.Record.Age == Message.Record.Age);
   REQUIRE(Read.Records.size() == 1);
   CHECK(Read.Records[0].Outcome == "200\nok");
-  CHECK(Read.Vouched == Message.Vouched);
+  CHECK(Read.CompleteGenerations == Message.CompleteGenerations);
 }
 
 TEST_CASE("spoilt messages of key records are refused whole") {
--- a/test/routing/health_view_test.cpp
+++ b/test/routing/health_view_test.cpp
@@ -34,7 +34,7 @@
   health_view View;
   fail(View, First, health_view::FailuresToRefute);
 
-  CHECK(View.seemsHealthy(First, Start + health_view::OutcomeLife));
+  CHECK(View.seemsHealthy(First, Start + health_view::OutcomeLifetime));
 }
 
 TEST_CASE("a claim of illness holds until work or time speaks against it") {
@@ -44,7 +44,7 @@
   View.claim(First, false, Start);
 
   CHECK_FALSE(View.seemsHealthy(First, Start));
-  CHECK(View.seemsHealthy(First, Start + health_view::ClaimLife));
+  CHECK(View.seemsHealthy(First, Start + health_view::ClaimLifetime));
   View.outcome(First, true, Start + seconds(1));
   CHECK(View.seemsHealthy(First, Start + seconds(2)));
   View.claim(First, false, Start + seconds(3));
--- a/test/routing/service_router_test.cpp
+++ b/test/routing/service_router_test.cpp
@@ -87,7 +87,7 @@
   View.Generations[0].Number = 2;
   const service_router Router(View);
 
-  CHECK(Router.namesEveryone());
+  CHECK(Router.listsEveryTarget());
   for (std::uint32_t I = 0; I < 100; ++I) {
     const owner_list Owners = Router.owners(sampleFlow(I));
     const std::set<std::uint16_t> Named(Owners.begin(), Owners.end());
@@ -96,7 +96,7 @@
     CHECK_FALSE(Named.contains(3));
   }
   CHECK_FALSE(
-      service_router(sampleView(owner_list::Capacity + 1)).namesEveryone());
+      service_router(sampleView(owner_list::Capacity + 1)).listsEveryTarget());
 }
 
 TEST_CASE("a host that joins takes flows only for itself") {
--- a/test/work/key_claims_test.cpp
+++ b/test/work/key_claims_test.cpp
@@ -16,18 +16,18 @@
   key_view View{{{host_id{0}, 1, false}, {host_id{1}, 1, false}},
                 {{1, {host_id{0}, host_id{1}}}}};
   key_settings Settings;
-  std::vector<std::unique_ptr<key_keeper>> Keepers;
+  std::vector<std::unique_ptr<key_replica>> Replicas;
   std::vector<std::unique_ptr<key_claims>> Claims;
   instant Now = Start;
 
   explicit pair_of_hosts(std::size_t MaxRecords = 100) {
     Settings.MaxRecords = MaxRecords;
     for (std::uint32_t Host = 0; Host < 2; ++Host) {
-      Keepers.push_back(std::make_unique<key_keeper>(
-          host_id{Host}, 1, Settings, keeper_past::FirstOfService));
+      Replicas.push_back(std::make_unique<key_replica>(
+          host_id{Host}, 1, Settings, replica_history::FirstOfService));
       Claims.push_back(
           std::make_unique<key_claims>(host_id{Host}, 1, Settings));
-      pass(Keepers[Host]->take(View, Now));
+      pass(Replicas[Host]->take(View, Now));
       pass(Claims[Host]->take(View, Now));
     }
   }
@@ -38,7 +38,7 @@
       Messages.erase(Messages.begin());
       const auto To = std::size_t(Next.To);
       for (key_messages Out :
-           {Keepers[To]->receive(Next, Now), Claims[To]->receive(Next, Now)})
+           {Replicas[To]->receive(Next, Now), Claims[To]->receive(Next, Now)})
         Messages.insert(Messages.end(), Out.begin(), Out.end());
     }
   }
@@ -51,15 +51,15 @@
   }
 
   /// Both keepers start again with nothing, as VMs without disks do.
-  void loseBothKeepers() {
+  void loseBothReplicas() {
     for (std::uint32_t Host = 0; Host < 2; ++Host) {
       View.Hosts[Host].Incarnation = 2;
-      Keepers[Host] = std::make_unique<key_keeper>(host_id{Host}, 2, Settings,
-                                                   keeper_past::MayHaveRun);
+      Replicas[Host] = std::make_unique<key_replica>(
+          host_id{Host}, 2, Settings, replica_history::MayHaveRun);
       Claims[Host]->lapsed(2, Now);
     }
     for (std::uint32_t Host = 0; Host < 2; ++Host) {
-      pass(Keepers[Host]->take(View, Now));
+      pass(Replicas[Host]->take(View, Now));
       pass(Claims[Host]->take(View, Now));
     }
   }
@@ -102,7 +102,7 @@
   pair_of_hosts Hosts;
   Hosts.ask(0, "amendment");
   Hosts.View.Hosts[0].Down = true;
-  Hosts.pass(Hosts.Keepers[1]->take(Hosts.View, Hosts.Now));
+  Hosts.pass(Hosts.Replicas[1]->take(Hosts.View, Hosts.Now));
   Hosts.pass(Hosts.Claims[1]->take(Hosts.View, Hosts.Now));
 
   CHECK(Hosts.ask(1, "amendment").Verdict == key_verdict::Unknown);
@@ -111,7 +111,7 @@
 TEST_CASE("key_claims is granted by one keeper while the other is down") {
   pair_of_hosts Hosts;
   Hosts.View.Hosts[0].Down = true;
-  Hosts.pass(Hosts.Keepers[1]->take(Hosts.View, Hosts.Now));
+  Hosts.pass(Hosts.Replicas[1]->take(Hosts.View, Hosts.Now));
   Hosts.pass(Hosts.Claims[1]->take(Hosts.View, Hosts.Now));
 
   CHECK(Hosts.ask(1, "amendment").Verdict == key_verdict::Run);
@@ -121,13 +121,13 @@
   // Nobody can tell any more which amendments ran.
   pair_of_hosts Hosts;
   Hosts.ask(0, "amendment");
-  Hosts.loseBothKeepers();
+  Hosts.loseBothReplicas();
 
   const key_result AtOnce = Hosts.ask(1, "amendment");
   Hosts.Now += minutes(10) + milliseconds(1);
   const key_result AfterLifetime = Hosts.ask(1, "amendment");
 
-  CHECK(AtOnce.Verdict == key_verdict::NotSure);
+  CHECK(AtOnce.Verdict == key_verdict::RecordsIncomplete);
   CHECK(AfterLifetime.Verdict == key_verdict::Run);
 }
 
@@ -136,7 +136,7 @@
   pair_of_hosts Hosts;
   key_view Newer = Hosts.View;
   Newer.Generations.insert(Newer.Generations.begin(), {2, {host_id{1}}});
-  Hosts.pass(Hosts.Keepers[0]->take(Newer, Hosts.Now));
+  Hosts.pass(Hosts.Replicas[0]->take(Newer, Hosts.Now));
 
   Hosts.ask(1, "amendment");
   Hosts.Now += seconds(2);
@@ -154,5 +154,5 @@
 
   CHECK(Hosts.ask(0, "third").Verdict == key_verdict::Full);
   CHECK(Hosts.ask(1, "first").Verdict == key_verdict::RunningElsewhere);
-  CHECK(Hosts.Keepers[0]->records() == 2);
+  CHECK(Hosts.Replicas[0]->records() == 2);
 }
--- a/test/work/key_history.cpp
+++ b/test/work/key_history.cpp
@@ -25,7 +25,7 @@
 };
 
 struct agent {
-  std::unique_ptr<key_keeper> Keeper;
+  std::unique_ptr<key_replica> Replica;
   std::unique_ptr<key_claims> Claims;
   std::uint32_t Incarnation = 1;
   bool Alive = true;
@@ -44,7 +44,7 @@
 class world {
 public:
   explicit world(const history &History);
-  judgement play();
+  history_result simulate();
 
 private:
   bool happens(double PerSecond) {
@@ -59,7 +59,7 @@
     return Agent.Alive && Agent.PausedUntil <= Now;
   }
 
-  void start(std::size_t Index, keeper_past Past);
+  void start(std::size_t Index, replica_history Past);
   void join();
   void send(const key_messages &Messages);
   void deliver();
@@ -86,7 +86,7 @@
   std::map<std::string, instant> FirstRun;
   /// Of every run of a key, the last one last.
   std::map<std::string, std::vector<std::string>> Answers;
-  judgement Judgement;
+  history_result Outcomes;
 };
 
 world::world(const history &History)
@@ -94,7 +94,7 @@
   Settings.Lifetime = H.Lifetime;
   key_view View;
   key_generation First{1, {}};
-  for (std::size_t Index = 0; Index < H.Hosts - H.Joiners; ++Index) {
+  for (std::size_t Index = 0; Index < H.Hosts - H.NewHosts; ++Index) {
     View.Hosts.push_back({host_id{std::uint32_t(Index)}, 1, false});
     First.Members.push_back(host_id{std::uint32_t(Index)});
   }
@@ -102,10 +102,10 @@
   publish(View);
   for (std::size_t Index = 0; Index < H.Hosts; ++Index) {
     agent &Agent = Agents[Index];
-    Agent.Joined = Index < H.Hosts - H.Joiners;
+    Agent.Joined = Index < H.Hosts - H.NewHosts;
     Agent.Alive = Agent.Joined;
     if (Agent.Joined)
-      start(Index, keeper_past::FirstOfService);
+      start(Index, replica_history::FirstOfService);
   }
 }
 
@@ -117,25 +117,25 @@
     Generation.Members.push_back(host_id{std::uint32_t(Index)});
     if (std::exchange(Agents[Index].Joined, true))
       continue;
-    start(Index, keeper_past::NeverRan);
+    start(Index, replica_history::NeverRan);
     Next.Hosts.push_back({host_id{std::uint32_t(Index)}, 1, false});
   }
   Next.Generations.insert(Next.Generations.begin(), Generation);
   publish(Next);
 }
 
-void world::start(std::size_t Index, keeper_past Past) {
+void world::start(std::size_t Index, replica_history Past) {
   agent &Agent = Agents[Index];
   const host_id Self{std::uint32_t(Index)};
   Agent.Alive = true;
   Agent.LastTurn = Now;
-  Agent.Keeper =
-      std::make_unique<key_keeper>(Self, Agent.Incarnation, Settings, Past);
+  Agent.Replica =
+      std::make_unique<key_replica>(Self, Agent.Incarnation, Settings, Past);
   Agent.Claims =
       std::make_unique<key_claims>(Self, Agent.Incarnation, Settings);
   Agent.ViewTaken = 0;
   Agent.NextView =
-      Past == keeper_past::FirstOfService ? Now : Now + millis(0, 200);
+      Past == replica_history::FirstOfService ? Now : Now + millis(0, 200);
 }
 
 void world::send(const key_messages &Messages) {
@@ -166,7 +166,7 @@
     return;
   Agent.ViewTaken = Views.size();
   Agent.NextView = Now + millis(10, 300);
-  send(Agent.Keeper->take(Views.back(), Now));
+  send(Agent.Replica->take(Views.back(), Now));
   send(Agent.Claims->take(Views.back(), Now));
 }
 
@@ -176,7 +176,7 @@
     return;
   if (Now - Agent.LastTurn > LapsedAfter) {
     ++Agent.Incarnation;
-    Agent.Keeper->lapsed(Agent.Incarnation, Now);
+    Agent.Replica->lapsed(Agent.Incarnation, Now);
     Agent.Claims->lapsed(Agent.Incarnation, Now);
   }
   Agent.LastTurn = Now;
@@ -184,10 +184,10 @@
   while (!Agent.Inbox.empty()) {
     const key_message Message = Agent.Inbox.front();
     Agent.Inbox.pop_front();
-    send(Agent.Keeper->receive(Message, Now));
+    send(Agent.Replica->receive(Message, Now));
     send(Agent.Claims->receive(Message, Now));
   }
-  send(Agent.Keeper->tick(Now));
+  send(Agent.Replica->tick(Now));
   send(Agent.Claims->tick(Now));
   endRuns(Index);
   takeResults(Index);
@@ -196,14 +196,14 @@
 void world::takeResults(std::size_t Index) {
   agent &Agent = Agents[Index];
   for (const key_result &Result : Agent.Claims->results()) {
-    ++Judgement.Verdicts[Result.Verdict];
+    ++Outcomes.Verdicts[Result.Verdict];
     Agent.Asking.erase(Agent.Asking.find(Result.Key));
     if (Result.Verdict == key_verdict::Run)
       begin(Index, Result.Key);
     if (Result.Verdict == key_verdict::Done && !Result.Outcome.empty() &&
         std::count(Answers[Result.Key].begin(), Answers[Result.Key].end(),
                    Result.Outcome) == 0)
-      ++Judgement.WrongAnswer;
+      ++Outcomes.WrongAnswer;
   }
 }
 
@@ -217,13 +217,13 @@
   Agents[Index].Runs.push_back(Run);
   if (Run.State == key_state::Released)
     return;
-  ++Judgement.Ran;
+  ++Outcomes.Ran;
   const auto Found = FirstRun.find(Key);
   if (Found != FirstRun.end() && Now - Found->second < H.Lifetime)
-    ++Judgement.RanTwice;
+    ++Outcomes.RanTwice;
   FirstRun[Key] = Now;
   Answers[Key].push_back("ran at " + std::to_string(Index) + " as " +
-                         std::to_string(Judgement.Ran));
+                         std::to_string(Outcomes.Ran));
 }
 
 void world::endRuns(std::size_t Index) {
@@ -249,7 +249,7 @@
   if (!acts(Agent))
     return;
   const std::string Key = "key-" + std::to_string(below(H.Keys));
-  ++Judgement.Asked;
+  ++Outcomes.Asked;
   Agent.Asking.insert(Key);
   send(Agent.Claims->claim(Key, Now));
   takeResults(Index);
@@ -270,7 +270,7 @@
     if (Agents[Index].Joined && !Agents[Index].Alive &&
         Agents[Index].BackAt <= Now) {
       ++Agents[Index].Incarnation;
-      start(Index, keeper_past::MayHaveRun);
+      start(Index, replica_history::MayHaveRun);
     }
 }
 
@@ -295,7 +295,7 @@
       Entry = {Entry.Host, Agent.Incarnation, false};
       Changed = true;
     }
-    AllSettled = AllSettled && acts(Agent) && Agent.Keeper->settled(Now) &&
+    AllSettled = AllSettled && acts(Agent) && Agent.Replica->settled(Now) &&
                  Agent.ViewTaken == Views.size();
   }
   if (AllSettled && Next.Generations.size() > 1) {
@@ -316,12 +316,12 @@
     publish(Next);
 }
 
-judgement world::play() {
+history_result world::simulate() {
   const instant End = Now + std::chrono::duration_cast<duration>(
                                 std::chrono::duration<double>(H.Seconds));
   const instant JoinAt = Now + (End - Now) / 4;
   for (; Now < End; Now += Step) {
-    if (H.Joiners > 0 && Now >= JoinAt && !Agents.back().Joined)
+    if (H.NewHosts > 0 && Now >= JoinAt && !Agents.back().Joined)
       join();
     deliver();
     fleet();
@@ -339,14 +339,16 @@
   }
   for (const agent &Agent : Agents)
     if (acts(Agent)) {
-      Judgement.NoVerdict += Agent.Asking.size();
-      Judgement.Unsettled += Agent.Keeper->settled(Now) ? 0 : 1;
+      Outcomes.NoVerdict += Agent.Asking.size();
+      Outcomes.Unsettled += Agent.Replica->settled(Now) ? 0 : 1;
     }
-  return Judgement;
+  return Outcomes;
 }
 
 } // namespace
 
-judgement play(const history &History) { return world(History).play(); }
+history_result simulate(const history &History) {
+  return world(History).simulate();
+}
 
 } // namespace key_history
--- a/test/work/key_history.h
+++ b/test/work/key_history.h
@@ -33,7 +33,7 @@
   std::uint64_t Seed = 1;
   std::size_t Hosts = 5;
   /// Of these, hosts that never ran before and join together in mid-history.
-  std::size_t Joiners = 0;
+  std::size_t NewHosts = 0;
   std::size_t Keys = 300;
   double Seconds = 30;
   double AsksPerSecond = 60;
@@ -41,7 +41,7 @@
   duration Lifetime = std::chrono::minutes(2);
 };
 
-struct judgement {
+struct history_result {
   std::uint64_t Asked = 0;
   std::uint64_t Ran = 0;
   /// Ran again within a lifetime of its first run.
@@ -55,7 +55,7 @@
   std::map<key_verdict, std::uint64_t> Verdicts;
 };
 
-judgement play(const history &History);
+history_result simulate(const history &History);
 
 } // namespace key_history
 
--- a/test/work/key_history_test.cpp
+++ b/test/work/key_history_test.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-std::uint64_t verdicts(judgement &Got, key_verdict Verdict) {
+std::uint64_t verdicts(history_result &Got, key_verdict Verdict) {
   return Got.Verdicts[Verdict];
 }
 
 /// Every fault at once, at the rates at which most broken rules show.
-history troubled(std::uint64_t Seed) {
+history faultyHistory(std::uint64_t Seed) {
   history History;
   History.Seed = Seed;
   History.Faults = {.Loss = 0.05,
@@ -25,7 +25,7 @@
 }
 
 void checkSafe(const history &History) {
-  const judgement Got = play(History);
+  const history_result Got = simulate(History);
   INFO("seed ", History.Seed);
   CHECK(Got.RanTwice == 0);
   CHECK(Got.WrongAnswer == 0);
@@ -40,11 +40,11 @@
     history History;
     History.Seed = Seed;
 
-    judgement Got = play(History);
+    history_result Got = simulate(History);
 
     CHECK(Got.RanTwice == 0);
     CHECK(Got.NoVerdict == 0);
-    CHECK(verdicts(Got, key_verdict::NotSure) == 0);
+    CHECK(verdicts(Got, key_verdict::RecordsIncomplete) == 0);
     CHECK(verdicts(Got, key_verdict::NoAnswer) == 0);
     CHECK(Got.Ran >= History.Keys * 8 / 10);
   }
@@ -59,9 +59,9 @@
     history History;
     History.Seed = Seed;
     History.Hosts = 7;
-    History.Joiners = 2 + Seed % 2;
+    History.NewHosts = 2 + Seed % 2;
 
-    judgement Got = play(History);
+    history_result Got = simulate(History);
 
     INFO("seed ", Seed);
     CHECK(Got.RanTwice == 0);
@@ -78,7 +78,7 @@
     history History;
     History.Seed = Seed;
     History.Hosts = 7;
-    History.Joiners = 1 + Seed % 3;
+    History.NewHosts = 1 + Seed % 3;
     History.Faults = {.Loss = 0.05,
                       .Duplicate = 0.05,
                       .Late = 0.05,
@@ -107,7 +107,7 @@
   // A runner dies after its claim, its keepers restart with nothing, one that
   // was paused still acts on what it knew, and views arrive unevenly.
   for (std::uint64_t Seed = 1; Seed <= 60; ++Seed) {
-    checkSafe(troubled(Seed));
+    checkSafe(faultyHistory(Seed));
   }
 }
 
@@ -115,7 +115,7 @@
   // A restarted keeper granted a key, unsure, while it fetched a record of the
   // same key: the grant, given back later, took the record with it.
   for (const std::uint64_t Seed : {1058, 1160}) {
-    checkSafe(troubled(Seed));
+    checkSafe(faultyHistory(Seed));
   }
 }
 
--- a/test/work/load_model.cpp
+++ b/test/work/load_model.cpp
@@ -52,7 +52,7 @@
 class model {
 public:
   explicit model(const scenario &Scenario);
-  outcome play();
+  outcome simulate();
 
 private:
   using event = std::function<void()>;
@@ -191,7 +191,7 @@
 void model::attempt(request Request) {
   const request_id Id{++LastId};
   const bool Long = Request.Work.Kind == work_kind::Long;
-  const double Patience = S.Patience * (Long ? 10 : 1);
+  const double TimeoutSeconds = S.TimeoutSeconds * (Long ? 10 : 1);
   Request.Since = Now;
   Request.Origin = Request.Runner = HostOf[Request.Caller];
   Request.Work.Id = Id;
@@ -199,9 +199,9 @@
   Request.Work.Hops = 0;
   Request.Work.RelayedBy.reset();
   Request.Work.Retry = Request.Attempt > 0;
-  Request.Work.Deadline = at(Now + Patience);
+  Request.Work.Deadline = at(Now + TimeoutSeconds);
   Live.emplace(Id, Request);
-  after(Patience, [this, Id] { giveUp(Id); });
+  after(TimeoutSeconds, [this, Id] { giveUp(Id); });
   offer(Id);
 }
 
@@ -256,7 +256,7 @@
     const request &Request = Live.at(Id);
     const host_id From{std::uint32_t(Request.Origin)};
     if (Hosts[Peer].Peers)
-      Hosts[Peer].Peers->relayedHere(From, at(Now));
+      Hosts[Peer].Peers->receivedRelayFrom(From, at(Now));
     if (!Request.Over)
       offer(Id);
   });
@@ -359,11 +359,11 @@
   request Next = Before;
   Next.Over = false;
   Next.Attempt += 1;
-  const bool Obeys = S.Caller == caller_policy::Obeys;
-  Next.CameBack = Obeys && Later > 0;
+  const bool HonorsRetryAfter = S.Caller == caller_policy::HonorsRetryAfter;
+  Next.CameBack = HonorsRetryAfter && Later > 0;
   // Without a retry-after a caller that obeys backs off, doubling with jitter.
   const double Backoff = 0.2 * std::exp2(Before.Attempt) * (0.5 + uniform());
-  const double Wait = Obeys ? (Later > 0 ? Later : Backoff) : 0.01;
+  const double Wait = HonorsRetryAfter ? (Later > 0 ? Later : Backoff) : 0.01;
   after(Wait, [this, Next] {
     Out.Returned += Next.CameBack && Next.Counted ? 1 : 0;
     attempt(Next);
@@ -438,7 +438,7 @@
   });
 }
 
-outcome model::play() {
+outcome model::simulate() {
   arrive();
   report();
   std::function<void()> Ticking = [&] {
@@ -492,6 +492,8 @@
 
 } // namespace
 
-outcome play(const scenario &Scenario) { return model(Scenario).play(); }
+outcome simulate(const scenario &Scenario) {
+  return model(Scenario).simulate();
+}
 
 } // namespace load_model
--- a/test/work/load_model.h
+++ b/test/work/load_model.h
@@ -27,9 +27,9 @@
 enum class agent_policy { Ours, Naive };
 enum class caller_policy {
   /// Comes back at retry-after, at most Attempts times.
-  Obeys,
+  HonorsRetryAfter,
   /// Asks again at once when refused or out of patience.
-  Insists,
+  RetriesAtOnce,
 };
 
 /// What happens to one host for a while.
@@ -71,7 +71,7 @@
   double HeavyShare = 0;
   /// Host h has flows in proportion to 1 + Skew * h.
   double Skew = 0;
-  double Patience = 1;
+  double TimeoutSeconds = 1;
   int Attempts = 4;
   /// One way, between agents.
   double RelaySeconds = 0.003;
@@ -79,7 +79,7 @@
   /// A target that has just started takes this many times longer at first,
   /// less and less over ten seconds.
   double ColdSlowness = 1;
-  caller_policy Caller = caller_policy::Obeys;
+  caller_policy Caller = caller_policy::HonorsRetryAfter;
   agent_policy Agent = agent_policy::Ours;
   std::vector<host_fault> Faults;
   std::vector<replacement> Replacements;
@@ -119,7 +119,7 @@
   double LastLimit = 0;
 };
 
-outcome play(const scenario &Scenario);
+outcome simulate(const scenario &Scenario);
 
 } // namespace load_model
 
--- a/test/work/relay_choice_test.cpp
+++ b/test/work/relay_choice_test.cpp
@@ -64,7 +64,7 @@
 TEST_CASE("relay_choice gives nothing to a peer that has just relayed to us") {
   relay_choice Peers(Self, {}, 7);
   Peers.report(loadOf(1, 0), Start);
-  Peers.relayedHere(host_id{1}, Start);
+  Peers.receivedRelayFrom(host_id{1}, Start);
 
   const auto AtOnce =
       Peers.pick({}, relay_reason::Overloaded, loadOf(0, 2), Start);
--- a/test/work/scenario_test.cpp
+++ b/test/work/scenario_test.cpp
@@ -15,7 +15,7 @@
 TEST_CASE("a burst of ten times the load is answered in full, a little later") {
   // For two seconds ten times as many requests come as usual. Callers notice
   // refusals with a time to come back, and then get their answer.
-  const outcome Got = play(burst());
+  const outcome Got = simulate(burst());
 
   CHECK(answeredShare(Got) >= 0.99);
   CHECK(Got.LateRefusals == 0);
@@ -25,7 +25,7 @@
 TEST_CASE("light callers are answered while three take 70% of an overload") {
   // Three callers ask for more than the service can do. The others must not
   // notice more than a short wait.
-  const outcome Got = play(skewedCallers());
+  const outcome Got = simulate(skewedCallers());
 
   CHECK(Got.LightAnswered >= 0.98);
   CHECK(Got.LightP99Ms <= 200);
@@ -36,7 +36,7 @@
 TEST_CASE("a target ten times slower costs its callers little") {
   // One target of seven turns slow. Its callers' flows stay with it, so their
   // requests have to go elsewhere, or every seventh caller would be refused.
-  const outcome Got = play(slowTarget());
+  const outcome Got = simulate(slowTarget());
 
   CHECK(answeredShare(Got) >= 0.97);
   CHECK(Got.P99Ms <= 250);
@@ -45,7 +45,7 @@
 TEST_CASE("short work passes long work that takes fifty times as long") {
   // One request in twenty takes a second in place of 20 ms. Callers of short
   // work would wait behind four of them.
-  const outcome Got = play(longAmongShort());
+  const outcome Got = simulate(longAmongShort());
 
   CHECK(answeredShare(Got) >= 0.98);
   CHECK(Got.ShortP99Ms <= 150);
@@ -54,7 +54,7 @@
 TEST_CASE("goodput stays at capacity under twice the load for a minute") {
   // Callers ask for twice what all targets together can do. Half must be
   // refused at once; the other half gets its answers in bounded time.
-  const outcome Got = play(saturation());
+  const outcome Got = simulate(saturation());
 
   CHECK(Got.Goodput >= 0.9);
   CHECK(Got.LateRefusals == 0);
@@ -65,7 +65,7 @@
 TEST_CASE("the service recovers at once after an outage with a retry storm") {
   // No target answers for five seconds and callers ask again and again. After
   // it their retries must not keep first tries from being answered in time.
-  const outcome Got = play(retryStorm());
+  const outcome Got = simulate(retryStorm());
 
   CHECK(answeredShare(Got) >= 0.88);
   CHECK(Got.Goodput >= 0.68);
@@ -78,7 +78,7 @@
     scenario S = unevenFlows();
     S.Seed = Seed;
 
-    const outcome Got = play(S);
+    const outcome Got = simulate(S);
 
     CHECK(Got.Imbalance <= 1.15);
     CHECK(answeredShare(Got) >= 0.99);
@@ -86,14 +86,14 @@
 }
 
 TEST_CASE("busy time is even on dispatch's two slots, zones 5 ms apart") {
-  CHECK(play(unevenDispatch()).Imbalance <= 1.15);
+  CHECK(simulate(unevenDispatch()).Imbalance <= 1.15);
 }
 
 TEST_CASE("replacing all hosts in turn cuts off no request") {
   // Each host drains, stops and comes back cold, 2,000 connections each. What
   // was in progress at a stop would be lost, and the caller could not tell
   // whether it ran.
-  const outcome Got = play(rollingReplacement());
+  const outcome Got = simulate(rollingReplacement());
 
   CHECK(Got.CutOff == 0);
   CHECK(Got.GivenUp == 0);
@@ -103,7 +103,7 @@
 TEST_CASE(
     "two faults and a replacement at once cost few callers their answer") {
   // One target is slow, another gives no answer, a third is being replaced.
-  const outcome Got = play(twoFaults());
+  const outcome Got = simulate(twoFaults());
 
   CHECK(answeredShare(Got) >= 0.97);
   CHECK(Got.CutOff == 0);
@@ -112,7 +112,7 @@
 TEST_CASE("a target that declares too many slots is given what it can run") {
   // Eight are declared; with more than four every answer takes longer, and
   // callers see latency grow though nothing more gets done.
-  const outcome Got = play(declaredTooHigh());
+  const outcome Got = simulate(declaredTooHigh());
 
   CHECK(Got.LastLimit <= 5);
   CHECK(Got.Goodput >= 0.9);
@@ -121,7 +121,7 @@
 TEST_CASE("a target that declares too few slots is used in full") {
   // Two are declared where four could run: callers are refused by an idle
   // target.
-  const outcome Got = play(declaredTooLow());
+  const outcome Got = simulate(declaredTooLow());
 
   CHECK(Got.LastLimit >= 3.5);
   CHECK(answeredShare(Got) >= 0.97);
--- a/test/work/scenarios.h
+++ b/test/work/scenarios.h
@@ -60,7 +60,7 @@
 inline scenario retryStorm() {
   scenario S;
   S.Load = 0.8;
-  S.Caller = caller_policy::Insists;
+  S.Caller = caller_policy::RetriesAtOnce;
   S.Attempts = 10;
   for (std::size_t Host = 0; Host < S.Hosts; ++Host)
     S.Faults.push_back({.Host = Host, .From = 15, .To = 20, .Slowness = 0});
--- a/test/work/silent_flow_test.cpp
+++ b/test/work/silent_flow_test.cpp
@@ -30,7 +30,7 @@
       else
         ++Seen.Pings;
       if (Answers)
-        Flows.heard(Action.Flow, Now);
+        Flows.received(Action.Flow, Now);
     }
   return Seen;
 }
@@ -67,7 +67,7 @@
   int Actions = 0;
 
   for (int Second = 0; Second < 600; ++Second) {
-    Flows.heard(flowOf(1), Start + seconds(Second));
+    Flows.received(flowOf(1), Start + seconds(Second));
     Actions += int(Flows.tick(Start + seconds(Second)).size());
   }
 
