--- a/src/work/record_completeness.cpp
+++ b/src/work/record_completeness.cpp
@@ -30,12 +30,12 @@
   if (View.Generations.empty())
     return;
   const std::uint64_t Newest = View.Generations.front().Number;
-  const bool MayBeNewKeeper = Grew && !FirstView;
+  const bool MayBeNewReplica = Grew && !FirstView;
   if (FirstView && Past == replica_history::MayHaveRun)
     resetRecords(Now);
   FirstView = false;
   for (auto &[Number, Each] : Generations) {
-    if (Number >= Newest || !MayBeNewKeeper)
+    if (Number >= Newest || !MayBeNewReplica)
       continue;
     // Under the newest generation this agent keeps keys that it did not keep
     // before; their records are with the keepers of the older ones.
--- a/src/work/silent_flow.cpp
+++ b/src/work/silent_flow.cpp
@@ -31,7 +31,7 @@
 
 struct silent_flows::impl {
   struct state {
-    instant Heard;
+    instant LastReceived;
     int Sent = 0;
     std::multimap<instant, flow_key>::iterator DueEntry;
   };
@@ -78,7 +78,7 @@
 void silent_flows::opened(const flow_key &Flow, instant Now) {
   closed(Flow);
   impl::state &State = Impl->Flows[Flow];
-  State.Heard = Now;
+  State.LastReceived = Now;
   Impl->schedule(Flow, State, Now + Impl->quietBefore(0));
 }
 
@@ -86,7 +86,7 @@
   const auto Found = Impl->Flows.find(Flow);
   if (Found == Impl->Flows.end())
     return;
-  Found->second.Heard = Now;
+  Found->second.LastReceived = Now;
   Found->second.Sent = 0;
 }
 
@@ -104,7 +104,7 @@
     const flow_key Flow = Impl->DueTimes.begin()->second;
     Impl->DueTimes.erase(Impl->DueTimes.begin());
     impl::state &State = Impl->Flows.at(Flow);
-    const instant Due = State.Heard + Impl->quietBefore(State.Sent);
+    const instant Due = State.LastReceived + Impl->quietBefore(State.Sent);
     if (Due > Now) {
       Impl->schedule(Flow, State, Due);
     } else if (State.Sent == ProbesBeforeClose) {
