--- a/include/marjoramrail/mechanism.h
+++ b/include/marjoramrail/mechanism.h
@@ -1,18 +1,18 @@
-//===- mechanism.h - Mechanisms that can be switched off --------*- C++ -*-===//
+//===- mechanism.h - Mechanisms that can be disabled ------------*- C++ -*-===//
 ///
 /// \file
-/// The decisions of the forwarding processes, by name, so that an experiment
-/// can find out what each is worth: the same days are played with and without
-/// it. What each buys is tabled in docs/POLICY.md.
+/// Names of the optional decision mechanisms of the forwarding processes. An
+/// experiment can disable single mechanisms and compare the same scenario with
+/// and without them; docs/POLICY.md tabulates the effect of each.
 ///
-/// Not for operation. Some guard a promise, as SettleTime does; without it
-/// flows break.
+/// Not for production use. Some mechanisms are needed for correctness: without
+/// SettleTime, for example, flows break.
 ///
 /// Usage:
 /// \code
-///   mechanism_set Without;
-///   Without.add(mechanism::TwoChoices);
-///   if (Without.has(mechanism::TwoChoices))
+///   mechanism_set Disabled;
+///   Disabled.add(mechanism::TwoChoices);
+///   if (Disabled.has(mechanism::TwoChoices))
 ///     return Order.front();
 /// \endcode
 ///
@@ -29,35 +29,38 @@
 namespace marjoramrail {
 
 enum class mechanism {
-  /// A flow chooses the less loaded of its first two targets.
+  /// A new flow goes to the less loaded of its first two targets.
   TwoChoices,
-  /// The own zone is left for one whose queue is shorter.
+  /// A new flow leaves its own zone for one with a shorter queue.
   ZoneOverflow,
-  /// Requests in the queue count beside open flows.
+  /// Queued requests count as load in addition to open flows.
   QueueWeight,
   /// A target that is warming up counts as slower.
   WarmUp,
-  /// A target that answers more slowly than is usual counts as more loaded.
+  /// A target that answers more slowly than usual counts as more loaded.
   Latency,
-  /// Targets that fail more often than is usual get no new flows.
+  /// Targets that fail more often than usual get no new flows.
   FailurePlacing,
-  /// Targets that give new flows back count as not answering.
+  /// Targets that decline new flows are treated as not responding.
   DeclineWatch,
-  /// Agents that say nothing get no new flows.
+  /// Agents that send no reports get no new flows.
   Suspicion,
-  /// Open flows are kept in the store for the case that power is lost.
+  /// Open flows are saved in the store so that they are known after a power
+  /// loss.
   FlowCheckpoints,
   /// Balancers announce targets whose agent the store refuses.
   PeerAnnouncements,
-  /// Balancers that have known a target for long stand for the store's word.
+  /// Balancers that have known a target for a long time confirm its
+  /// registration in place of the store.
   RegisteredNotices,
-  /// Balancers that start tell the agents that they find.
+  /// Starting balancers notify the agents whose registration they find.
   FoundRegistrations,
-  /// A store that has not answered once is asked again soon.
+  /// A store that failed to answer once is asked again soon.
   EarlyStoreRetry,
-  /// A new target waits for its first flow until everyone knows it.
+  /// A new target gets its first flow only after every process knows it.
   SettleTime,
-  /// A list that was cut is walked on by its balancer.
+  /// If the list of owner candidates was truncated, the balancer continues the
+  /// owner lookup.
   LookupContinuation,
 };
 
--- a/include/marjoramrail/report.h
+++ b/include/marjoramrail/report.h
@@ -1,9 +1,9 @@
-//===- report.h - What an experiment showed ---------------------*- C++ -*-===//
+//===- report.h - Results of an experiment ----------------------*- C++ -*-===//
 ///
 /// \file
-/// The result of one experiment, gathered attempt by attempt, and its two
-/// forms: JSON for programs, and one HTML file with charts for people. Pure:
-/// values in, text out.
+/// Collects the results of one experiment, attempt by attempt, and writes them
+/// as JSON for programs and as an HTML page with charts for people. The
+/// functions do no I/O: they return text.
 ///
 /// Usage:
 /// \code
@@ -33,14 +33,14 @@
 
 namespace marjoramrail {
 
-/// What a caller was told of one attempt.
+/// The outcome of one attempt as its caller saw it.
 enum class attempt_outcome {
   Ok,
-  /// Told that it was not run.
+  /// The caller was told that the request did not run.
   Refused,
-  /// Told that the outcome is unknown, or told nothing.
+  /// The caller was told that the outcome is unknown, or got no answer.
   Unknown,
-  /// An answer that was not whole or another request's.
+  /// The answer was truncated or belonged to another request.
   Wrong,
 };
 
@@ -52,16 +52,16 @@
 }};
 
 struct report_attempt {
-  /// The kind of request, as "amendment" or "document".
+  /// The kind of request, such as "amendment" or "document".
   std::string Kind;
   attempt_outcome End = attempt_outcome::Ok;
-  /// Why it was refused, or what is known of an unknown one.
+  /// Why the attempt was refused, or what is known if its outcome is unknown.
   std::string Reason;
   instant Sent;
   instant Ended;
 };
 
-/// How long the attempts of one kind that were answered took, in milliseconds.
+/// Latencies in milliseconds of the answered attempts of one kind.
 struct latency_figures {
   std::string Kind;
   std::uint64_t Count = 0;
@@ -72,20 +72,20 @@
   double Max = 0;
 };
 
-/// One second of the experiment, by the time at which attempts ended.
+/// The attempts that ended in one second of the experiment.
 struct report_second {
   std::uint64_t Ok = 0;
   std::uint64_t Refused = 0;
   std::uint64_t Unknown = 0;
   std::uint64_t Wrong = 0;
-  /// Of the Ok ones, in milliseconds.
+  /// Latency of the Ok attempts in milliseconds.
   double P50 = 0;
   double P99 = 0;
 };
 
-/// Something done to the site.
+/// An intervention in the experiment, such as a killed host.
 struct report_mark {
-  /// Since the start.
+  /// Time since the start.
   double Second = 0;
   std::string What;
 };
@@ -94,16 +94,17 @@
   std::uint64_t Opened = 0;
   std::uint64_t Moved = 0;
   std::uint64_t Broken = 0;
-  /// Of the broken ones: their own host was killed.
+  /// Broken flows that are permitted because their own host was killed.
   std::uint64_t AllowedBroken = 0;
 };
 
 struct host_share {
   std::string Host;
   double Flows = 0;
-  /// Seconds of slots that requests took.
+  /// Time in seconds that requests held slots.
   double Work = 0;
-  /// Killed, drained or frozen by the plan: no part of the imbalance.
+  /// Killed, drained or frozen by the experiment plan, so not counted in the
+  /// imbalance.
   bool Excluded = false;
 };
 
@@ -115,7 +116,7 @@
   double WorkImbalance = 1;
 };
 
-/// One promise and whether it was kept.
+/// A guarantee that the experiment checks, and whether it held.
 struct report_promise {
   std::string Name;
   bool Kept = true;
@@ -130,7 +131,7 @@
 
 struct experiment_report {
   std::string Title;
-  /// What was run, as name and value: deployment, scale, seed.
+  /// Parameters of the experiment as name and value: deployment, scale, seed.
   std::vector<std::pair<std::string, std::string>> Set;
   std::vector<report_promise> Promises;
   report_flows Flows;
@@ -145,7 +146,7 @@
   bool kept() const;
 };
 
-/// Gathers attempts; keeps one number for each answered one.
+/// Collects attempts. It stores one number for each answered attempt.
 class report_builder {
 public:
   report_builder(std::string Title, instant Start);
@@ -169,13 +170,13 @@
   std::vector<report_mark> Marks;
 };
 
-/// Highest over mean of the hosts that are not excluded; 1 for none.
+/// Highest over mean of the hosts that are not excluded; 1 if there are none.
 double imbalanceOf(const std::vector<host_share> &Hosts,
                    double host_share::*Part);
 
 std::string toJson(const experiment_report &Report);
 
-/// One page without references to anything outside it.
+/// A self-contained page without references to external resources.
 std::string toHtml(const experiment_report &Report);
 
 } // namespace marjoramrail
--- a/include/marjoramrail/work.h
+++ b/include/marjoramrail/work.h
@@ -1,11 +1,14 @@
-//===- work.h - Decisions under load at one agent ---------------*- C++ -*-===//
+//===- work.h - Admission control at one agent ------------------*- C++ -*-===//
 ///
 /// \file
-/// What an agent does with each request of its flows: run it now, let it wait,
-/// refuse it at once with an honest time to come back, or relay it to a peer
-/// that has room; which key may run; and when a flow counts as silent. Pure
-/// code: the time comes as an argument and randomness as a seed, so that a test
-/// or a bench drives it without a network.
+/// Admission control and at-most-once execution at one agent. For each request
+/// of its flows the agent decides whether to run it now, queue it, refuse it
+/// with a retry-after time, or relay it to a peer with free capacity. Requests
+/// with an idempotency key also need a claim before they run. The header also
+/// detects flows whose caller no longer responds.
+///
+/// The code does no I/O: the time is passed as an argument and randomness as a
+/// seed, so tests and benchmarks can drive it without a network.
 ///
 /// Usage:
 /// \code
@@ -37,16 +40,16 @@
 
 namespace marjoramrail {
 
-//===--- Requests and what becomes of them --------------------------------===//
+//===--- Requests and decisions -------------------------------------------===//
 
-/// The number that an agent gives a request; unique while the request lives.
+/// Request number assigned by the agent; unique among its current requests.
 enum class request_id : std::uint64_t {};
 
 enum class work_kind {
   Short,
-  /// Expected to hold a slot far longer than the usual request.
+  /// Expected to hold a slot far longer than a typical request.
   Long,
-  /// Lives for hours (status, alerts): counted, but takes no slot.
+  /// Stays open for hours (status, alerts). It is counted but takes no slot.
   Stream,
 };
 
@@ -58,33 +61,33 @@
     {work_kind::Stream, "stream"},
 }};
 
-/// One request, before its first byte has gone to the target.
+/// A request before its first byte has been sent to the target.
 struct work_request {
   request_id Id{};
-  /// A hash of the caller's address; callers share slots evenly.
+  /// A hash of the caller's address. Slots are shared evenly among callers.
   std::uint64_t Caller = 0;
   work_kind Kind = work_kind::Short;
   /// The Idempotency-Key header; empty for idempotent requests.
   std::string Key;
-  /// When the answer loses its worth to the caller.
+  /// An answer after this time is useless to the caller.
   std::optional<instant> Deadline;
-  /// Expected time in a slot; zero: the mean of its kind is used.
+  /// Expected time in a slot; zero means that the mean of its kind is used.
   duration Estimate = duration::zero();
-  /// The caller has tried this request before.
+  /// The caller has already tried this request.
   bool Retry = false;
-  /// Relays so far, and the agent that sent it here.
+  /// Number of relays so far, and the agent that relayed it here.
   std::uint8_t Hops = 0;
   std::optional<host_id> RelayedBy;
 };
 
 enum class verdict {
-  /// Begin now; report finished() or cancelled().
+  /// Run the request now and report its end by finished() or cancelled().
   Run,
-  /// Queued: tick() will say Run or Refuse.
+  /// The request is queued; a later tick() returns Run, Refuse or Relay.
   Wait,
-  /// Not run and not going to be: 503 with retry-after, or REFUSED_STREAM.
+  /// The request will not run: answer 503 with retry-after, or REFUSED_STREAM.
   Refuse,
-  /// Not run here: send it to Peer.
+  /// The request does not run here: send it to Peer.
   Relay,
 };
 
@@ -97,14 +100,14 @@
 
 enum class refusal {
   None,
-  /// Would wait longer than the bound, or the queue is full.
+  /// The wait would exceed the bound, or the queue is full.
   Overloaded,
-  /// Could not be answered by its deadline.
+  /// The request cannot be answered before its deadline.
   DeadlineTooClose,
-  /// Retries are over their share of the first tries.
+  /// Retries exceed their allowed share of the first tries.
   RetryBudget,
   Draining,
-  /// The target itself asked for less.
+  /// The target itself refused requests and asked for a pause.
   TargetShed,
   TooManyStreams,
 };
@@ -123,52 +126,53 @@
   request_id Id{};
   verdict Verdict = verdict::Run;
   refusal Reason = refusal::None;
-  /// With Refuse: when to come back.
+  /// With Refuse: the time after which the caller may retry.
   duration RetryAfter = duration::zero();
-  /// With Relay.
+  /// With Relay: the agent to send the request to.
   host_id Peer{};
 };
 
 enum class work_outcome {
   Answered,
-  /// The target said 503 or REFUSED_STREAM: not run.
+  /// The target answered 503 or REFUSED_STREAM, so the request did not run.
   Shed,
-  /// No answer: connection lost or timed out.
+  /// There was no answer: the connection was lost or timed out.
   Lost,
 };
 
 struct completion {
-  /// From Run to the end of the answer.
+  /// Time from Run to the end of the answer.
   duration Elapsed = duration::zero();
   work_outcome Outcome = work_outcome::Answered;
-  /// With Shed: what the target asked for; zero if it did not say.
+  /// With Shed: the target's retry-after; zero if it gave none.
   duration RetryAfter = duration::zero();
 };
 
 //===--- Relay ------------------------------------------------------------===//
 
-/// What an agent tells its peers of its load, a few times a second, and with
-/// each answer to a relayed request.
+/// The load of one agent, sent to its peers a few times a second and with each
+/// answer to a relayed request.
 struct load_report {
   host_id Host{};
-  /// Share of its slots in use, smoothed over about a second; may pass 1.
+  /// Share of its slots in use, smoothed over about a second; may exceed 1.
   double Busy = 0;
-  /// (running + waiting) / slots, at this moment.
+  /// Current (running + waiting) / slots.
   double Pressure = 0;
   double Slots = 1;
-  /// How long a request holds a slot, on average.
+  /// Mean time that a request holds a slot.
   duration Service = std::chrono::milliseconds(20);
-  /// False while it drains or starts.
+  /// False while the agent is draining or starting.
   bool Accepting = true;
 };
 
 enum class relay_reason {
   Draining,
-  /// The target has just started and takes a growing share.
+  /// The target has just started and gets a growing share of its load.
   Cold,
-  /// No slot is free here.
+  /// No slot is free at this agent.
   Overloaded,
-  /// This agent's flows bring more than its share; see relay_choice.
+  /// This agent's flows bring more than its share of the load; see
+  /// relay_choice.
   Balance,
 };
 
@@ -180,41 +184,44 @@
 }};
 
 struct relay_settings {
-  /// A report older than this is not used.
+  /// Load reports older than this are ignored.
   duration Stale = std::chrono::seconds(2);
-  /// A peer that relayed to us gets nothing from us for this long.
+  /// After a peer has relayed a request here, nothing is relayed to it for this
+  /// long.
   duration NoReturn = std::chrono::seconds(1);
-  /// A peer must be this much less pressed than we are.
+  /// Under overload a peer is chosen only if its load is lower than this
+  /// agent's Pressure by at least this much.
   double Margin = 0.25;
-  /// How fast the share that is shifted for balance follows the difference in
-  /// Busy, per second.
+  /// Rate per second at which the share of requests relayed for balance follows
+  /// the difference in Busy.
   double Gain = 1;
   std::uint8_t MaxHops = 1;
 };
 
-/// Which peer takes a request that has not begun to run.
+/// Chooses the peer for a request that has not started to run.
 class relay_choice {
 public:
   relay_choice(host_id Self, const relay_settings &Settings,
                std::uint64_t Seed);
   ~relay_choice();
 
-  /// Takes a peer's report.
+  /// Stores the latest load report of a peer.
   void report(const load_report &Peer, instant Now);
-  /// The peer has left the service.
+  /// Removes a peer that has left the service.
   void forget(host_id Peer);
-  /// A request came from \p Peer by relay.
+  /// Records that \p Peer relayed a request to this agent.
   void receivedRelayFrom(host_id Peer, instant Now);
-  /// \p Peer said "not run": it gets nothing before \p RetryAfter has passed or
-  /// its next report has come.
+  /// Records that \p Peer answered "not run". It gets no requests until \p
+  /// RetryAfter has passed or its next report arrives.
   void notRun(host_id Peer, duration RetryAfter, instant Now);
 
-  /// A peer for \p Request, or none: run, queue or refuse it here. The peer
-  /// chosen counts as loaded by it until its next report.
+  /// Returns a peer for \p Request, or none if the request has to be run,
+  /// queued or refused here. The request is added to the estimated load of the
+  /// chosen peer until its next report.
   std::optional<host_id> pick(const work_request &Request, relay_reason Why,
                               const load_report &Own, instant Now);
 
-  /// Share of this agent's requests that is shifted to even out Busy.
+  /// Share of this agent's requests that is relayed to even out Busy.
   double shiftedShare() const;
 
 private:
@@ -224,30 +231,33 @@
 
 //===--- Admission --------------------------------------------------------===//
 
-/// Each threshold's sweep is in docs/DECISIONS.md.
+/// Limits and thresholds of admission. docs/DECISIONS.md has a parameter sweep
+/// for each threshold.
 struct admission_settings {
-  /// Declared by the service: requests that the target runs at a time.
+  /// Number of concurrent requests that the service declares for its target.
   std::uint32_t Slots = 4;
-  /// No request waits longer for its slot than this.
+  /// Longest time that a request may wait for a slot.
   duration WaitBound = std::chrono::milliseconds(100);
   std::size_t MaxWaiting = 256;
   std::size_t MaxStreams = 8192;
-  /// Callers are kept apart by this many queues.
+  /// Number of queues over which callers are distributed by hash.
   std::size_t CallerQueues = 256;
-  /// This share of the slots, at least one of two, is kept from long work.
+  /// Share of the slots that long requests may not use: at least one slot if
+  /// there are two or more.
   double ShortShare = 0.25;
-  /// Retries let into the queue per first try.
+  /// Number of retries admitted to the queue per first try.
   double RetryShare = 0.2;
-  /// The limit may rise to this many times the declared slots; it is lowered
-  /// when answers take CutRatio times what one alone takes, judged over
-  /// LimitWindow answers.
+  /// The limit may rise to MaxLimitFactor times the declared slots. It is
+  /// lowered when answers take CutRatio times as long as those of requests that
+  /// ran alone, measured over LimitWindow answers.
   double MaxLimitFactor = 2;
   double CutRatio = 1.3;
   std::uint32_t LimitWindow = 128;
-  /// How long a new target takes to its full limit; zero: it is warm.
+  /// Time in which a new target reaches its full limit; zero if it is warm from
+  /// the start.
   duration ColdStart = std::chrono::seconds(10);
   duration MaxRetryAfter = std::chrono::seconds(30);
-  /// What a request is taken to need before its kind has been measured.
+  /// Service time assumed for a kind of request before any has been measured.
   duration FirstEstimate = std::chrono::milliseconds(20);
 };
 
@@ -255,10 +265,12 @@
   std::uint64_t Run = 0, Refused = 0, Relayed = 0, Cancelled = 0;
 };
 
-/// Decides what becomes of each request at one agent.
+/// Decides whether each request of one agent is run, queued, refused or
+/// relayed.
 class admission {
 public:
-  /// Names a peer with room, or none; empty: never relay.
+  /// Returns a peer with free capacity, or none. If the function is empty,
+  /// nothing is relayed.
   using pick_peer = std::function<std::optional<host_id>(
       const work_request &, relay_reason, const load_report &Own, instant Now)>;
 
@@ -268,31 +280,31 @@
   admission(const admission &) = delete;
   admission &operator=(const admission &) = delete;
 
-  /// Decides on a request that has just come. Call tick() afterwards.
+  /// Decides on a request that has just arrived. Call tick() afterwards.
   decision offer(const work_request &Request, instant Now);
 
-  /// A request that ran is over. Its slot is free.
+  /// Frees the slot of a request that ran.
   void finished(request_id Id, const completion &End, instant Now);
 
-  /// The caller gave up: the slot or the place in the queue is free at once.
+  /// Frees the slot or queue place of a request that its caller gave up.
   void cancelled(request_id Id, instant Now);
 
-  /// Decisions on queued requests. Call it after each other call and at least
-  /// every TickPeriod while waiting() is not zero.
+  /// Returns decisions on queued requests. Call it after each other call, and
+  /// at least every TickPeriod while waiting() is not zero.
   std::vector<decision> tick(instant Now);
   static constexpr duration TickPeriod = std::chrono::milliseconds(10);
 
-  /// From now on nothing new is run: all goes to peers or is refused.
+  /// Stops running new requests: they are relayed to peers or refused.
   void drain(instant Now);
-  /// Takes drain() back.
+  /// Ends draining.
   void resume();
-  /// For peers; Host is left to the agent.
+  /// Returns the load report for peers. The agent has to fill in Host.
   load_report load(instant Now);
 
   std::size_t running() const;
   std::size_t waiting() const;
   std::size_t streams() const;
-  /// Requests that may run at a time, at this moment.
+  /// Number of requests that may run concurrently at this time.
   std::size_t limit(instant Now) const;
   const admission_counts &counts() const;
 
@@ -303,10 +315,10 @@
 
 //===--- At most once -----------------------------------------------------===//
 
-/// A host as the key records need it, from the service's view.
+/// State of a host in the service's view, as far as key records need it.
 struct key_member {
   host_id Host{};
-  /// A host shown as down returns only with a higher one.
+  /// A host that was marked down returns only with a higher incarnation.
   std::uint32_t Incarnation = 0;
   bool Down = false;
 };
@@ -315,8 +327,9 @@
   std::uint64_t Number = 0;
   std::vector<host_id> Members;
 };
-/// Who keeps which key: under each generation the first two members by
-/// rendezvous hash of the key. All keepers under all generations are asked.
+/// The hosts and generations that determine the replicas of a key's record:
+/// under each generation, the first two members by rendezvous hash of the key.
+/// A claim asks the replicas under all generations.
 struct key_view {
   std::vector<key_member> Hosts;
   /// Newest first.
@@ -327,73 +340,77 @@
   /// Granted to a runner, which may be running it.
   Claimed,
   Done,
-  /// Its runner was lost: may have run, is never run again.
+  /// The runner was lost. The request may have run, so it never runs again.
   Unknown,
-  /// Its runner gave the claim back without running.
+  /// The runner returned the claim without running the request.
   Released,
 };
 
-/// What a keeper knows of one key.
+/// What a replica stores about one key.
 struct key_record {
   std::string Key;
   key_state State = key_state::Claimed;
   host_id Runner{};
   std::uint32_t Incarnation = 0;
   std::uint64_t Attempt = 0;
-  /// With Done: the answer, if it was no longer than MaxOutcome.
+  /// With Done: the answer, if it is not longer than MaxOutcome.
   std::string Outcome;
   duration Age = duration::zero();
 };
 
 enum class key_message_kind {
   Claim,
-  Query, // as Claim, but only asks
+  Query, // like Claim, but records nothing
   Granted,
-  Held,         // not granted: Record.State says why
+  Held,         // not granted; Record.State gives the reason
   Full,         // no room for another key
-  ViewMismatch, // the sender's view is not the keeper's
-  Settle,       // ends a claim: Record.State is Done, Unknown or Released
+  ViewMismatch, // the sender's view differs from the replica's
+  Settle,       // ends a claim; Record.State is Done, Unknown or Released
   SettleAck,
-  SyncRequest, // for the records that both keep, with keys after Record.Key
+  SyncRequest, // fetches the shared records with keys after Record.Key
   SyncRecords,
 };
 
-/// What keepers and runners send each other; may be lost, repeated, reordered.
+/// A message between key replicas and runners. Messages may be lost, duplicated
+/// or reordered.
 struct key_message {
   key_message_kind Kind{};
   host_id From{};
   host_id To{};
-  /// Of the sender's view.
+  /// Digest of the sender's view.
   std::uint64_t Digest = 0;
   key_record Record;
-  /// With Granted: the keeper would know of any earlier claim.
+  /// With Granted: the replica has all records, so it would know of any earlier
+  /// claim of the key.
   bool RecordsComplete = false;
   std::vector<key_record> Records;
-  /// With SyncRecords: no more follow, and for which generations all is told.
+  /// With SyncRecords: Last is set on the final message; CompleteGenerations
+  /// lists the generations whose records the sender has completely.
   bool Last = false;
   std::vector<std::uint64_t> CompleteGenerations;
 };
 using key_messages = std::vector<key_message>;
 
 struct key_settings {
-  /// A repeat of a key is recognised for this long after it was first claimed.
+  /// Time after the first claim of a key during which a repeat is recognised.
   duration Lifetime = std::chrono::minutes(10);
-  /// A claim that is not granted by then is given back.
+  /// A claim that has not been granted by then is returned.
   duration ClaimTimeout = std::chrono::seconds(1);
   duration Resend = std::chrono::milliseconds(50);
-  /// Records at one keeper, and bytes of an answer that is kept.
+  /// Maximum number of records at one replica, and maximum size in bytes of a
+  /// stored answer.
   std::size_t MaxRecords = 20000;
   std::size_t MaxOutcome = 256;
 };
 
-/// What a keeper knows of the time before it started.
+/// What a replica knows about the time before it started.
 enum class replica_history {
-  /// It may have kept records and lost them with its memory.
+  /// It may have held records and lost them when its memory was lost.
   MayHaveRun,
-  /// No agent ever ran on this host: it has lost nothing, but may have to learn
-  /// what others kept before it came.
+  /// No agent ever ran on this host. It has lost nothing, but may have to fetch
+  /// records that other replicas stored before it joined.
   NeverRan,
-  /// The service itself is new: nobody has records from before.
+  /// The service itself is new, so no records exist from before.
   FirstOfService,
 };
 
@@ -403,7 +420,8 @@
     {replica_history::FirstOfService, "first_of_service"},
 }};
 
-/// The records that one agent keeps for the service's keys.
+/// Stores the records of the keys for which this agent is a replica, and grants
+/// claims.
 class key_replica {
 public:
   key_replica(host_id Self, std::uint32_t Incarnation,
@@ -414,12 +432,12 @@
   key_messages receive(const key_message &Message, instant Now);
   /// Call it about every Resend.
   key_messages tick(instant Now);
-  /// This agent has been out of touch for so long that others may have counted
-  /// it as down; it goes on as \p Incarnation.
+  /// Must be called when this agent was out of contact for so long that others
+  /// may have marked it down. It continues as \p Incarnation.
   void lapsed(std::uint32_t Incarnation, instant Now);
 
   std::size_t records() const;
-  /// False while a generation that the view still holds is needed for records.
+  /// False while this replica still lacks records of a generation in the view.
   bool settled(instant Now) const;
 
 private:
@@ -428,19 +446,20 @@
 };
 
 enum class key_verdict {
-  /// Run it now, then call settle().
+  /// Run the request now, then call settle().
   Run,
-  /// Under way: not run by this attempt; ask again later.
+  /// Another attempt is running: this attempt does not run; retry later.
   RunningElsewhere,
-  /// Outcome holds the stored answer.
+  /// The request has run; Outcome holds the stored answer.
   Done,
-  /// May have run; is never run again.
+  /// The request may have run, so it never runs again.
   Unknown,
-  /// Not run by this attempt: no keeper is sure that it knows every key.
+  /// This attempt does not run: no replica has the complete records of the
+  /// key's earlier claims.
   RecordsIncomplete,
-  /// Not run by this attempt: the keepers are full.
+  /// This attempt does not run: a replica has no room for another record.
   Full,
-  /// Not run by this attempt: a keeper does not answer.
+  /// This attempt does not run: a replica does not answer.
   NoAnswer,
 };
 
@@ -450,7 +469,7 @@
   std::string Outcome;
 };
 
-/// The claims of one agent for the requests that it is about to run.
+/// Obtains claims for the keyed requests that one agent is about to run.
 class key_claims {
 public:
   key_claims(host_id Self, std::uint32_t Incarnation,
@@ -458,20 +477,22 @@
   ~key_claims();
 
   key_messages take(const key_view &View, instant Now);
-  /// The verdict comes by results(), at the latest after ClaimTimeout.
+  /// Starts a claim. results() returns its verdict at the latest after
+  /// ClaimTimeout.
   key_messages claim(const std::string &Key, instant Now);
   key_messages receive(const key_message &Message, instant Now);
   key_messages tick(instant Now);
-  /// After Run: \p State is Done, Unknown or Released (explicitly not run).
+  /// Ends a claim after Run. \p State is Done, Unknown or Released (explicitly
+  /// not run).
   key_messages settle(const std::string &Key, key_state State,
                       const std::string &Outcome, instant Now);
-  /// See key_replica::lapsed(). What runs goes on; what is still asked ends.
+  /// See key_replica::lapsed(). Running requests continue; pending claims end.
   void lapsed(std::uint32_t Incarnation, instant Now);
   std::vector<key_result> results();
-  /// Claims and notices under way.
+  /// Number of claims and settle notices in progress.
   std::size_t open() const;
-  /// True if nothing of \p Key is: every live keeper has acknowledged the end
-  /// of its last claim.
+  /// True if nothing is in progress for \p Key: every live replica has
+  /// acknowledged the end of its last claim.
   bool ended(const std::string &Key) const;
 
 private:
@@ -482,9 +503,10 @@
 //===--- Silent flows -----------------------------------------------------===//
 
 struct silent_settings {
-  /// A flow that answers nothing for this long is closed.
+  /// A flow whose caller sends nothing for this long is closed.
   duration Bound = std::chrono::seconds(60);
-  /// Of the agent's control budget; a probe counts with headers and its ACK.
+  /// Share of the agent's budget for control traffic. ProbeBytes covers a probe
+  /// with its headers and its ACK.
   double BytesPerSecond = 2048;
   double ProbeBytes = 97;
 };
@@ -495,17 +517,19 @@
   silent_step Step;
 };
 
-/// When to probe each flow of an agent, and when to call it silent.
+/// Decides when to probe each flow of an agent and when to close it because its
+/// caller does not respond (a silent flow).
 class silent_flows {
 public:
   explicit silent_flows(const silent_settings &Settings);
   ~silent_flows();
 
   void opened(const flow_key &Flow, instant Now);
-  /// Anything came from the caller: data, an ACK or a PING's answer.
+  /// Records that the caller sent anything: data, an ACK or the answer to a
+  /// PING.
   void received(const flow_key &Flow, instant Now);
   void closed(const flow_key &Flow);
-  /// What to do now; call it a few times a second.
+  /// Returns the actions that are due. Call it a few times a second.
   std::vector<silent_action> tick(instant Now);
   double probeBytes() const;
 
