--- a/src/work/admission.cpp
+++ b/src/work/admission.cpp
@@ -1,11 +1,12 @@
-/// What becomes of a request at one agent: the decisions of this folder put in
-/// their order. Load patterns and thresholds stand with each of them.
+/// Combines the admission decisions of this folder for each request of one
+/// agent. The header of each component describes its load patterns and
+/// thresholds.
 ///
-/// What goes wrong without: a queue bounded by length only is long in time when
-/// the target is slow; requests then wait until their callers have given up,
-/// and the target works for no one. One sees full use and no goodput. Here a
-/// request that would wait longer than the bound, or past its deadline, is
-/// refused when it comes, with the time at which there will be room.
+/// A queue that is bounded only by length becomes long in time when the target
+/// is slow: requests wait until their callers have given up, and the target
+/// works for nobody. It is then fully used but has no goodput. Here a request
+/// that would wait longer than the bound, or past its deadline, is refused on
+/// arrival, with the time at which there will be capacity.
 #include "marjoramrail/work.h"
 
 #include "work/busy_share.h"
@@ -24,19 +25,21 @@
 
 namespace {
 
-/// A request that the estimate let in and that still waits after this many
-/// bounds is refused: the target has slowed down meanwhile. With two bounds the
-/// chance of four long requests at once refused 83 late in saturation.
+/// A request that was admitted by its estimate and still waits after this many
+/// bounds is refused, because the target has slowed down in the meantime. Two
+/// bounds are too few: four long requests that occupied all slots by chance
+/// caused 83 late refusals in the saturation scenario.
 constexpr int MaxWaitBounds = 4;
-/// All slots taking this many mean service times is no accident: with four
-/// slots and exponential times it happens once in e^12.
+/// If all slots have been occupied for this many mean service times, the target
+/// has stalled: with four slots and exponential times, this happens by chance
+/// with probability e^-12.
 constexpr int StallFactor = 3;
 
 double toSeconds(duration Time) {
   return std::chrono::duration<double>(Time).count();
 }
 
-/// No service time is taken to be shorter: it divides.
+/// Lower bound for service times, which are used as a divisor.
 constexpr duration MinServiceTime = std::chrono::milliseconds(1);
 
 duration toDuration(double Seconds) {
@@ -102,8 +105,9 @@
   std::size_t Streams = 0;
   std::size_t LongRunning = 0;
   bool Draining = false;
-  /// Relayed after they had been let in to the queue: one that no peer ran
-  /// comes back and must not be refused then, later than if it had never come.
+  /// Requests relayed after they had been admitted to the queue. If no peer
+  /// runs such a request, it returns and must not be refused then, later than
+  /// if it had never been admitted.
   std::unordered_set<request_id> RelayedFromQueue;
   std::vector<decision> Outbox;
   admission_counts Counts;
@@ -123,7 +127,7 @@
   return Kind != work_kind::Long || LongRunning < longSlots(Slots);
 }
 
-/// Slots that serve the queue of \p Kind.
+/// Number of slots that serve the queue of \p Kind.
 double admission::impl::servers(work_kind Kind, instant Now) const {
   const std::size_t Slots = std::max<std::size_t>(Limit.limit(Now), 1);
   const std::size_t ForLong = longSlots(Slots);
@@ -135,9 +139,10 @@
   return double(std::max<std::size_t>(Slots - Taken, 1));
 }
 
-/// Zero, or for how long no short request in a slot has been answered although
-/// each is overdue: a target that hangs says nothing that could be learnt from,
-/// and requests let in on its former speed would wait for their refusal.
+/// Time for which no short request in a slot has been answered although all are
+/// overdue, or zero. A target that hangs produces no answer times, so without
+/// this check requests would be admitted on the basis of its former speed and
+/// refused late.
 duration admission::impl::stalledFor(instant Now) const {
   if (inSlots() <= LongRunning)
     return duration::zero();
@@ -153,7 +158,8 @@
 duration admission::impl::expectedWait(const work_request &Request,
                                        instant Now) const {
   const double Ahead = Queue.workAhead(Request.Caller, Request.Kind);
-  // The first slot frees after about one service time shared by all slots.
+  // The first slot becomes free after about one service time divided by the
+  // number of slots.
   const double First = Times.mean(Request.Kind);
   return Limit.pause(Now) + stalledFor(Now) +
          toDuration((Ahead + First) / servers(Request.Kind, Now));
@@ -166,8 +172,8 @@
 }
 
 void admission::impl::recordUse(instant Now) {
-  // In declared slots, so that trials of the limit do not look like load; a
-  // cold target is full with fewer.
+  // Uses the declared slots so that trials of the limit do not look like load.
+  // A cold target is full with fewer.
   const std::size_t Counted =
       std::min<std::size_t>(Limit.limit(Now), Settings.Slots);
   const double Slots = double(std::max<std::size_t>(Counted, 1));
@@ -199,7 +205,8 @@
 decision admission::impl::refuse(const work_request &Request, refusal Why,
                                  instant Now) {
   ++Counts.Refused;
-  // A relayed request goes back to its own agent, which books it if it must.
+  // A relayed request returns to the agent that relayed it, which reserves time
+  // for it if needed.
   const double ServiceSeconds = Request.RelayedBy ? 0 : Times.expected(Request);
   const duration Later =
       RetryEstimator.book(ServiceSeconds, Queue.work(Request.Kind),
@@ -270,8 +277,8 @@
     return {.Id = Request.Id, .Verdict = verdict::Wait};
   }
   const duration Wait = expectedWait(Request, Now);
-  // A relayed request is run or refused: the agent it came from can still put
-  // it into its own queue, where its caller's share is known.
+  // A relayed request is either run or refused: the agent that relayed it can
+  // still queue it and knows its caller's share.
   const bool CannotWait = Request.RelayedBy || Wait > waitBound(Request.Kind) ||
                           !hasRoom(Request, Now);
   if (tooLate(Request, ServiceSeconds, Now + Wait))
@@ -287,18 +294,20 @@
   return {.Id = Request.Id, .Verdict = verdict::Wait};
 }
 
-/// How long a request of \p Kind may wait: long work at most about as long as
-/// it takes, or it could never queue behind another of its kind.
+/// Longest wait for requests of \p Kind. For long work it is at least the mean
+/// time of such work; otherwise a long request could never queue behind another
+/// one.
 duration admission::impl::waitBound(work_kind Kind) const {
   if (Kind != work_kind::Long)
     return Settings.WaitBound;
   return std::max(Settings.WaitBound, toDuration(Times.mean(Kind)));
 }
 
-/// A caller may have as much waiting as is still free (a dynamic threshold, as
-/// in shared-memory switches): one heavy caller takes half of the queue, three
-/// take a quarter each, and room is always left for one that has none. Nothing
-/// that waits is ever thrown out to make room, so no refusal comes late.
+/// A caller may have as much work waiting as is still free (a dynamic
+/// threshold, as in shared-memory switches). One heavy caller takes half of the
+/// queue, three take a quarter each, and there is always room for a caller with
+/// nothing waiting. Waiting requests are never evicted to make room, so no
+/// refusal comes late.
 bool admission::impl::hasRoom(const work_request &Request, instant Now) const {
   const double Most =
       toSeconds(waitBound(Request.Kind)) * servers(Request.Kind, Now);
@@ -308,7 +317,7 @@
   return Queue.workOf(Request.Caller, Request.Kind) <= Free;
 }
 
-/// Retries may fill half of the queue; beyond, they are held to the budget.
+/// Retries may fill half of the queue; beyond that they need the retry budget.
 bool admission::impl::retryAllowed(const work_request &Request, instant Now) {
   const double Half =
       toSeconds(waitBound(Request.Kind)) * servers(Request.Kind, Now) / 2;
@@ -348,10 +357,12 @@
   }
 }
 
-/// What waits goes to peers when draining starts or the target has stalled;
-/// what no peer takes keeps its place, as it has been accepted.
+/// Relays waiting requests to peers when draining starts or the target has
+/// stalled. Requests that no peer takes keep their place, because they have
+/// been admitted.
 void admission::impl::relayWaiting(relay_reason Why, instant Now) {
-  // Most never come back; forgotten ones lose only their privilege.
+  // Most entries never return. A request whose entry is removed only loses its
+  // exemption from a late refusal.
   if (RelayedFromQueue.size() > Settings.MaxWaiting)
     RelayedFromQueue.clear();
   std::vector<decision> Relayed;
--- a/src/work/busy_share.h
+++ b/src/work/busy_share.h
@@ -1,9 +1,9 @@
-//===- busy_share.h - Smoothed use of the slots and service times -*- C++ -*-=//
+//===- busy_share.h - Measured slot use and service times -------*- C++ -*-===//
 ///
 /// \file
-/// What an agent has learnt of its own load: how much of its slots is in use,
-/// smoothed over a second so that one report tells more than the moment it was
-/// made, and how long each kind of work takes.
+/// Measures an agent's own load: the share of its slots in use, smoothed over
+/// one second so that a load report reflects more than a single moment, and the
+/// mean service time of each kind of work.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,7 +19,8 @@
 
 class busy_share {
 public:
-  /// Call before the use of slots changes: \p Share held since the last call.
+  /// Must be called before the use of slots changes. \p Share is the share of
+  /// slots that was in use since the last call.
   void held(double Share, instant Now) {
     const double Passed = std::chrono::duration<double>(Now - At).count();
     At = Now;
@@ -57,7 +58,7 @@
   double mean(work_kind Kind) const { return Mean[std::size_t(Kind)]; }
 
 private:
-  /// Follows a target that turns ten times slower within some 30 answers.
+  /// Follows a target that becomes ten times slower within about 30 answers.
   static constexpr double Weight = 1.0 / 16;
 
   std::array<double, WorkKinds> Mean{};
--- a/src/work/concurrency_limit.cpp
+++ b/src/work/concurrency_limit.cpp
@@ -7,14 +7,16 @@
 
 namespace {
 
-/// A cut has helped if answers take less than this share of before.
+/// A cut has helped if answers take less than this share of the time before.
 constexpr double CutHelped = 0.85;
-/// A raise of one slot in L has not helped if answers take longer by more than
-/// this share of 1/L: the target then only divides the same speed by more.
+/// Raising the limit from L by one slot has not helped if answers take longer
+/// by more than this share of 1/L: the target then only divides the same speed
+/// among more requests.
 constexpr double RaiseTolerance = 0.5;
-/// The mean of requests that ran alone is over about this many: within 9%.
+/// Number of samples in the mean of requests that ran alone; keeps it within
+/// 9%.
 constexpr std::uint32_t AloneWindow = 128;
-/// Until then it is not used.
+/// The mean is not used with fewer samples.
 constexpr std::uint32_t MinAloneSamples = 32;
 constexpr duration DefaultPause = std::chrono::milliseconds(100);
 constexpr duration MaxPause = std::chrono::seconds(1);
@@ -94,7 +96,8 @@
     return;
   }
   if (OthersWaiting && AloneCount < MinAloneSamples && Limit > 1) {
-    // Always busy, so nothing ever ran alone: see whether fewer run faster.
+    // The target is always busy, so no request ever ran alone. Test whether
+    // fewer run faster.
     beginTrial(trial::Cut, Limit - Limit / 2, Mean);
     return;
   }
--- a/src/work/concurrency_limit.h
+++ b/src/work/concurrency_limit.h
@@ -1,21 +1,23 @@
-//===- concurrency_limit.h - How many requests run at a time ----*- C++ -*-===//
+//===- concurrency_limit.h - Adaptive concurrency limit ---------*- C++ -*-===//
 ///
 /// \file
-/// The slots in use, where the declared number misleads.
+/// Adapts the number of concurrent requests when the declared number of slots
+/// is wrong.
 ///
-/// Load pattern: a target declares four slots and slows down with more than
-/// two, or could run eight; it has just started and is cold; it sheds. Without
-/// this a number too high makes every answer slow (one sees answer times grow
-/// with the requests in flight while throughput stays), and one too low leaves
-/// the target idle while callers wait.
+/// Load pattern: a target declares four slots but slows down with more than
+/// two, or could run eight; it has just started and is cold; or it sheds load.
+/// With a limit that is too high every answer is slow: answer times grow with
+/// the number of requests in flight while throughput does not. With a limit
+/// that is too low the target is idle while callers wait.
 ///
-/// The limit moves by trials: it is lowered when answers take CutRatio times
-/// what one request alone takes, raised when it is what makes requests wait.
-/// After one window a trial that brought nothing is taken back, so a target
-/// that is slow for a reason of its own is not made slower still by fewer
-/// slots. The mean of 128 exponential times is within 9% of the truth, less
-/// than half the least effect that is looked for (one slot more of four: 25%).
-/// A shed lowers the limit below what was in flight at once.
+/// The limit changes by trials. It is lowered when answers take CutRatio times
+/// as long as those of requests that ran alone, and raised when requests wait
+/// because of it. A trial that brought no improvement after one window is
+/// reverted, so a target that is slow for another reason is not slowed further
+/// by fewer slots. The mean of 128 exponentially distributed times is within 9%
+/// of the true mean, less than half of the smallest effect to be detected (one
+/// slot more of four: 25%). When the target sheds a request, the limit is set
+/// below the number of requests in flight at once.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -33,13 +35,15 @@
   /// The first call to limit() starts the cold start.
   std::size_t limit(instant Now) const;
   bool ramping(instant Now) const;
-  /// Zero, or how long the target asked to be left alone.
+  /// Remaining time for which the target asked for no requests, or zero.
   duration pause(instant Now) const;
 
-  /// A short request was answered after \p Elapsed. \p Alone: it was the only
-  /// one in flight when it began. \p Wanted: others wait for a slot.
+  /// Records that a short request was answered after \p Elapsed. \p Alone: it
+  /// was the only one in flight when it started. \p OthersWaiting: other
+  /// requests wait for a slot.
   void answered(duration Elapsed, bool Alone, bool OthersWaiting, instant Now);
-  /// The target refused with \p InFlight requests, that one counted.
+  /// Records that the target shed a request while \p InFlight requests were in
+  /// flight, including that one.
   void shed(std::size_t InFlight, duration RetryAfter, instant Now);
 
 private:
@@ -69,7 +73,8 @@
   trial Trial = trial::None;
   std::size_t LimitBefore = 0;
   double MeanBefore = 0;
-  /// Windows until the next trial, and how many after the next failed one.
+  /// Number of windows until the next trial, and the number to wait after the
+  /// next failed trial.
   std::uint32_t HoldOff = 0;
   std::uint32_t NextHoldOff = FirstHoldOff;
 
--- a/src/work/fair_queue.cpp
+++ b/src/work/fair_queue.cpp
@@ -72,7 +72,7 @@
   Queue.Work -= Taken.ServiceSeconds;
   Queue.WorkOf[bucketOf(Taken.Request.Caller)] -= Taken.ServiceSeconds;
   if (Queue.Entries.empty()) {
-    // Rounding must not add up over hours.
+    // Prevents rounding errors from accumulating over hours.
     Queue.Work = 0;
     std::fill(Queue.WorkOf.begin(), Queue.WorkOf.end(), 0.0);
   }
--- a/src/work/fair_queue.h
+++ b/src/work/fair_queue.h
@@ -1,21 +1,22 @@
-//===- fair_queue.h - Requests that wait for a slot -------------*- C++ -*-===//
+//===- fair_queue.h - Fair queue of waiting requests ------------*- C++ -*-===//
 ///
 /// \file
 /// Start-time fair queueing over callers (Goyal, Vin and Cheng, 1996), with
-/// long work apart from short work.
+/// long and short work in separate queues.
 ///
-/// Load pattern: three callers bring 70% of the load; one request in twenty
-/// takes fifty times as long as the others. In one first-in-first-out queue
-/// the light callers wait behind the heavy ones, and short work behind long;
-/// one sees the p99 of light callers rise to that of the heaviest. Here each
-/// request gets a start tag: where its caller's last one ends, or the present,
-/// whichever is later. The lowest tag runs first, so a caller that asks for
-/// little passes those that ask for much. With many callers, all a little over
-/// their share, tags alone would let newcomers pass the same request until it
-/// is given up; so the oldest goes first when it has aged.
+/// Load pattern: three callers bring 70% of the load, and one request in twenty
+/// takes fifty times as long as the others. In a single first-in-first-out
+/// queue light callers would wait behind heavy ones and short work behind long
+/// work, and the p99 of light callers would rise to that of the heaviest. Here
+/// each request gets a start tag: the finish tag of its caller's last request
+/// or the current virtual time, whichever is later. The request with the lowest
+/// tag runs first, so callers with few requests pass those with many. If many
+/// callers are all slightly above their share, tags alone would let newcomers
+/// pass the same request until its caller gives up; therefore the oldest
+/// request goes first once it has waited long enough.
 ///
-/// State is bounded: callers share a fixed number of tags by hash. A light
-/// caller shares with one of three heavy ones in 3 of 256 cases.
+/// State is bounded: callers are mapped to a fixed number of tags by hash. A
+/// light caller shares its tag with one of three heavy ones in 3 of 256 cases.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -43,26 +44,27 @@
 
   std::size_t size() const { return Places.size(); }
   bool empty(work_kind Kind) const { return queueOf(Kind).Entries.empty(); }
-  /// Expected seconds in a slot of all that waits.
+  /// Expected seconds in a slot of all waiting requests.
   double work(work_kind Kind) const { return queueOf(Kind).Work; }
 
-  /// The part of work() that is of \p Caller (and of those who share its
-  /// queue).
+  /// The part of work() that belongs to \p Caller and to callers that share its
+  /// queue.
   double workOf(std::uint64_t Caller, work_kind Kind) const;
   /// Expected work that would run before a request of \p Caller.
   double workAhead(std::uint64_t Caller, work_kind Kind) const;
 
   void push(waiting_request Waiting);
-  /// A request ran without waiting: nobody was kept back, so past use is
-  /// forgiven; else a caller would pay later for slots no one wanted.
+  /// Clears all tags when a request ran without waiting. Nobody was delayed by
+  /// past use, so a caller must not be charged later for slots that no other
+  /// caller needed.
   void resetTags();
-  /// The next to run; long work only if \p AllowLong. The oldest goes first if
-  /// it has waited \p Bound, and every other time if it has waited half of
-  /// that.
+  /// Removes and returns the next request to run; long work only if \p
+  /// AllowLong. The oldest request goes first if it has waited \p Bound, and
+  /// every other time if it has waited half of that.
   std::optional<waiting_request> pop(bool AllowLong, duration Bound,
                                      instant Now);
   std::optional<waiting_request> remove(request_id Id);
-  /// Takes out all that \p Hopeless names.
+  /// Removes and returns all requests for which \p Predicate is true.
   std::vector<waiting_request>
   removeIf(const std::function<bool(const waiting_request &)> &Predicate);
 
--- a/src/work/key_claims.cpp
+++ b/src/work/key_claims.cpp
@@ -1,10 +1,12 @@
-/// The claims of one agent: a non-idempotent request runs only after every
-/// live keeper of its key has granted it and one of them was sure.
+/// Claims of one agent: a non-idempotent request runs only after every live
+/// replica of its key has granted it and at least one of them had complete
+/// records.
 ///
-/// What can go wrong: messages are lost, come twice or late; the view changes
-/// between two answers; this agent is paused. An answer counts only for the
-/// attempt and the view it was asked under, a claim that takes too long is
-/// given back, and its end is sent until each keeper has acknowledged it.
+/// Messages may be lost, duplicated or late, the view may change between two
+/// answers, and this agent may be paused. Therefore an answer counts only for
+/// the attempt and the view for which it was requested, a claim that takes too
+/// long is returned, and the end of a claim is sent until each replica has
+/// acknowledged it.
 #include "marjoramrail/work.h"
 
 #include "work/key_ring.h"
@@ -17,11 +19,11 @@
 
 namespace {
 
-/// A notice to a keeper that does not answer is sent ever more rarely, up to
-/// this many times the resend period.
+/// Settle notices to a replica that does not answer are sent with increasing
+/// intervals, up to this many times the resend period.
 constexpr int MaxBackoff = 16;
-/// A refusal waits this share of the timeout for a keeper that knows the
-/// answer.
+/// After a refusal, other replicas that may know the outcome get this fraction
+/// of the timeout (1/4) to answer.
 constexpr int RefusalShare = 4;
 
 } // namespace
@@ -35,7 +37,7 @@
     bool RecordsComplete = false;
     std::vector<host_id> Replicas;
     std::size_t Next = 0;
-    /// Keepers that may hold this claim.
+    /// Replicas that may have recorded this claim.
     std::set<host_id> Contacted;
     std::optional<key_verdict> Refusal;
   };
@@ -117,11 +119,12 @@
     conclude(Attempt.Record.Key, Now);
     return;
   default:
-    return; // Behind: asked again by tick().
+    return; // ViewMismatch: tick() asks again.
   }
 }
 
-/// Another keeper may know more: a runner's end can have reached only one.
+/// Asks the other replicas as well, because the end of a run may have reached
+/// only one of them.
 void key_claims::impl::hold(attempt &Attempt, const key_message &Answer,
                             instant Now) {
   const key_state State = Answer.Record.State;
@@ -158,7 +161,7 @@
   const auto Found = Attempts.find(Key);
   attempt Attempt = std::move(Found->second);
   Attempts.erase(Found);
-  // Key may have been a part of the attempt that is gone now.
+  // Key may refer to the erased attempt, so it is not used here.
   Results.push_back({Attempt.Record.Key, Verdict, Attempt.Record.Outcome});
   Attempt.Record.State = State;
   Attempt.Record.Outcome.clear();
@@ -247,8 +250,8 @@
     return Refuse(key_verdict::RunningElsewhere, "");
   const auto Notice = Impl->Notices.lower_bound({Key, host_id{0}});
   if (Notice != Impl->Notices.end() && Notice->first.first == Key) {
-    // A new claim's notices would take the place of these, and a keeper would
-    // hold the old claim for its lifetime.
+    // The notices of a new claim would replace these, and a replica would keep
+    // the old claim for its lifetime.
     const key_record &Last = Notice->second.Record;
     const bool Done = Last.State == key_state::Done;
     return Refuse(Done ? key_verdict::Done : key_verdict::RunningElsewhere,
--- a/src/work/key_replica.cpp
+++ b/src/work/key_replica.cpp
@@ -1,11 +1,11 @@
-/// The records that one agent keeps, and when it grants a key.
+/// Stores key records of one agent and decides when to grant a key.
 ///
-/// Load pattern: a caller that got no answer sends its amendment again, on
-/// another flow, to another agent, while the first may still run. Without a
-/// record outside the runner a repeat runs twice and can void a certificate.
-/// Both keepers of a key hold its record; one that restarts fetches its records
-/// from the other. With both gone the key is refused until every record that
-/// may be lost would have expired.
+/// Load pattern: a caller that got no answer repeats its amendment on another
+/// flow, to another agent, while the first attempt may still run. Without a
+/// record outside the runner the repeat would run as well and could void a
+/// certificate. Both replicas of a key store its record, and a replica that
+/// restarts fetches its records from the other. If both are lost, the key is
+/// refused until every record that may have been lost would have expired.
 #include "marjoramrail/work.h"
 
 #include "work/record_completeness.h"
@@ -16,10 +16,11 @@
 
 namespace {
 
-/// Records in one message, so that it stays far below a datagram train of
-/// 64 kB even when each holds an answer.
+/// Maximum number of records in one message; keeps it far below a datagram
+/// train of 64 kB even when each record holds an answer.
 constexpr std::size_t SyncBatch = 128;
-/// A keeper that could not vouch is asked again after this.
+/// Interval at which records are requested again from a replica whose own
+/// records were incomplete.
 constexpr duration ResyncPeriod = std::chrono::seconds(1);
 
 bool sameAttempt(const key_record &Left, const key_record &Right) {
@@ -27,7 +28,8 @@
          Left.Attempt == Right.Attempt;
 }
 
-/// Of two attempts: one that ran, then one that may have, then one under way.
+/// Rank of states of two different attempts: one that ran, then one that may
+/// have run, then one that is running.
 int rankAcrossAttempts(key_state State) {
   switch (State) {
   case key_state::Done:
@@ -42,14 +44,15 @@
   return 2;
 }
 
-/// Of one attempt: done, given back by its runner, unknown, claimed.
+/// Rank of states of the same attempt: done, returned by its runner, unknown,
+/// claimed.
 int rankWithinAttempt(key_state State) {
   return State == key_state::Released
              ? rankAcrossAttempts(key_state::Unknown) + 1
              : rankAcrossAttempts(State) * 2;
 }
 
-/// What a keeper goes by that had \p Known and hears of \p Other.
+/// Merges the stored record \p Known with another replica's record \p Other.
 key_record mergedRecord(const key_record &Known, const key_record &Other) {
   if (sameAttempt(Known, Other))
     return rankWithinAttempt(Other.State) > rankWithinAttempt(Known.State)
@@ -61,9 +64,10 @@
     return rankAcrossAttempts(Other.State) > rankAcrossAttempts(Known.State)
                ? Other
                : Known;
-  // One of them was granted by a keeper that was not sure and will be given
-  // back; with one record for both, that would free the key while the other
-  // runs. No attempt has the number 0, so nothing gives this one back.
+  // One of them was granted by a replica with incomplete records and will be
+  // returned. With one record for both, that would free the key while the other
+  // attempt runs. No attempt has the number 0, so this merged record cannot be
+  // returned.
   key_record Neither = Known;
   Neither.State = key_state::Unknown;
   Neither.Attempt = 0;
@@ -133,8 +137,8 @@
   return requestRecords(Now);
 }
 
-/// A runner that is gone may have run its keys: nobody knows, so they are never
-/// run again.
+/// A lost runner may have run its keys. Nobody knows the outcome, so these keys
+/// never run again.
 void key_replica::impl::markLostRunnersUnknown(instant Now) {
   for (auto &[Key, Stored] : Records) {
     if (Stored.Record.State != key_state::Claimed || !runnerLost(Stored.Record))
@@ -179,7 +183,8 @@
   const bool Same = sameAttempt(Known, Request.Record);
   const bool WasReleased = Known.State == key_state::Released;
   if (Same && WasReleased) {
-    // A claim that was given back and arrives again; its runner has moved on.
+    // A delayed copy of a claim that was returned; its runner no longer waits
+    // for it.
     return answerTo(Request, key_message_kind::ViewMismatch);
   }
   if (WasReleased || (Same && Known.State == key_state::Claimed))
@@ -193,8 +198,9 @@
 void key_replica::impl::settle(const key_record &Final, instant Now) {
   const auto Found = Records.find(Final.Key);
   if (Found == Records.end()) {
-    // A notice can overtake the claim that it ends; kept, it voids the claim.
-    // A full keeper refuses that claim, or holds it for a lifetime at worst.
+    // A settle notice can overtake the claim that it ends; if it is stored, it
+    // voids the claim. A full replica refuses that claim, or in the worst case
+    // keeps it for one lifetime.
     const bool Full = Records.size() >= Settings.MaxRecords;
     if (Full && Final.State == key_state::Released)
       return;
@@ -218,7 +224,7 @@
     if (Now - Stored.At <= Settings.Lifetime) {
       ++Next;
     } else if (Stored.Record.State == key_state::Claimed) {
-      // No request runs for so long: its end was lost.
+      // No request runs for so long, so the message that ended it was lost.
       Stored.Record.State = key_state::Unknown;
       Stored.At = Now;
       ++Next;
@@ -279,8 +285,9 @@
     return;
   }
   Found->second.Record = mergedRecord(Found->second.Record, Other);
-  // Whichever is kept stands for both: had the older one hidden a run after its
-  // own expiry, the key would be free again too early.
+  // The merged record stands for both. If the older time were kept, the record
+  // could expire too early for the run that it hides, and the key would be free
+  // again.
   Found->second.At = std::max(Found->second.At, Received.At);
 }
 
--- a/src/work/key_ring.h
+++ b/src/work/key_ring.h
@@ -1,11 +1,12 @@
-//===- key_ring.h - Which hosts keep the record of a key --------*- C++ -*-===//
+//===- key_ring.h - Replicas of key records ---------------------*- C++ -*-===//
 ///
 /// \file
-/// The two keepers of a key under each generation, by rendezvous hash, the same
-/// at every agent with the same view. A digest of the view goes with each
-/// message: a claim counts only at keepers that see the same hosts as its
-/// runner. Else two runners with different views could each be granted the key
-/// by keepers that the other never asked, and it would run twice.
+/// Selects the two replicas of a key's record under each generation by
+/// rendezvous hash. All agents with the same view select the same replicas.
+/// Each message carries a digest of the sender's view, and a claim counts only
+/// at replicas whose view is the same as the runner's. Otherwise two runners
+/// with different views could each get the key granted by replicas that the
+/// other never asked, and the request would run twice.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,7 +21,7 @@
 
 inline constexpr std::size_t ReplicasPerGeneration = 2;
 
-/// The keepers of \p Key under one generation.
+/// The replicas of \p Key under one generation.
 std::vector<host_id> replicasUnder(const key_generation &Generation,
                                    const std::string &Key);
 
@@ -33,14 +34,14 @@
 
   std::uint64_t digest() const { return Digest; }
   const key_view &view() const { return View; }
-  /// The host's entry, or none if the view does not hold it.
+  /// The host's entry, or null if the view does not contain it.
   const key_member *member(host_id Host) const;
   bool up(host_id Host) const;
-  /// Keepers under all generations, in the order in which they are asked. All
-  /// runners ask in this order, so that of two the first asked decides and
-  /// neither waits for the other.
+  /// Replicas under all generations in the order in which they are asked. All
+  /// runners use this order, so the first replica decides between two runners
+  /// and neither waits for the other.
   std::vector<host_id> replicas(const std::string &Key) const;
-  /// Those of keepers() that are not down.
+  /// The replicas() that are not down.
   std::vector<host_id> liveReplicas(const std::string &Key) const;
 
 private:
--- a/src/work/record_completeness.cpp
+++ b/src/work/record_completeness.cpp
@@ -4,12 +4,13 @@
 
 namespace marjoramrail::internal {
 
-/// What was claimed under a generation that stood before this agent came is
-/// known to its other keepers only. But a generation that names a host which
-/// never ran before was made after its agent had started: nothing that it keeps
-/// was claimed there without it. Without that exception hosts that join
-/// together wait for each other's word until the lifetime has passed, and every
-/// key that two of them keep is refused meanwhile.
+/// Claims made under a generation that existed before this agent started are
+/// known only to the generation's other replicas. There is one exception: a
+/// generation that contains a host which never ran before was created after
+/// that host's agent had started, so no key that it stores was claimed there
+/// without it. Without this exception, hosts that join together would wait for
+/// each other's confirmation until the lifetime has passed, and every key
+/// stored by two of them would be refused in the meantime.
 record_completeness::generation_records
 record_completeness::startTracking(const key_generation &Generation,
                                    instant Now) const {
@@ -37,8 +38,8 @@
   for (auto &[Number, Each] : Generations) {
     if (Number >= Newest || !MayBeNewReplica)
       continue;
-    // Under the newest generation this agent keeps keys that it did not keep
-    // before; their records are with the keepers of the older ones.
+    // Under the newest generation this agent stores keys that it did not store
+    // before; the replicas of the older generations have their records.
     Each.SawAllClaims = Each.SawAllClaims || complete(Each, Now);
     Each.Complete = false;
     Each.Since = Now;
@@ -77,8 +78,9 @@
   }
 }
 
-/// With two keepers a key, one that has not vouched may be missing as long as
-/// it is never the only other keeper of a key of ours.
+/// Each key has two replicas. One host that has not sent its records may
+/// therefore be missing, as long as it is never the only other replica of a key
+/// that this agent stores.
 void record_completeness::checkComplete(generation_records &Each) const {
   std::size_t Missing = 0;
   for (const host_id Host : Each.Generation.Members)
@@ -134,7 +136,8 @@
   for (const auto &[Number, Each] : Generations) {
     if (Each.SawAllClaims || complete(Each, Now))
       Numbers.push_back(Number);
-    // A later generation's keeper may lack what was claimed before it.
+    // A replica of a later generation may lack claims made before that
+    // generation.
     if (!complete(Each, Now))
       break;
   }
--- a/src/work/record_completeness.h
+++ b/src/work/record_completeness.h
@@ -1,13 +1,14 @@
-//===- record_completeness.h - Whether a keeper knows all records ------*- C++
-//-*-===//
+//===- record_completeness.h - Completeness of key records ------*- C++ -*-===//
 ///
 /// \file
-/// A keeper that has restarted, or became keeper by a change of the view, has
-/// no record of a key that ran a minute ago. If it granted the key, the key
-/// would run twice; one would see two answers to one amendment. For each
-/// generation this keeps what the keeper can vouch for, so that it grants "not
-/// sure" until another keeper has sent its records, or until all records that
-/// it may lack have passed their lifetime.
+/// Tracks for which generations a replica has complete records.
+///
+/// A replica that has restarted, or became a replica by a change of the view,
+/// has no record of a key that ran a minute ago. If its grant were enough, the
+/// key would run twice, and the caller could see two answers to one amendment.
+/// The replica therefore marks its grants as made with incomplete records until
+/// another replica has sent its records, or until all records that it may lack
+/// have exceeded their lifetime.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,29 +26,34 @@
   record_completeness(host_id Self, duration Lifetime, replica_history Past)
       : Self(Self), Lifetime(Lifetime), FirstView(true), Past(Past) {}
 
-  /// A view with generations that may be new, or without some that were there.
+  /// Takes a view, which may add or remove generations.
   void take(const key_view &View, instant Now);
-  /// This agent may have missed claims: it relies on nothing it had.
+  /// Marks all records as possibly incomplete, because this agent may have
+  /// missed claims.
   void resetRecords(instant Now);
-  /// \p Host has sent all records that both keep.
+  /// Records that \p Host has sent all records that both hosts store, and that
+  /// its records are complete for \p Generations.
   void recordsReceived(host_id Host,
                        const std::vector<std::uint64_t> &Generations);
 
   bool isCompleteFor(const std::string &Key, instant Now) const;
-  /// \p Host may have records that this agent lacks.
+  /// Whether \p Host may have records that this agent lacks.
   bool needsRecordsFrom(host_id Host, instant Now) const;
   bool settled(instant Now) const;
-  /// Generations of whose records this agent lacks none where it was keeper.
+  /// Generations for which this agent has all records of the keys that it
+  /// stores.
   std::vector<std::uint64_t> completeGenerations(instant Now) const;
 
 private:
   struct generation_records {
     key_generation Generation;
     instant Since;
-    /// Was asked in every claim of keys that it keeps under this generation.
+    /// This agent was asked in every claim of the keys that it stores under
+    /// this generation.
     bool SawAllClaims = false;
-    /// Created while this agent was there, so that it was asked in every
-    /// claim since then of any key that it keeps; or all has been fetched.
+    /// All records are present: either this agent has been running since the
+    /// generation was created, and so was asked in every claim of the keys that
+    /// it stores, or it has fetched all records.
     bool Complete = false;
     std::set<host_id> SyncedHosts;
   };
@@ -61,7 +67,8 @@
   duration Lifetime;
   bool FirstView;
   replica_history Past;
-  /// By number. Those that left the view stay until they are complete.
+  /// By number. A generation that left the view stays here until it is
+  /// complete.
   std::map<std::uint64_t, generation_records> Generations;
 };
 
--- a/src/work/relay_choice.cpp
+++ b/src/work/relay_choice.cpp
@@ -1,16 +1,17 @@
-/// Which peer takes a request that has not begun to run.
+/// Chooses the peer for a request that has not started to run.
 ///
-/// Load pattern: flows last for hours and sit unevenly on hosts, hosts drain,
-/// start cold or slow down; the work in the flows has to move though the flows
-/// stay. Without it a host with three busy callers is at its limit while its
-/// neighbours idle.
+/// Load pattern: flows last for hours and are distributed unevenly over hosts,
+/// and hosts drain, start cold or slow down. The work in the flows has to move
+/// although the flows stay. Without relaying, a host with three busy callers
+/// reaches its limit while its neighbours are idle.
 ///
-/// What goes wrong with a simple choice: with "the least loaded by the last
-/// reports" every agent sends to the same idle peer until its next report
-/// (herding; one sees the peers' load swing in step). Here two peers drawn at
-/// random are compared, and what was sent since the last report is added to
-/// it. Two overloaded agents would pass a request to and fro: a relayed request
-/// is never relayed again (MaxHops), and who relays to us gets nothing back.
+/// If every agent chose the peer with the least load by the last reports, all
+/// would send to the same idle peer until its next report (herding: the load of
+/// the peers oscillates). Here two peers drawn at random are compared, and the
+/// requests sent since the last report are added to it. Two overloaded agents
+/// could relay a request back and forth; therefore a relayed request is never
+/// relayed again (MaxHops), and nothing is relayed to a peer that has just
+/// relayed to this agent.
 #include "marjoramrail/work.h"
 
 #include <algorithm>
@@ -22,23 +23,24 @@
 
 namespace {
 
-/// At most this share is shifted for balance, so that a host whose reports
-/// mislead still runs something and shows it.
+/// Maximum share relayed for balance, so that a host with misleading reports
+/// still runs some requests, which shows its real state.
 constexpr double MaxShifted = 0.95;
-/// Differences in Busy below this are noise of a few slots.
+/// Smaller differences in Busy are noise of a few slots.
 constexpr double DeadZone = 0.02;
 
 struct peer {
   load_report Load;
   instant At;
-  /// Slots that hold what was sent since the report, and at which moment.
+  /// Number of requests sent since the report that still hold slots, and the
+  /// time for which the number was computed.
   double Sent = 0;
   instant SentAt;
   instant AvoidUntil;
   instant NotRunUntil;
 };
 
-/// Of what was sent, the share that is still in a slot.
+/// Share of the requests sent that still hold a slot.
 double remainingShare(const peer &Peer, instant Now) {
   const std::chrono::duration<double> Passed = Now - Peer.SentAt;
   const std::chrono::duration<double> Service = Peer.Load.Service;
@@ -111,10 +113,10 @@
   return Fresh && Peer.Load.Accepting && !Avoided;
 }
 
-/// Half what it has been in the last second, half what it was at the report,
-/// and what we have sent since and is still in a slot. With the moment alone
-/// the choice follows the noise of a few slots; with the smoothed part alone a
-/// queue that grows is seen too late.
+/// Half the smoothed load of the last second, half the load at the time of the
+/// report, plus the requests sent since then that still hold a slot. With the
+/// momentary load alone the choice would follow the noise of a few slots; with
+/// the smoothed load alone a growing queue would be detected too late.
 double relay_choice::impl::loadOf(const peer &Peer, instant Now) {
   const double Sent =
       Peer.Sent * remainingShare(Peer, Now) / std::max(Peer.Load.Slots, 1.0);
--- a/src/work/retry_after_estimator.h
+++ b/src/work/retry_after_estimator.h
@@ -1,15 +1,14 @@
-//===- retry_after_estimator.h - When a refused caller should come back ---*-
-//C++ -*-===//
+//===- retry_after_estimator.h - Retry-after of refusals --------*- C++ -*-===//
 ///
 /// \file
-/// An honest retry-after: the time until the queue has drained, and the work of
-/// those who were sent away before beside the first tries that come meanwhile,
-/// jittered.
+/// Computes the retry-after time of a refused request: the time until the queue
+/// is empty and the work refused before has been done beside the first tries
+/// that arrive meanwhile, plus jitter.
 ///
-/// Load pattern: a burst, or an outage, after which many callers come back.
-/// With a fixed retry-after they all come back together and most are refused
-/// again; one sees waves of refusals one retry-after apart. Counting the work
-/// already sent away gives each a later place, as if it stood in the queue.
+/// Load pattern: after a burst or an outage many callers come back. With a
+/// fixed retry-after they all return at the same time and most are refused
+/// again, so refusals come in waves one retry-after apart. Counting the work
+/// already deferred gives each caller a later time, as if it were in the queue.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -27,27 +26,30 @@
   retry_after_estimator(duration Max, std::uint64_t Seed)
       : Max(Max), Random(Seed) {}
 
-  /// \p Need seconds of work came as a first try.
+  /// Records a first try with \p ServiceSeconds seconds of work.
   void firstTry(double ServiceSeconds, instant Now);
 
-  /// Books \p Need seconds of work for later and says when, given \p Queued
-  /// seconds of work that wait and \p Slots that serve them.
+  /// Reserves time for \p ServiceSeconds seconds of deferred work and returns
+  /// the delay until it, given \p Queued seconds of waiting work and \p Slots
+  /// slots that serve them.
   duration book(double ServiceSeconds, double Queued, double Slots,
                 instant Now);
 
-  /// Callers come back up to this share later than the place they were given.
+  /// Callers are told a time that is later than their reserved time by up to
+  /// this share.
   static constexpr double Jitter = 0.25;
-  /// First tries are averaged over this, so that a burst of seconds does not
-  /// pass for the load of the time after it.
+  /// First tries are averaged over this time so that a burst of seconds does
+  /// not count as the load of the time after it.
   static constexpr double AverageSeconds = 30;
-  /// Less is never assumed to be left beside first tries.
+  /// Capacity left beside first tries is never assumed to be a smaller share of
+  /// the slots than this.
   static constexpr double MinSpareShare = 0.2;
   static constexpr duration MinRetryAfter = std::chrono::milliseconds(20);
 
 private:
   duration Max;
   std::mt19937_64 Random;
-  /// Work sent away whose time has not come, seconds of a slot.
+  /// Deferred work whose time has not come yet, in seconds of a slot.
   double DeferredWork = 0;
   instant At;
   /// Seconds of first-try work per second.
--- a/src/work/retry_budget.h
+++ b/src/work/retry_budget.h
@@ -1,12 +1,12 @@
 //===- retry_budget.h - Retries as a share of first tries -------*- C++ -*-===//
 ///
 /// \file
-/// Load pattern: after an outage every caller that got no answer asks again,
-/// and again. Retries then crowd out first tries, each of which turns into a
-/// retry in its turn: the load stays above what the target can do after its
-/// cause is gone. One sees a service at full use with hardly any goodput. While
-/// requests wait, retries may be at most Share of the first tries; with free
-/// slots they cost nobody anything and are not counted.
+/// Load pattern: after an outage every caller without an answer retries
+/// repeatedly. The retries displace first tries, which turn into retries in
+/// turn, so the load stays above the target's capacity after its cause is gone.
+/// The service is fully used but has almost no goodput. While requests wait,
+/// retries may therefore be at most Share of the first tries. While slots are
+/// free, retries delay nobody and are not counted.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,7 +23,7 @@
 
   void firstTry() { Tokens = std::min(Tokens + Share, MaxTokens); }
 
-  /// True if a retry may join the queue now.
+  /// Returns whether a retry may join the queue now, and takes a token if so.
   bool take() {
     if (Tokens < 1)
       return false;
@@ -32,7 +32,7 @@
   }
 
 private:
-  /// What a quiet time may save up for a burst of retries.
+  /// Maximum number of tokens saved in quiet times for a burst of retries.
   static constexpr double MaxTokens = 10;
 
   double Share;
--- a/src/work/silent_flow.cpp
+++ b/src/work/silent_flow.cpp
@@ -1,16 +1,17 @@
-/// When to probe a flow, and when to call it silent.
+/// Decides when to probe a flow and when to close it because its caller does
+/// not respond.
 ///
-/// What goes wrong without: something between caller and agent loses track of a
-/// flow; both ends still hold it and new flows work. A caller that only listens
-/// (status, alerts) would wait for ever, and the agent would keep its stream.
-/// One notices a late alert. A flow that has been quiet for three quarters of
-/// the bound is sent a PING, another at seven eighths, and is closed at the
-/// bound, so that the caller's side opens a new one.
+/// A device between caller and agent may lose the state of a flow while both
+/// ends still hold it and new flows work. A caller that only listens (status,
+/// alerts) would wait forever, the agent would keep its stream, and the user
+/// would get alerts late. A flow that has been quiet for three quarters of the
+/// bound is sent a PING and another at seven eighths; at the bound it is
+/// closed, so that the caller's side opens a new one.
 ///
 /// 2,000 quiet flows under a bound of 60 s would take 2000 / 45 s * 97 bytes =
-/// 4.3 KB/s, more than all control may cost. So probes are paid from a budget:
-/// with too little of it they come later, and no flow is closed that was not
-/// probed twice.
+/// 4.3 KB/s, more than the budget for all control traffic. Probes are therefore
+/// paid from a budget: if it is used up, they are sent later, and no flow is
+/// closed before it has been probed twice.
 #include "marjoramrail/work.h"
 
 #include <algorithm>
@@ -22,9 +23,9 @@
 namespace {
 
 constexpr int ProbesBeforeClose = 2;
-/// A probe that the budget does not cover is tried again after this.
+/// A probe that exceeds the budget is tried again after this time.
 constexpr duration BudgetRetryInterval = std::chrono::milliseconds(500);
-/// Seconds of the budget that may be saved up.
+/// Unused budget is saved for at most this many seconds.
 constexpr double MaxBudgetSeconds = 2;
 
 } // namespace
@@ -37,7 +38,8 @@
   };
   using flows = std::unordered_map<flow_key, state, flow_key_hash>;
 
-  /// Quiet for this long, a flow is probed for the \p Sent th time, or closed.
+  /// Quiet time after which a flow that has been probed \p Sent times is probed
+  /// again, or closed.
   duration quietBefore(int Sent) const {
     return Settings.Bound * (6 + Sent) / 8;
   }
@@ -48,7 +50,8 @@
 
   silent_settings Settings;
   flows Flows;
-  /// When each flow is next looked at; hearing from one only notes the time.
+  /// When each flow is checked next. Data from the caller only updates
+  /// LastReceived.
   std::multimap<instant, flow_key> DueTimes;
   double AvailableBytes = 0;
   instant RefilledAt;
@@ -114,7 +117,7 @@
       Impl->schedule(Flow, State, Now + BudgetRetryInterval);
     } else {
       ++State.Sent;
-      // The answer gets an eighth of the bound, also after a late probe.
+      // The answer gets an eighth of the bound, even if the probe was late.
       Impl->schedule(Flow, State, Now + Impl->Settings.Bound / 8);
       Actions.push_back({Flow, silent_step::Ping});
     }
