--- a/bench/routing/bench.h
+++ b/bench/routing/bench.h
@@ -1,7 +1,8 @@
-//===- bench.h - Figures of the routing bench -------------------*- C++ -*-===//
+//===- bench.h - Routing benchmarks -----------------------------*- C++ -*-===//
 ///
 /// \file
-/// Each function prints its lines `bench: NAME VALUE UNIT`.
+/// Benchmarks of routing. Each function prints its lines as `bench: NAME VALUE
+/// UNIT`.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -16,26 +17,29 @@
 
 void print(const std::string &Name, double Value, const std::string &Unit);
 
-/// A view of \p Hosts ready hosts with \p Generations generations; each older
-/// one lacks one host more of the newest.
+/// A view of \p Hosts ready hosts with \p Generations generations. Each older
+/// generation lacks one more host of the newest.
 service_view viewOf(std::uint32_t Hosts, std::uint32_t Generations);
 
-/// A caller's flow, one for each number.
+/// A distinct caller's flow for each number.
 flow_key flowOf(std::uint32_t Number);
 
-/// Time of a decision, and how it grows with targets and generations.
+/// Measures the time of a routing decision and how it grows with targets and
+/// generations.
 void measureRouteCost();
 
-/// Time and memory of Maglev tables for the same work.
+/// Measures time and memory of Maglev tables for the same work.
 void measureMaglev();
 
-/// Flows moved over the least possible when one of 100 hosts comes or goes.
+/// Measures the flows moved beyond the possible minimum when one of 100 hosts
+/// joins or leaves.
 void measureRemap();
 
-/// Bytes of the routers of 46,000 services with 130,000 hosts.
+/// Measures the memory of the routers of 46,000 services with 130,000 hosts.
 void measureViewBytes();
 
-/// max/mean of flows per host at the users' sizes, beside a plain hash.
+/// Measures max/mean of flows per host at the users' sizes, compared with a
+/// plain hash.
 void measureImbalance();
 
 } // namespace marjoramrail::bench
--- a/bench/routing/imbalance.cpp
+++ b/bench/routing/imbalance.cpp
@@ -15,23 +15,23 @@
 
 static constexpr std::uint32_t Hosts = 7;
 static constexpr std::uint32_t Flows = Hosts * 2000;
-/// Mean life of a flow at the target size: 88 million open, 520,000 new ones a
-/// second.
+/// Mean lifetime of a flow at the target size: 88 million open flows, 520,000
+/// new ones per second.
 static constexpr duration FlowLife = seconds(169);
-/// The imbalance counts once a change has had this long; what a new host lacks
-/// until then shows in the peak.
+/// The imbalance is measured this long after a change; what a new host lacks
+/// until then is part of the peak.
 static constexpr duration Settle = seconds(20);
-/// The imbalance told is the worst within this.
+/// The reported imbalance is the highest within this time.
 static constexpr duration Window = seconds(5);
 
 namespace {
 
-/// Flows that end and begin while hosts change.
+/// Simulates flows that end and begin while hosts change.
 class churning_world {
 public:
   explicit churning_world(std::uint64_t Seed) : World(settings(Seed)) {
     World.setMoving(true);
-    constexpr std::uint32_t PerTurn = 10; // 1,000 a second
+    constexpr std::uint32_t PerTurn = 10; // 1,000 per second
     for (std::uint32_t I = 0; I < Flows; ++I) {
       World.openFlow(I);
       if (I % PerTurn == PerTurn - 1)
@@ -42,7 +42,7 @@
 
   path_world &world() { return World; }
 
-  /// Seconds until the imbalance has come down to \p Bound.
+  /// Returns the seconds until the imbalance has fallen to \p Bound.
   double settle(double Bound) {
     double Gone = 0;
     while (World.imbalance() > Bound && Gone < 300) {
@@ -52,7 +52,7 @@
     return Gone;
   }
 
-  /// Lets time go by and returns the highest imbalance on the way.
+  /// Advances the time and returns the highest imbalance in it.
   double pass(duration Time) {
     double Peak = 0;
     const double PerTurn = double(Flows) * double(path_world::Turn.count()) /
@@ -77,7 +77,7 @@
     return Settings;
   }
 
-  /// Another caller takes the place of one that leaves.
+  /// Replaces one caller that leaves by a new one.
   void renewOne() {
     World.closeFlow(Oldest++);
     World.openFlow(Next++);
@@ -89,8 +89,8 @@
   double Due = 0;
 };
 
-/// max/mean of a plain hash modulo the hosts, and the flows that a change of
-/// their number would break.
+/// max/mean of a plain hash modulo the number of hosts, and the flows that a
+/// change of that number would break.
 struct naive_figures {
   double Imbalance;
   std::uint32_t Broken;
--- a/bench/routing/maglev_table.h
+++ b/bench/routing/maglev_table.h
@@ -1,9 +1,9 @@
-//===- maglev_table.h - The weighed alternative to rendezvous ---*- C++ -*-===//
+//===- maglev_table.h - Maglev hashing for comparison -----------*- C++ -*-===//
 ///
 /// \file
-/// A Maglev table (Eisenbud and others, NSDI 2016), as the measure that the
-/// choice of rendezvous hashing is held against: constant time a look-up, a
-/// table per generation, and flows moved beyond the least on a change.
+/// A Maglev table (Eisenbud and others, NSDI 2016), the alternative with which
+/// rendezvous hashing is compared. A look-up takes constant time, but each
+/// generation needs a table, and a change moves more flows than necessary.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -16,7 +16,7 @@
 
 class maglev_table {
 public:
-  /// \p Size is a prime, a hundred or more times the number of members.
+  /// \p Size is a prime at least a hundred times the number of members.
   maglev_table(const generation &Generation, std::uint32_t Size);
 
   /// The position of the flow's owner in the generation's members.
--- a/bench/routing/remap.cpp
+++ b/bench/routing/remap.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Flows whose owner changed, and those that had to: the flows of the host that
-/// left, or those that the new one now has.
+/// The number of flows whose owner changed, and of those that had to change:
+/// the flows of the host that left, or those that the new host owns.
 struct remap_count {
   std::uint32_t Moved = 0;
   std::uint32_t Least = 0;
@@ -25,7 +25,8 @@
 
 } // namespace
 
-/// A view of \p Count hosts whose targets stand at their own numbers.
+/// A view of \p Count hosts whose targets are at the positions of their
+/// numbers.
 static service_view plainView(std::uint32_t Count) { return viewOf(Count, 1); }
 
 void measureRemap() {
--- a/bench/routing/route_cost.cpp
+++ b/bench/routing/route_cost.cpp
@@ -37,8 +37,8 @@
           {0x0a640001, 443}};
 }
 
-/// Nanoseconds a call of \p Body, least of several rounds: the others were
-/// disturbed by whatever else the machine does.
+/// Nanoseconds per call of \p Body: the lowest of several rounds, because the
+/// others were disturbed by other load on the machine.
 template <typename Callable>
 static double nanosecondsOf(std::uint32_t Count, Callable &&Body) {
   using clock = std::chrono::steady_clock;
@@ -95,7 +95,7 @@
 }
 
 void measureMaglev() {
-  // The primes nearest to a hundred slots a host, as the paper advises.
+  // The primes nearest to a hundred slots per host, as the paper recommends.
   constexpr std::uint32_t SmallSize = 701;
   constexpr std::uint32_t LargeSize = 10007;
   const service_view View = viewOf(UsersHosts, MaxGenerations);
@@ -105,7 +105,7 @@
   print("maglev_established_ns",
         nanosecondsOf(Calls,
                       [&](std::uint32_t I) {
-                        // Four choices a generation need four look-ups each.
+                        // Four choices per generation need four look-ups each.
                         owner_list Owners;
                         for (std::uint64_t Rank = 0;
                              Rank < ChoicesPerGeneration; ++Rank) {
--- a/bench/routing/view_bytes.cpp
+++ b/bench/routing/view_bytes.cpp
@@ -12,7 +12,8 @@
 static constexpr std::uint32_t Services = 46000;
 static constexpr std::uint32_t Hosts = 130000;
 /// A host is replaced every 12 days and flows last for hours at most, so a
-/// service rarely has a second generation; two for each is the careful case.
+/// service rarely has a second generation. Two per service is a conservative
+/// assumption.
 static constexpr std::uint32_t Generations = 2;
 
 static std::size_t residentBytes() {
--- a/bench/work/plot.h
+++ b/bench/work/plot.h
@@ -1,4 +1,10 @@
-//===- plot.h - One sweep as CSV and SVG ------------------------*- C++ -*-===//
+//===- plot.h - A sweep as CSV and SVG --------------------------*- C++ -*-===//
+///
+/// \file
+/// Writes the measurements of one parameter sweep as a CSV table and an SVG
+/// chart.
+///
+//===----------------------------------------------------------------------===//
 
 #ifndef MARJORAMRAIL_BENCH_WORK_PLOT_H
 #define MARJORAMRAIL_BENCH_WORK_PLOT_H
@@ -6,7 +12,7 @@
 #include <string>
 #include <vector>
 
-/// What was measured at one value of a threshold.
+/// The two measures at one value of a threshold.
 struct sweep_point {
   double Value = 0;
   double Left = 0;
@@ -18,13 +24,14 @@
   std::string Axis;
   std::string LeftName;
   std::string RightName;
-  /// The value that the settings have.
+  /// The value used in the settings.
   double Chosen = 0;
   std::vector<sweep_point> Points;
 };
 
 std::string toCsv(const sweep_plot &Plot);
-/// Values stand at even distances; each measure has its own scale from zero.
+/// Draws the values at equal distances; each measure has its own scale from
+/// zero.
 std::string toSvg(const sweep_plot &Plot);
 
 #endif // MARJORAMRAIL_BENCH_WORK_PLOT_H
--- a/bench/work/sweep.cpp
+++ b/bench/work/sweep.cpp
@@ -16,7 +16,7 @@
 using measure = std::function<double(const outcome &)>;
 using setting = std::function<void(scenario &, double)>;
 
-/// One threshold, the load it answers and what is read off.
+/// A sweep over one threshold: its values, the scenario and the two measures.
 struct sweep {
   sweep_plot Plot;
   std::vector<double> Values;
--- a/bench/work/work_bench.cpp
+++ b/bench/work/work_bench.cpp
@@ -1,5 +1,6 @@
-/// Rows of each scenario, naive beside ours: `bench: NAME VALUE UNIT`. With
-/// --sweep=FOLDER it sweeps the thresholds instead (CSV and SVG).
+/// Prints lines `bench: NAME VALUE UNIT` for each scenario, for the naive
+/// policy and for marjoramrail's. With --sweep=FOLDER it sweeps the thresholds
+/// instead and writes CSV and SVG files.
 #include "sweep.h"
 #include "work/scenarios.h"
 
--- a/src/report/report_builder.cpp
+++ b/src/report/report_builder.cpp
@@ -6,10 +6,12 @@
 
 namespace marjoramrail {
 
-/// A clock that jumps must not make a report of a million seconds.
+/// Bounds the report if a clock jumps; otherwise a report could span a million
+/// seconds.
 static constexpr std::size_t MaxSeconds = 24 * 3600;
 
-/// The least value that \p Share of \p Sorted does not exceed (nearest rank).
+/// The lowest value that is at least as high as \p Share of \p Sorted (nearest
+/// rank).
 static double quantile(const std::vector<double> &Sorted, double Share) {
   if (Sorted.empty())
     return 0;
--- a/src/report/report_html.cpp
+++ b/src/report/report_html.cpp
@@ -26,7 +26,7 @@
 
 static std::string count(std::uint64_t Value) { return std::to_string(Value); }
 
-/// The head of a table; all columns but the first are of numbers.
+/// The head of a table. All columns but the first contain numbers.
 static std::string tableHead(const std::vector<std::string> &Names) {
   std::string Html = "<table><tr>";
   for (std::size_t I = 0; I < Names.size(); ++I)
--- a/src/report/svg_chart.cpp
+++ b/src/report/svg_chart.cpp
@@ -18,7 +18,7 @@
 constexpr double BarNameWidth = 140;
 constexpr int GridLines = 4;
 
-/// Where a value of a chart is drawn.
+/// Maps the values of a chart to coordinates.
 struct scale {
   double Seconds = 1;
   double Highest = 1;
@@ -65,7 +65,7 @@
   return Text.data();
 }
 
-/// The next number of the form 1, 2 or 5 times a power of ten.
+/// Rounds up to the next number of the form 1, 2 or 5 times a power of ten.
 static double roundUp(double Value) {
   if (Value <= 0)
     return 1;
@@ -104,8 +104,8 @@
   return Svg;
 }
 
-/// A mark's number stands at its place, its text in the list below the chart:
-/// texts of marks close to each other would overlap.
+/// Draws only the number of each mark; the list below the chart has the texts,
+/// because those of adjacent marks would overlap.
 static std::string drawMarks(const scale &Scale,
                              const std::vector<report_mark> &Marks) {
   std::string Svg;
--- a/src/report/svg_chart.h
+++ b/src/report/svg_chart.h
@@ -1,8 +1,8 @@
 //===- svg_chart.h - Charts as SVG text -------------------------*- C++ -*-===//
 ///
 /// \file
-/// Lines over the seconds of an experiment with marks for what was done to it,
-/// and bars for the shares of hosts.
+/// Line charts over the seconds of an experiment with marks for interventions,
+/// and bar charts for the shares of hosts.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -13,10 +13,10 @@
 
 namespace marjoramrail::internal {
 
-/// One line of a chart: a value for each second.
+/// One line of a chart with a value for each second.
 struct chart_line {
   std::string Name;
-  /// A colour of CSS.
+  /// A CSS colour.
   std::string Colour;
   std::vector<double> Values;
 };
@@ -28,17 +28,18 @@
 struct chart_bar {
   std::string Name;
   double Value = 0;
-  /// Drawn pale: no part of the figure that the chart is about.
+  /// Drawn pale because it does not count in the figure that the chart shows.
   bool Pale = false;
 };
 
-/// Bars beside their mean.
+/// A bar for each host and a line at the mean of the bars.
 std::string barChart(const std::vector<chart_bar> &Bars);
 
-/// \p Text with what HTML would take for markup replaced.
+/// \p Text with the characters escaped that HTML treats as markup.
 std::string escaped(std::string_view Text);
 
-/// A number with at most three digits after the point that matter.
+/// Rounds \p Value to a whole number from 100, to one decimal from 10, and to
+/// two decimals below.
 std::string shortNumber(double Value);
 
 } // namespace marjoramrail::internal
--- a/src/routing/health_view.cpp
+++ b/src/routing/health_view.cpp
@@ -26,15 +26,16 @@
   if (Found == Hosts.end())
     return true;
   const evidence &Evidence = Found->second;
-  // Refuted only for a while: a target without work could never show that it
-  // has recovered.
+  // Failures refute a claim only for a limited time: a target without work
+  // could never show that it has recovered.
   if (Evidence.Failures >= FailuresToRefute &&
       Now - *Evidence.FailedAt < OutcomeLifetime)
     return false;
   if (Evidence.Claimed || !Evidence.ClaimedAt ||
       Now - *Evidence.ClaimedAt >= ClaimLifetime)
     return true;
-  // It calls itself ill; work done well since then says otherwise.
+  // The target claims to be unhealthy. Requests that succeeded since then
+  // refute the claim.
   return Evidence.SucceededAt && *Evidence.SucceededAt > *Evidence.ClaimedAt &&
          Now - *Evidence.SucceededAt < OutcomeLifetime;
 }
--- a/src/routing/rendezvous_score.h
+++ b/src/routing/rendezvous_score.h
@@ -2,13 +2,13 @@
 ///
 /// \file
 /// Weighted rendezvous hashing (Thaler and Ravishankar; the weighted form by
-/// Schindelhauer and Schomaker): a host's score for a flow is -ln(h) / w, with
-/// h a uniform hash of both and w its weight; the least score owns the flow. It
-/// is the same order as the greatest -w / ln(h).
+/// Schindelhauer and Schomaker): a host's score for a flow is -ln(h) / w, where
+/// h is a uniform hash of both and w is its weight. The host with the lowest
+/// score owns the flow. This is the same order as the highest -w / ln(h).
 ///
-/// The logarithm is in integers. Balancers must agree on every flow without
-/// talking, and the C library's log() may round differently from one version
-/// of it to the next.
+/// The logarithm is computed in integers, because balancers must agree on every
+/// flow without communicating, and the log() of different C library versions
+/// may round differently.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,16 +23,16 @@
 
 namespace marjoramrail::internal {
 
-/// Bits after the point of logarithms and of inverse weights. The whole part
-/// of a logarithm takes 6 bits, so a product of both takes 58.
+/// Fractional bits of logarithms and of inverse weights. The integer part of a
+/// logarithm takes 6 bits, so the product of both takes 58.
 inline constexpr unsigned LogBits = 28;
 inline constexpr unsigned InverseBits = 24;
-/// Logarithms between two entries of the table are interpolated; 256 of them
-/// keep the error under 3e-6, far less than a host's share of a flow space.
+/// Logarithms between two table entries are interpolated. With 256 entries the
+/// error is below 3e-6, far less than a host's share of the flow space.
 inline constexpr unsigned TableBits = 8;
 
-/// The binary logarithm of \p Value in [1, 2), given with 31 bits after the
-/// point, by repeated squaring.
+/// The binary logarithm of \p Value in [1, 2), which is given with 31
+/// fractional bits, by repeated squaring.
 constexpr std::uint32_t log2OfMantissa(std::uint64_t Value) {
   constexpr std::uint64_t Two = std::uint64_t(1) << 32;
   std::uint32_t Log = 0;
@@ -66,8 +66,8 @@
 inline constexpr auto LogTable = makeLogTable();
 inline constexpr auto InverseTable = makeInverseTable();
 
-/// -log2(Hash / 2^64): exponentially distributed if \p Hash is uniform. One
-/// value serves all generations; they differ only in the weight.
+/// -log2(Hash / 2^64), which is exponentially distributed if \p Hash is
+/// uniform. One value serves all generations, which differ only in the weight.
 inline std::uint64_t negativeLog(std::uint64_t Hash) {
   const auto Zeros = static_cast<unsigned>(std::countl_zero(Hash | 1));
   const std::uint64_t Mantissa = (Hash | 1) << Zeros;
@@ -79,14 +79,14 @@
   return (std::uint64_t(Zeros + 1) << LogBits) - Log;
 }
 
-/// Score and position in one number, so that the least is the best host and a
-/// choice needs no second look-up.
+/// Score and position in one number, so that the lowest key identifies the best
+/// host without a second look-up.
 ///
-/// It is an integer below 2^62 in the bits of a double. Such doubles are
-/// finite, not negative and stand in the order of their bits, and every
-/// processor has their minimum and maximum as single instructions, two at a
-/// time. With integers the compiler makes branches, and whether a host ranks is
-/// a guess that the processor misses every other time.
+/// The key is an integer below 2^62 stored in the bits of a double. Such
+/// doubles are finite, not negative and ordered like their bits, and every
+/// processor computes their minimum and maximum in single instructions, two at
+/// a time. For integers the compiler generates branches, and whether a host
+/// ranks among the best is mispredicted every other time.
 using score_key = double;
 
 /// \p Weight must not be 0.
@@ -98,7 +98,7 @@
   return std::bit_cast<score_key>((Score & ~PositionMask) | Position);
 }
 
-/// Greater than every key: the key of a host that is no member.
+/// Greater than every valid key; the key of a host that is not a member.
 inline constexpr score_key NoKey =
     std::bit_cast<score_key>(std::uint64_t(1) << 62);
 
@@ -106,8 +106,8 @@
   return static_cast<std::uint16_t>(std::bit_cast<std::uint64_t>(Key));
 }
 
-/// The least keys of each of \p Generations generations, in order. Ranks are
-/// rows, so that one step sorts a host into all generations.
+/// The lowest keys of each of \p Generations generations, in order. Ranks are
+/// rows, so that one step inserts a host into all generations.
 template <std::size_t Generations> struct best_keys {
   using row = std::array<score_key, Generations>;
   std::array<row, ChoicesPerGeneration> Ranks;
--- a/src/routing/service_router.cpp
+++ b/src/routing/service_router.cpp
@@ -11,7 +11,8 @@
 
 using namespace internal;
 
-/// A seed of its own: the agents' tables hash flows with seed 0.
+/// Differs from the seed 0 with which the agents' tables hash flows, so that
+/// the two hashes are independent.
 static constexpr std::uint64_t RoutingSeed = 0x6d6172726f757465;
 
 static std::uint64_t hostHash(std::uint64_t FlowHash, host_id Host) {
@@ -67,8 +68,8 @@
   collectLiveTargets(View);
 }
 
-/// By number, so that routers of one view agree whatever the order of its
-/// targets.
+/// Sorts by host id, so that routers of one view agree whatever the order of
+/// its targets.
 void service_router::collectLiveTargets(const service_view &View) {
   HasDroppedGeneration =
       !View.Generations.empty() && View.Generations.back().Number > 1;
@@ -120,18 +121,19 @@
 
 static const std::vector<std::uint16_t> NoOthers;
 
-/// Owners that are up, without repeats: each generation's first choices before
-/// anyone's second.
+/// Owners that are not down, without repeats: each generation's first choice
+/// before any second choice.
 ///
-/// Behind the choices come all others in \p Rest, as far as the list goes: a
-/// flow may live longer than the generation that named its owner.
+/// After the choices, all targets in \p Rest follow as far as the list has
+/// room, because a flow may live longer than the generation that contained its
+/// owner.
 template <std::size_t Generations>
 static owner_list mergeRanks(const best_keys<Generations> &Best,
                              const std::vector<target> &Targets,
                              const std::vector<std::uint16_t> &Rest) {
   owner_list Owners;
-  // The generations name mostly the same few hosts; a bit for each of the first
-  // 64 positions saves the search of the list.
+  // The generations mostly contain the same few hosts. One bit for each of the
+  // first 64 positions avoids searching the list.
   std::uint64_t Seen = 0;
   for (const auto &Rank : Best.Ranks)
     for (const score_key Key : Rank) {
