--- a/test/mechanism/mechanism_test.cpp
+++ b/test/mechanism/mechanism_test.cpp
@@ -5,7 +5,7 @@
 
 using namespace marjoramrail;
 
-TEST_CASE("every mechanism has a name of its own") {
+TEST_CASE("every mechanism has a distinct name") {
   std::set<std::string_view> Names;
   std::size_t Next = 0;
   for (const auto &[Mechanism, Name] : MechanismNames) {
@@ -15,7 +15,7 @@
   CHECK(Names.size() == MechanismNames.size());
 }
 
-TEST_CASE("a set holds what was added") {
+TEST_CASE("a set contains what was added") {
   mechanism_set Without;
   CHECK(Without.empty());
   Without.add(mechanism::FlowCheckpoints);
--- a/test/report/report_test.cpp
+++ b/test/report/report_test.cpp
@@ -53,9 +53,8 @@
   CHECK(Report.Latencies[0].Max == doctest::Approx(100));
 }
 
-TEST_CASE("attempts before the start and long after it are kept in bounds") {
-  // A caller's clock jumps; a report as long as the jump would take all
-  // memory.
+TEST_CASE("attempts before the start and long after it are clamped") {
+  // A caller's clock jumps. A report as long as the jump would take all memory.
   report_builder Builder("jump", Start);
   Builder.attempt(attempt(attempt_outcome::Ok, -seconds(50), seconds(1)));
   Builder.attempt(
@@ -67,7 +66,7 @@
   CHECK(Report.total(attempt_outcome::Ok) == 2);
 }
 
-TEST_CASE("imbalance leaves out hosts that the plan took away") {
+TEST_CASE("imbalance leaves out excluded hosts") {
   const std::vector<host_share> Hosts = {
       {"a", 10, 0, false}, {"b", 20, 0, false}, {"c", 90, 0, true}};
 
@@ -86,7 +85,7 @@
   CHECK(Json["marks"][0]["what"] == "kill balancer-2");
 }
 
-TEST_CASE("the page stands by itself and takes no text for markup") {
+TEST_CASE("the page is self-contained and escapes markup") {
   const std::string Html = toHtml(sample());
 
   CHECK(Html.find("a &lt;title&gt;") != std::string::npos);
@@ -96,7 +95,7 @@
   CHECK(Html.find("Every promise was kept") != std::string::npos);
 }
 
-TEST_CASE("a broken promise is told at the top of the page") {
+TEST_CASE("a broken promise is reported at the top of the page") {
   experiment_report Report = sample();
   Report.Promises.push_back({"no flow broke", false, "3"});
 
--- a/test/routing/health_view_test.cpp
+++ b/test/routing/health_view_test.cpp
@@ -15,9 +15,9 @@
     View.outcome(Host, false, Start);
 }
 
-TEST_CASE("a target that fails its requests is not believed to be healthy") {
-  // Its endpoint says that all is well while every amendment on it fails. It
-  // fails fast, so it looks idle and draws more of them.
+TEST_CASE("a target that fails its requests counts as unhealthy") {
+  // The target's health endpoint reports that all is well while every amendment
+  // fails. The target fails fast, so it looks idle and attracts more requests.
   health_view View;
   View.claim(First, true, Start);
 
@@ -30,16 +30,16 @@
   CHECK(View.seemsHealthy(First, Start));
 }
 
-TEST_CASE("a target that was refuted gets work again after a while") {
+TEST_CASE("a refuted target is used again once its failures are old") {
   health_view View;
   fail(View, First, health_view::FailuresToRefute);
 
   CHECK(View.seemsHealthy(First, Start + health_view::OutcomeLifetime));
 }
 
-TEST_CASE("a claim of illness holds until work or time speaks against it") {
-  // The endpoint lags: the target has recovered, and requests succeed, but it
-  // still reports the fault of some seconds ago.
+TEST_CASE("a claim to be unhealthy holds until it expires or work succeeds") {
+  // The endpoint lags: the target has recovered and requests succeed, but the
+  // endpoint still reports a fault of some seconds ago.
   health_view View;
   View.claim(First, false, Start);
 
@@ -51,9 +51,9 @@
   CHECK_FALSE(View.seemsHealthy(First, Start + seconds(4)));
 }
 
-TEST_CASE("the view is distrusted when most targets seem ill at once") {
-  // One fault on the probes' own way makes every target look ill. Believed, it
-  // would turn all callers away from hosts that work.
+TEST_CASE("all targets are used when most seem unhealthy at once") {
+  // A fault on the path of the health probes makes every target look unhealthy.
+  // Acting on it would reject all callers although the hosts work.
   health_view View;
   const std::vector<host_id> All = {First, Second, Third};
   View.claim(First, false, Start);
@@ -63,7 +63,7 @@
   CHECK(View.usable(All, Start) == All);
 }
 
-TEST_CASE("coldStartPercent grows from its floor to all") {
+TEST_CASE("coldStartPercent rises from its floor to 100") {
   constexpr duration Ramp = seconds(10);
 
   CHECK(coldStartPercent(seconds(0), Ramp) == ColdStartFloor);
--- a/test/routing/sample_view.h
+++ b/test/routing/sample_view.h
@@ -1,7 +1,7 @@
-//===- sample_view.h - Views of services for tests --------------*- C++ -*-===//
+//===- sample_view.h - Service views for tests ------------------*- C++ -*-===//
 ///
 /// \file
-/// Views with a given number of ready hosts of equal weight.
+/// Service views for tests, with a given number of ready hosts of equal weight.
 ///
 //===----------------------------------------------------------------------===//
 
--- a/test/routing/service_router_test.cpp
+++ b/test/routing/service_router_test.cpp
@@ -18,7 +18,7 @@
   return Hosts;
 }
 
-/// How many of the sample flows each host gets as first choice.
+/// The number of sample flows for which each host is the first choice.
 static std::vector<double> firstChoices(const service_view &View) {
   const service_router Router(View);
   std::vector<double> Count(View.Targets.size());
@@ -39,8 +39,9 @@
 }
 
 TEST_CASE("two routers of one view agree whatever the order of its targets") {
-  // Views are rebuilt on every balancer. If their order mattered, two balancers
-  // would send one flow to two hosts and the caller would see it reset.
+  // Every balancer rebuilds the views. If the order of targets mattered, two
+  // balancers would send one flow to two hosts, and the caller would see a
+  // reset.
   service_view Reversed = sampleView(7);
   std::reverse(Reversed.Targets.begin(), Reversed.Targets.end());
   std::reverse(Reversed.Generations[0].Members.begin(),
@@ -68,7 +69,7 @@
   }
 }
 
-TEST_CASE("a host of weight 0 gets nothing") {
+TEST_CASE("a host of weight 0 gets no flows") {
   service_view View = sampleView(5);
   View.Generations[0].Members[2].Weight = 0;
   const service_router Router(View);
@@ -79,9 +80,9 @@
   }
 }
 
-TEST_CASE("once a generation was let go, owners name every target") {
-  // A flow outlives the generations that named its owner. Found by no list, it
-  // would be reset although its owner is well.
+TEST_CASE("once a generation was dropped, owners contain every target") {
+  // A flow outlives the generations that contained its owner. If no list
+  // contained the owner, the flow would be reset although its owner is running.
   service_view View = sampleView(owner_list::Capacity);
   View.Targets[3].State = target_state::Down;
   View.Generations[0].Number = 2;
@@ -99,7 +100,7 @@
       service_router(sampleView(owner_list::Capacity + 1)).listsEveryTarget());
 }
 
-TEST_CASE("a host that joins takes flows only for itself") {
+TEST_CASE("a joining host changes the owner only of flows that it takes") {
   const service_router Before(sampleView(7));
   const service_router After(sampleView(8));
 
@@ -109,9 +110,9 @@
   }
 }
 
-TEST_CASE("choices name no target that drains or is down") {
-  // A leaving host that still got new flows could never be stopped; new flows
-  // for a dead one would end in a reset.
+TEST_CASE("choices contain no target that is draining or down") {
+  // A draining host that still got new flows could never be stopped, and new
+  // flows to a dead host would be reset.
   service_view View = sampleView(3);
   View.Targets[0].State = target_state::Draining;
   View.Targets[1].State = target_state::Down;
@@ -124,9 +125,10 @@
   }
 }
 
-TEST_CASE("behind the first choice come those in its zone") {
-  // An agent over its share hands a SYN to the next choice. In another zone
-  // each of the flow's packets would cross a link that costs more and drops.
+TEST_CASE("the first choice is followed by those in its zone") {
+  // An agent that exceeds its share passes a SYN to the next choice. If that
+  // were in another zone, each packet of the flow would cross a link that costs
+  // more and drops packets.
   const service_router Router(sampleView(9));
   for (std::uint32_t I = 0; I < 1000; ++I) {
     const owner_list Choices = Router.choices(sampleFlow(I));
@@ -142,7 +144,7 @@
   }
 }
 
-TEST_CASE("owners keep a target that drains and leave out one that is down") {
+TEST_CASE("owners contain a draining target but none that is down") {
   service_view View = sampleView(3);
   View.Targets[0].State = target_state::Draining;
   View.Targets[1].State = target_state::Down;
@@ -170,8 +172,8 @@
 
 TEST_CASE("owners hold the choices of every generation, newest first") {
   // All hosts are replaced, one set after the other, while a flow of the first
-  // set lives on. If its choices were left out, its packets would find no owner
-  // and the caller would see it reset by a planned change.
+  // set stays open. If the choices of its generation were left out, its packets
+  // would find no owner, and a planned change would reset the flow.
   service_view View = sampleView(0);
   View.Generations.clear();
   for (std::uint32_t G = 0; G < MaxGenerations; ++G) {
@@ -190,9 +192,9 @@
     CHECK(Owners[G] / ChoicesPerGeneration == G);
 }
 
-TEST_CASE("a router takes a malformed view without harm") {
-  // A view from a newer or faulty writer: too many generations, members that
-  // are no targets, weights past the limit.
+TEST_CASE("a router handles a malformed view") {
+  // The view comes from a newer or faulty writer: too many generations, members
+  // that are not targets, weights above the limit.
   service_view View = sampleView(3);
   View.Generations[0].Members.push_back({host_id(99), FullWeight});
   View.Generations[0].Members[0].Weight = 65535;
@@ -205,8 +207,8 @@
 }
 
 TEST_CASE("known flows keep their owners in every version of the program") {
-  // A rollout runs two versions of the balancer side by side for a while. If
-  // the hash differed between them, flows would break for as long.
+  // During a rollout two versions of the balancer run side by side. If their
+  // hashes differed, flows would break for as long.
   const service_router Router(sampleView(7));
   std::vector<std::uint16_t> First;
   for (std::uint32_t I = 0; I < 16; ++I)
--- a/test/work/admission_test.cpp
+++ b/test/work/admission_test.cpp
@@ -25,7 +25,7 @@
   return Request;
 }
 
-/// Fills all slots; returns the next free number.
+/// Fills all slots and returns the next free request number.
 std::uint64_t fill(admission &Work, std::uint32_t Slots) {
   for (std::uint64_t Id = 1; Id <= Slots; ++Id)
     CHECK(Work.offer(requestOf(Id), Start).Verdict == verdict::Run);
@@ -34,9 +34,10 @@
 
 } // namespace
 
-TEST_CASE("admission refuses at once what cannot be done by its deadline") {
-  // A caller that will have given up by then gains nothing from waiting; the
-  // slot would be lost to others.
+TEST_CASE(
+    "admission refuses a request at once if it cannot meet its deadline") {
+  // The caller would have given up before the answer, so running the request
+  // would only take the slot from others.
   admission Work(warm(1), nullptr, 1);
   work_request Request = requestOf(1);
   Request.Estimate = milliseconds(50);
@@ -86,7 +87,7 @@
   CHECK(Work.offer(requestOf(2), Start).Verdict == verdict::Run);
 }
 
-TEST_CASE("admission forgets a cancelled request that waits") {
+TEST_CASE("admission removes a cancelled request from the queue") {
   admission Work(warm(1), nullptr, 1);
   fill(Work, 1);
   Work.offer(requestOf(2), Start);
@@ -114,7 +115,7 @@
   CHECK(Decisions[0].Id == request_id{7});
 }
 
-TEST_CASE("admission keeps a slot from long work") {
+TEST_CASE("admission reserves a slot for short work") {
   admission Work(warm(2), nullptr, 1);
   work_request First = requestOf(1);
   work_request Second = requestOf(2);
@@ -144,7 +145,7 @@
 }
 
 TEST_CASE("admission runs nothing new once it drains") {
-  // The target's VM is about to stop; a request begun now would be cut off.
+  // The target's VM is about to stop; a request started now would be cut off.
   admission Work(warm(1), nullptr, 1);
   fill(Work, 1);
   Work.offer(requestOf(2), Start);
@@ -159,9 +160,9 @@
   CHECK(Accepted[0].Verdict == verdict::Run);
 }
 
-TEST_CASE("admission runs new work after a drain was taken back") {
-  // An operator drains the wrong host and takes it back; a host that went on
-  // refusing would be out of service until someone restarted its agent.
+TEST_CASE("admission runs new work after a drain was undone") {
+  // An operator drains the wrong host and undoes it. If the host went on
+  // refusing, it would be out of service until its agent was restarted.
   admission Work(warm(1), nullptr, 1);
   Work.drain(Start);
 
@@ -171,7 +172,7 @@
   CHECK(Got.Verdict != verdict::Refuse);
 }
 
-TEST_CASE("admission runs or refuses what a peer relayed") {
+TEST_CASE("admission refuses a relayed request instead of queueing it") {
   admission Work(
       warm(1),
       [](const work_request &, relay_reason, const load_report &, instant) {
@@ -187,8 +188,8 @@
 }
 
 TEST_CASE("admission runs fewer at a time after the target has shed") {
-  // The target itself said 503: it has less room than it declared. Sending on
-  // makes callers pay a round trip for each refusal.
+  // The target answered 503 because it has less capacity than declared. Sending
+  // more requests would cost callers a round trip for each refusal.
   admission Work(warm(4), nullptr, 1);
   fill(Work, 4);
 
@@ -197,7 +198,7 @@
   CHECK(Work.limit(Start) == 3);
 }
 
-TEST_CASE("admission leaves a target alone that sheds its only request") {
+TEST_CASE("admission pauses when the target sheds its only request") {
   admission Work(warm(1), nullptr, 1);
   fill(Work, 1);
 
@@ -220,8 +221,8 @@
 }
 
 TEST_CASE("admission stops queueing for a target that hangs") {
-  // It was fast a moment ago, so by its history a queue looks short; all that
-  // waits would be refused late.
+  // By its history the target is fast, so the queue seems short, but all
+  // waiting requests would be refused late.
   admission Work(warm(1), nullptr, 1);
   fill(Work, 1);
 
--- a/test/work/key_claims_test.cpp
+++ b/test/work/key_claims_test.cpp
@@ -11,7 +11,7 @@
 
 const instant Start(seconds(100));
 
-/// Two hosts that keep every key, and a network without faults.
+/// Two hosts that are replicas of every key, and a network without faults.
 struct pair_of_hosts {
   key_view View{{{host_id{0}, 1, false}, {host_id{1}, 1, false}},
                 {{1, {host_id{0}, host_id{1}}}}};
@@ -50,7 +50,7 @@
                            : Results[0];
   }
 
-  /// Both keepers start again with nothing, as VMs without disks do.
+  /// Both replicas restart without records, as VMs without disks do.
   void loseBothReplicas() {
     for (std::uint32_t Host = 0; Host < 2; ++Host) {
       View.Hosts[Host].Incarnation = 2;
@@ -67,8 +67,8 @@
 
 } // namespace
 
-TEST_CASE("key_claims tells a repeat the stored outcome") {
-  // The answer to an amendment was lost; the broker sends it again to another
+TEST_CASE("key_claims returns the stored outcome to a repeat") {
+  // The answer to an amendment was lost, and the broker repeats it at another
   // host.
   pair_of_hosts Hosts;
   CHECK(Hosts.ask(0, "amendment").Verdict == key_verdict::Run);
@@ -88,7 +88,7 @@
   CHECK(Hosts.ask(1, "amendment").Verdict == key_verdict::RunningElsewhere);
 }
 
-TEST_CASE("key_claims lets a key run after an explicit not run") {
+TEST_CASE("key_claims grants a key again after an explicit not-run") {
   pair_of_hosts Hosts;
   Hosts.ask(0, "amendment");
   Hosts.pass(
@@ -108,7 +108,7 @@
   CHECK(Hosts.ask(1, "amendment").Verdict == key_verdict::Unknown);
 }
 
-TEST_CASE("key_claims is granted by one keeper while the other is down") {
+TEST_CASE("key_claims needs only one replica while the other is down") {
   pair_of_hosts Hosts;
   Hosts.View.Hosts[0].Down = true;
   Hosts.pass(Hosts.Replicas[1]->take(Hosts.View, Hosts.Now));
@@ -117,8 +117,8 @@
   CHECK(Hosts.ask(1, "amendment").Verdict == key_verdict::Run);
 }
 
-TEST_CASE("keys are refused for a lifetime after both keepers were lost") {
-  // Nobody can tell any more which amendments ran.
+TEST_CASE("keys are refused for a lifetime after both replicas were lost") {
+  // No replica knows any more which amendments ran.
   pair_of_hosts Hosts;
   Hosts.ask(0, "amendment");
   Hosts.loseBothReplicas();
@@ -131,8 +131,8 @@
   CHECK(AfterLifetime.Verdict == key_verdict::Run);
 }
 
-TEST_CASE("a keeper whose view differs grants nothing") {
-  // Another set of keepers may have been asked under the other view.
+TEST_CASE("a replica with a different view grants nothing") {
+  // Under the other view, different replicas may have been asked.
   pair_of_hosts Hosts;
   key_view Newer = Hosts.View;
   Newer.Generations.insert(Newer.Generations.begin(), {2, {host_id{1}}});
@@ -147,7 +147,7 @@
   CHECK(Results[0].Verdict == key_verdict::NoAnswer);
 }
 
-TEST_CASE("a full keeper refuses a new key and keeps what it has") {
+TEST_CASE("a full replica refuses a new key and keeps its records") {
   pair_of_hosts Hosts(2);
   Hosts.ask(0, "first");
   Hosts.ask(1, "second");
--- a/test/work/key_history.cpp
+++ b/test/work/key_history.cpp
@@ -13,8 +13,9 @@
 using std::chrono::seconds;
 
 constexpr duration Step = milliseconds(5);
-/// The fleet shows a host as down after it has been silent for this long; an
-/// agent that was out of touch for less than that counts itself as lapsed.
+/// The fleet marks a host as down when it has not responded for DownAfter. An
+/// agent that was out of contact for the shorter LapsedAfter treats itself as
+/// lapsed.
 constexpr duration DownAfter = milliseconds(400);
 constexpr duration LapsedAfter = milliseconds(300);
 
@@ -29,7 +30,7 @@
   std::unique_ptr<key_claims> Claims;
   std::uint32_t Incarnation = 1;
   bool Alive = true;
-  /// False for a host that is yet to join.
+  /// False for a host that has not joined yet.
   bool Joined = true;
   instant PausedUntil;
   instant BackAt;
@@ -84,7 +85,7 @@
   std::vector<key_view> Views;
   std::multimap<instant, key_message> Wire;
   std::map<std::string, instant> FirstRun;
-  /// Of every run of a key, the last one last.
+  /// The answers of all runs of a key, in order.
   std::map<std::string, std::vector<std::string>> Answers;
   history_result Outcomes;
 };
@@ -109,7 +110,8 @@
   }
 }
 
-/// All hosts that are yet to join start, and one generation takes them in.
+/// Starts all hosts that have not joined yet and publishes one generation with
+/// them.
 void world::join() {
   key_view Next = Views.back();
   key_generation Generation{Next.Generations.front().Number + 1, {}};
@@ -160,7 +162,7 @@
   }
 }
 
-/// A view reaches each agent by itself, some later than others.
+/// Each agent receives a view at its own time, some later than others.
 void world::takeView(agent &Agent) {
   if (Agent.ViewTaken == Views.size() || Now < Agent.NextView)
     return;
@@ -211,7 +213,7 @@
   const double Draw = uniform();
   run Run{Key, Now + millis(5, 300), key_state::Done};
   if (Draw < 0.05)
-    Run.State = key_state::Released; // the target said: not run
+    Run.State = key_state::Released; // the target answered "not run"
   else if (Draw < 0.1)
     Run.State = key_state::Unknown; // ran, but the answer was lost
   Agents[Index].Runs.push_back(Run);
@@ -274,8 +276,8 @@
     }
 }
 
-/// Publishes what the fleet knows: who is silent, who is back, which target set
-/// is in force, and which older ones no agent needs any more.
+/// Publishes the fleet's view: which hosts are down or have returned, which
+/// generation is in effect, and which older ones no agent needs any more.
 void world::fleet() {
   key_view Next = Views.back();
   bool Changed = false;
@@ -330,7 +332,8 @@
     ask();
     fault();
   }
-  // Two more quiet seconds: every ask of an agent that lives has its verdict.
+  // A quiet period without faults, after which every claim of a running agent
+  // has its verdict.
   for (const instant Quiet = Now + seconds(4); Now < Quiet; Now += Step) {
     deliver();
     fleet();
--- a/test/work/key_history.h
+++ b/test/work/key_history.h
@@ -1,9 +1,10 @@
 //===- key_history.h - Random histories of keyed requests -------*- C++ -*-===//
 ///
 /// \file
-/// Agents with keepers and claims over a network that loses, repeats and delays
-/// messages, with crashes, pauses, views that arrive unevenly and generations
-/// that change; beside them a naive judge that sees every run.
+/// Simulates agents with key replicas and claims over a network that loses,
+/// duplicates and delays messages, with crashes, pauses, changing generations
+/// and views that arrive at different times. A simple checker observes every
+/// run and counts violations of at-most-once execution.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -32,7 +33,8 @@
 struct history {
   std::uint64_t Seed = 1;
   std::size_t Hosts = 5;
-  /// Of these, hosts that never ran before and join together in mid-history.
+  /// Number of hosts, among Hosts, that never ran before and join together
+  /// after a quarter of the history.
   std::size_t NewHosts = 0;
   std::size_t Keys = 300;
   double Seconds = 30;
@@ -44,13 +46,13 @@
 struct history_result {
   std::uint64_t Asked = 0;
   std::uint64_t Ran = 0;
-  /// Ran again within a lifetime of its first run.
+  /// Ran again within one lifetime of its first run.
   std::uint64_t RanTwice = 0;
-  /// A stored answer that is not that of the run.
+  /// A stored answer that differs from that of the run.
   std::uint64_t WrongAnswer = 0;
-  /// Asks that got no verdict from an agent that lived on.
+  /// Claims without a verdict although their agent kept running.
   std::uint64_t NoVerdict = 0;
-  /// Keepers that still lack records in the end.
+  /// Replicas that still lack records at the end.
   std::uint64_t Unsettled = 0;
   std::map<key_verdict, std::uint64_t> Verdicts;
 };
--- a/test/work/key_history_test.cpp
+++ b/test/work/key_history_test.cpp
@@ -11,7 +11,8 @@
   return Got.Verdicts[Verdict];
 }
 
-/// Every fault at once, at the rates at which most broken rules show.
+/// All faults at once, at rates at which violations of the protocol's rules are
+/// most likely to show.
 history faultyHistory(std::uint64_t Seed) {
   history History;
   History.Seed = Seed;
@@ -35,7 +36,7 @@
 
 } // namespace
 
-TEST_CASE("without faults every key that is asked for runs exactly once") {
+TEST_CASE("without faults every claimed key runs exactly once") {
   for (std::uint64_t Seed = 1; Seed <= 10; ++Seed) {
     history History;
     History.Seed = Seed;
@@ -50,11 +51,11 @@
   }
 }
 
-TEST_CASE("keys run although hosts have joined together") {
+TEST_CASE("keys run after several hosts have joined at once") {
   // Two or three new hosts start in the same second. Each waited for the other
-  // to vouch for records that neither can have, and for ten minutes every key
-  // that two of them keep was refused: at Visexport's full size 19,459 of
-  // 71,388 requests.
+  // to confirm records that neither can have, and for ten minutes every key
+  // with two such replicas was refused: 19,459 of 71,388 requests at
+  // Visexport's full size.
   for (std::uint64_t Seed = 1; Seed <= 10; ++Seed) {
     history History;
     History.Seed = Seed;
@@ -72,8 +73,8 @@
 }
 
 TEST_CASE("no key runs twice while hosts join and others crash and pause") {
-  // The hosts that join hold no records, those that could give theirs crash or
-  // stand still, and views come late.
+  // The joining hosts have no records, the hosts that could send theirs crash
+  // or pause, and views arrive late.
   for (std::uint64_t Seed = 1; Seed <= 60; ++Seed) {
     history History;
     History.Seed = Seed;
@@ -91,8 +92,8 @@
 }
 
 TEST_CASE("no key runs twice while messages are lost, repeated and late") {
-  // A repeat of an amendment comes on another flow while the first answer is
-  // lost. Run twice, it would void a valid certificate.
+  // An amendment is repeated on another flow because the first answer was lost.
+  // If it ran twice, it would void a valid certificate.
   for (std::uint64_t Seed = 1; Seed <= 20; ++Seed) {
     history History;
     History.Seed = Seed;
@@ -104,23 +105,26 @@
 
 TEST_CASE(
     "no key runs twice while agents crash, pause and generations change") {
-  // A runner dies after its claim, its keepers restart with nothing, one that
-  // was paused still acts on what it knew, and views arrive unevenly.
+  // A runner dies after its claim, its replicas restart without records, a
+  // paused replica still acts on outdated state, and views arrive at different
+  // times.
   for (std::uint64_t Seed = 1; Seed <= 60; ++Seed) {
     checkSafe(faultyHistory(Seed));
   }
 }
 
-TEST_CASE("no key runs twice in the histories that once broke the promise") {
-  // A restarted keeper granted a key, unsure, while it fetched a record of the
-  // same key: the grant, given back later, took the record with it.
+TEST_CASE("no key runs twice with seeds that once violated at-most-once") {
+  // A restarted replica granted a key with incomplete records while it fetched
+  // a record of the same key. When the grant was returned later, the fetched
+  // record was removed with it.
   for (const std::uint64_t Seed : {1058, 1160}) {
     checkSafe(faultyHistory(Seed));
   }
 }
 
 TEST_CASE("no key runs twice within a lifetime when records expire") {
-  // With a short lifetime, keepers that lost all grant again after it.
+  // With a short lifetime, replicas that lost all records grant keys again
+  // after it.
   std::vector<std::uint64_t> Seeds = {1008, 1013, 1057, 1115, 2669};
   for (std::uint64_t Seed = 1; Seed <= 30; ++Seed)
     Seeds.push_back(Seed);
--- a/test/work/load_model.cpp
+++ b/test/work/load_model.cpp
@@ -28,11 +28,12 @@
   double Need = 0;
   double Since = 0;
   int Attempt = 0;
-  /// The agent whose flow it came by, and the one that runs it.
+  /// The agent that received the request on its flow, and the agent that runs
+  /// it.
   std::size_t Origin = 0;
   std::size_t Runner = 0;
   double Crowd = 1;
-  /// Came after the warm-up.
+  /// Arrived after the warm-up.
   bool Counted = false;
   bool Over = false;
   bool CameBack = false;
@@ -108,7 +109,7 @@
   std::vector<std::size_t> HostOf;
   std::unordered_map<request_id, request> Live;
   outcome Out;
-  /// Answered in time after the warm-up, whenever the request came.
+  /// Answered in time after the warm-up, whenever the request arrived.
   std::uint64_t InTime = 0;
   std::uint64_t LightOffered = 0;
   std::uint64_t LightAnswers = 0;
@@ -230,7 +231,8 @@
   } else if (Decision.Verdict == verdict::Relay) {
     relayTo(Decision.Id, std::size_t(Decision.Peer));
   } else if (Decision.Verdict == verdict::Refuse && Request.Work.RelayedBy) {
-    // "Not run": back to the agent that sent it, which decides once more.
+    // "Not run": the request returns to the agent that relayed it, which
+    // decides again.
     const host_id Peer{std::uint32_t(Host)};
     const duration Later = Decision.RetryAfter;
     after(S.RelaySeconds, [this, Id = Decision.Id, Peer, Later] {
@@ -293,7 +295,8 @@
   host &Host = Hosts[Request.Runner];
   if (Host.InSlots.erase(Id) == 0)
     return;
-  // More in flight than the target can run share its slots.
+  // If more requests are in flight than the target can run, they share its
+  // slots.
   Host.BusySeconds += counted() ? Took / Request.Crowd : 0;
   if (S.Agent == agent_policy::Ours)
     Host.Work->finished(Id, {.Elapsed = at(Took) - instant()}, at(Now));
@@ -327,7 +330,8 @@
   Request.Over = true;
   if (Request.Counted) {
     ++Out.Refusals;
-    // A relay that found no room there and back is part of the answer's way.
+    // A relay that found no free capacity adds a round trip to the answer's
+    // latency.
     const double Way = Request.Work.Hops > 0 ? 2 * S.RelaySeconds : 0;
     const double Took = Now - Request.Since;
     Out.LateRefusals += Took > Request.Need + Way + 1e-6 ? 1 : 0;
@@ -361,7 +365,8 @@
   Next.Attempt += 1;
   const bool HonorsRetryAfter = S.Caller == caller_policy::HonorsRetryAfter;
   Next.CameBack = HonorsRetryAfter && Later > 0;
-  // Without a retry-after a caller that obeys backs off, doubling with jitter.
+  // Without a retry-after, a caller that honors it uses exponential backoff
+  // with jitter.
   const double Backoff = 0.2 * std::exp2(Before.Attempt) * (0.5 + uniform());
   const double Wait = HonorsRetryAfter ? (Later > 0 ? Later : Backoff) : 0.01;
   after(Wait, [this, Next] {
--- a/test/work/load_model.h
+++ b/test/work/load_model.h
@@ -1,10 +1,11 @@
-//===- load_model.h - Callers and targets around admission ------*- C++ -*-===//
+//===- load_model.h - Simulated callers and targets -------------*- C++ -*-===//
 ///
 /// \file
-/// A small discrete model of one service: targets with slots and service times,
-/// callers fixed to hosts by their flows, agents that decide by `admission` and
-/// `relay_choice`, or naively: first in, first out, a queue bounded by length
-/// only, no relay, one fixed retry-after. It tells what callers get.
+/// A small discrete-event model of one service: targets with slots and service
+/// times, callers bound to hosts by their flows, and agents that decide by
+/// `admission` and `relay_choice` or by a naive policy (first in, first out, a
+/// queue bounded by length only, no relay, one fixed retry-after). It measures
+/// what callers get.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -26,23 +27,24 @@
 
 enum class agent_policy { Ours, Naive };
 enum class caller_policy {
-  /// Comes back at retry-after, at most Attempts times.
+  /// Returns at retry-after, at most Attempts times.
   HonorsRetryAfter,
-  /// Asks again at once when refused or out of patience.
+  /// Retries at once after a refusal or a timeout.
   RetriesAtOnce,
 };
 
-/// What happens to one host for a while.
+/// A temporary fault of one host.
 struct host_fault {
   std::size_t Host = 0;
   double From = 0;
   double To = 0;
-  /// Service times are this many times longer; 0: gives no answer at all.
+  /// Factor by which service times are longer; 0 means that the host gives no
+  /// answer.
   double Slowness = 1;
 };
 
-/// A planned replacement: drained, its flows opened again elsewhere by and by,
-/// stopped, and back with a cold target.
+/// A planned replacement of a host: it drains while its flows are gradually
+/// reopened elsewhere, stops, and returns with a cold target.
 struct replacement {
   std::size_t Host = 0;
   double DrainAt = 0;
@@ -63,21 +65,21 @@
   double BurstTo = 0;
   double BurstFactor = 1;
   double Seconds = 60;
-  /// Before this nothing is counted.
+  /// Requests before this time are not counted.
   double WarmSeconds = 12;
   std::size_t Callers = 700;
-  /// The first HeavyCallers bring HeavyShare of the requests.
+  /// The first HeavyCallers callers send the share HeavyShare of the requests.
   std::size_t HeavyCallers = 0;
   double HeavyShare = 0;
-  /// Host h has flows in proportion to 1 + Skew * h.
+  /// Host h has a number of flows proportional to 1 + Skew * h.
   double Skew = 0;
   double TimeoutSeconds = 1;
   int Attempts = 4;
-  /// One way, between agents.
+  /// One-way time between agents.
   double RelaySeconds = 0.003;
   double ReportSeconds = 0.25;
-  /// A target that has just started takes this many times longer at first,
-  /// less and less over ten seconds.
+  /// Factor by which a newly started target takes longer at first; it falls to
+  /// 1 over ten seconds.
   double ColdSlowness = 1;
   caller_policy Caller = caller_policy::HonorsRetryAfter;
   agent_policy Agent = agent_policy::Ours;
@@ -93,29 +95,29 @@
   std::uint64_t Offered = 0;
   /// Answered while the caller still waited.
   std::uint64_t Answered = 0;
-  /// Of Answered, those that were at the first attempt.
+  /// Those of Answered that were answered at the first attempt.
   std::uint64_t AnsweredFirst = 0;
   std::uint64_t Refusals = 0;
   /// Attempts that ended without an answer or a refusal.
   std::uint64_t GivenUp = 0;
-  /// Requests in progress cut off by a planned stop.
+  /// Requests in progress that a planned stop cut off.
   std::uint64_t CutOff = 0;
-  /// Refused later than the answer would have taken in a free slot.
+  /// Refused later than a free slot would have given the answer.
   std::uint64_t LateRefusals = 0;
-  /// Came back when told to, and were then not refused.
+  /// Returned at the time they were told, and of these those that were refused.
   std::uint64_t Returned = 0;
   std::uint64_t ReturnedRefused = 0;
   std::uint64_t Relayed = 0;
-  /// Answers in time per second over what the slots can do.
+  /// Answers in time per second over the capacity of the slots.
   double Goodput = 0;
   double P50Ms = 0;
   double P99Ms = 0;
   double ShortP99Ms = 0;
   double LightP99Ms = 0;
-  /// Answered shares of all requests of light callers.
+  /// Share of light callers' requests that were answered.
   double LightAnswered = 0;
   double Imbalance = 0;
-  /// Mean over the hosts, at the end.
+  /// Mean over the hosts at the end.
   double LastLimit = 0;
 };
 
--- a/test/work/relay_choice_test.cpp
+++ b/test/work/relay_choice_test.cpp
@@ -22,8 +22,9 @@
 } // namespace
 
 TEST_CASE("relay_choice spreads a burst over peers that all look idle") {
-  // Reports are a moment old, so the peer that looked idle gets everything
-  // until its next report: callers see one host after the other overloaded.
+  // Load reports are slightly old. A peer that looked idle would get all
+  // requests until its next report, and callers would see one host after the
+  // other overloaded.
   relay_choice Peers(Self, {}, 7);
   for (unsigned Host = 1; Host <= 6; ++Host)
     Peers.report(loadOf(Host, Host == 1 ? 0 : 0.25), Start);
@@ -37,8 +38,8 @@
 }
 
 TEST_CASE("relay_choice sends nothing on old reports") {
-  // A peer that has died or hangs stops reporting; what it said last would
-  // draw requests to it for as long as it is believed.
+  // A peer that has died or hangs stops sending reports. If its last report
+  // were still used, it would attract requests.
   relay_choice Peers(Self, {}, 7);
   Peers.report(loadOf(1, 0), Start);
 
@@ -49,8 +50,8 @@
 }
 
 TEST_CASE("relay_choice never relays a relayed request again") {
-  // Two agents over their limits would hand the request to each other until
-  // its deadline, and the caller would wait for nothing.
+  // Two overloaded agents would relay the request to each other until its
+  // deadline, and the caller would wait in vain.
   relay_choice Peers(Self, {}, 7);
   Peers.report(loadOf(1, 0), Start);
   work_request Relayed;
@@ -61,7 +62,7 @@
       Peers.pick(Relayed, relay_reason::Overloaded, loadOf(0, 2), Start));
 }
 
-TEST_CASE("relay_choice gives nothing to a peer that has just relayed to us") {
+TEST_CASE("relay_choice relays nothing to a peer that has just relayed here") {
   relay_choice Peers(Self, {}, 7);
   Peers.report(loadOf(1, 0), Start);
   Peers.receivedRelayFrom(host_id{1}, Start);
@@ -75,7 +76,7 @@
   CHECK(Later == host_id{1});
 }
 
-TEST_CASE("relay_choice honours the time that a peer asked for") {
+TEST_CASE("relay_choice honours the retry-after of a peer") {
   relay_choice Peers(Self, {}, 7);
   Peers.report(loadOf(1, 0), Start);
   Peers.notRun(host_id{1}, milliseconds(500), Start);
--- a/test/work/scenario_test.cpp
+++ b/test/work/scenario_test.cpp
@@ -13,8 +13,8 @@
 } // namespace
 
 TEST_CASE("a burst of ten times the load is answered in full, a little later") {
-  // For two seconds ten times as many requests come as usual. Callers notice
-  // refusals with a time to come back, and then get their answer.
+  // For two seconds ten times as many requests arrive as usual. Callers get
+  // refusals with a retry-after and then their answer.
   const outcome Got = simulate(burst());
 
   CHECK(answeredShare(Got) >= 0.99);
@@ -23,8 +23,8 @@
 }
 
 TEST_CASE("light callers are answered while three take 70% of an overload") {
-  // Three callers ask for more than the service can do. The others must not
-  // notice more than a short wait.
+  // Three callers request more than the service's capacity. The other callers
+  // must see no more than a short wait.
   const outcome Got = simulate(skewedCallers());
 
   CHECK(Got.LightAnswered >= 0.98);
@@ -33,9 +33,10 @@
   CHECK(Got.LateRefusals == 0);
 }
 
-TEST_CASE("a target ten times slower costs its callers little") {
-  // One target of seven turns slow. Its callers' flows stay with it, so their
-  // requests have to go elsewhere, or every seventh caller would be refused.
+TEST_CASE("callers of a target ten times slower are hardly affected") {
+  // One target of seven becomes slow. Its callers' flows stay with it, so their
+  // requests have to be relayed; otherwise every seventh caller would be
+  // refused.
   const outcome Got = simulate(slowTarget());
 
   CHECK(answeredShare(Got) >= 0.97);
@@ -43,8 +44,8 @@
 }
 
 TEST_CASE("short work passes long work that takes fifty times as long") {
-  // One request in twenty takes a second in place of 20 ms. Callers of short
-  // work would wait behind four of them.
+  // One request in twenty takes a second instead of 20 ms. Callers with short
+  // requests would wait behind four of them.
   const outcome Got = simulate(longAmongShort());
 
   CHECK(answeredShare(Got) >= 0.98);
@@ -52,8 +53,8 @@
 }
 
 TEST_CASE("goodput stays at capacity under twice the load for a minute") {
-  // Callers ask for twice what all targets together can do. Half must be
-  // refused at once; the other half gets its answers in bounded time.
+  // Callers request twice the capacity of all targets. Half must be refused at
+  // once; the other half is answered in bounded time.
   const outcome Got = simulate(saturation());
 
   CHECK(Got.Goodput >= 0.9);
@@ -63,8 +64,9 @@
 }
 
 TEST_CASE("the service recovers at once after an outage with a retry storm") {
-  // No target answers for five seconds and callers ask again and again. After
-  // it their retries must not keep first tries from being answered in time.
+  // No target answers for five seconds, and callers retry repeatedly.
+  // Afterwards the retries must not keep first tries from being answered in
+  // time.
   const outcome Got = simulate(retryStorm());
 
   CHECK(answeredShare(Got) >= 0.88);
@@ -72,8 +74,8 @@
 }
 
 TEST_CASE("busy time is even though flows are fixed unevenly to hosts") {
-  // One host has four times as many long flows as another. Without relay its
-  // callers' alerts come late while others idle.
+  // One host has four times as many long-lived flows as another. Without
+  // relaying, its callers get their alerts late while other hosts are idle.
   for (const std::uint64_t Seed : {1, 2, 3}) {
     scenario S = unevenFlows();
     S.Seed = Seed;
@@ -90,8 +92,8 @@
 }
 
 TEST_CASE("replacing all hosts in turn cuts off no request") {
-  // Each host drains, stops and comes back cold, 2,000 connections each. What
-  // was in progress at a stop would be lost, and the caller could not tell
+  // Each host drains, stops and returns cold, with 2,000 connections each. A
+  // request in progress at a stop would be lost, and the caller could not tell
   // whether it ran.
   const outcome Got = simulate(rollingReplacement());
 
@@ -100,8 +102,7 @@
   CHECK(answeredShare(Got) >= 0.99);
 }
 
-TEST_CASE(
-    "two faults and a replacement at once cost few callers their answer") {
+TEST_CASE("two faults and a replacement leave few callers without an answer") {
   // One target is slow, another gives no answer, a third is being replaced.
   const outcome Got = simulate(twoFaults());
 
@@ -109,9 +110,9 @@
   CHECK(Got.CutOff == 0);
 }
 
-TEST_CASE("a target that declares too many slots is given what it can run") {
-  // Eight are declared; with more than four every answer takes longer, and
-  // callers see latency grow though nothing more gets done.
+TEST_CASE("a target that declares too many slots gets only what it can run") {
+  // Eight slots are declared, but with more than four every answer takes
+  // longer: callers see higher latency at the same throughput.
   const outcome Got = simulate(declaredTooHigh());
 
   CHECK(Got.LastLimit <= 5);
@@ -119,8 +120,8 @@
 }
 
 TEST_CASE("a target that declares too few slots is used in full") {
-  // Two are declared where four could run: callers are refused by an idle
-  // target.
+  // Two slots are declared for a target that could run four: callers are
+  // refused although the target is idle.
   const outcome Got = simulate(declaredTooLow());
 
   CHECK(Got.LastLimit >= 3.5);
--- a/test/work/scenarios.h
+++ b/test/work/scenarios.h
@@ -1,7 +1,7 @@
-//===- scenarios.h - The loads that the decisions answer --------*- C++ -*-===//
+//===- scenarios.h - Load and fault scenarios -------------------*- C++ -*-===//
 ///
 /// \file
-/// One function per scenario, used by the tests and by the bench's rows.
+/// One function per scenario, used by the tests and by the bench.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,7 +23,7 @@
   return S;
 }
 
-/// Three callers bring 70% of more than the service can do.
+/// Three callers send 70% of a load that exceeds the capacity.
 inline scenario skewedCallers() {
   scenario S;
   S.HeavyCallers = 3;
@@ -56,7 +56,7 @@
   return S;
 }
 
-/// All targets give no answer for five seconds; callers insist.
+/// No target answers for five seconds, and callers retry at once.
 inline scenario retryStorm() {
   scenario S;
   S.Load = 0.8;
@@ -67,7 +67,8 @@
   return S;
 }
 
-/// Flows are fixed to hosts one to four; the work in them must move.
+/// Flows are bound to hosts in proportions of one to four, so the requests in
+/// them have to be relayed.
 inline scenario unevenFlows() {
   scenario S;
   S.Skew = 0.5;
@@ -75,7 +76,7 @@
   return S;
 }
 
-/// The same with dispatch's two slots and its zones 5 ms apart.
+/// The same with the two slots of the dispatch service and 5 ms between zones.
 inline scenario unevenDispatch() {
   scenario S = unevenFlows();
   S.DeclaredSlots = S.TrueSlots = 2;
@@ -83,7 +84,7 @@
   return S;
 }
 
-/// Eight slots declared, and with more than four each answer takes longer.
+/// Eight slots are declared, but with more than four each answer takes longer.
 inline scenario declaredTooHigh() {
   scenario S;
   S.DeclaredSlots = 8;
@@ -91,7 +92,7 @@
   return S;
 }
 
-/// Two slots declared of a target that can run four.
+/// Two slots are declared for a target that can run four.
 inline scenario declaredTooLow() {
   scenario S;
   S.DeclaredSlots = 2;
@@ -99,7 +100,8 @@
   return S;
 }
 
-/// All ledger hosts replaced one after the other, 2,000 connections each.
+/// All hosts of the ledger service are replaced one after the other, with 2,000
+/// connections each.
 inline scenario rollingReplacement() {
   scenario S;
   S.Callers = 14000;
@@ -116,7 +118,8 @@
   return S;
 }
 
-/// A target turns slow while another is replaced and its peer is silent.
+/// A target becomes slow while another is replaced and a third does not
+/// respond.
 inline scenario twoFaults() {
   scenario S;
   S.Load = 0.5;
--- a/test/work/silent_flow_test.cpp
+++ b/test/work/silent_flow_test.cpp
@@ -19,7 +19,7 @@
   std::optional<instant> ClosedAt;
 };
 
-/// Ticks four times a second; pings are answered if \p Answers.
+/// Ticks four times a second for \p For; PINGs are answered if \p Answers.
 seen watch(silent_flows &Flows, duration For, bool Answers) {
   seen Seen;
   for (instant Now = Start; Now < Start + For;
@@ -37,9 +37,9 @@
 
 } // namespace
 
-TEST_CASE("silent_flows closes a flow that answers nothing within its bound") {
-  // A device between caller and agent has forgotten the flow. The caller waits
-  // for alerts that can't reach it.
+TEST_CASE("silent_flows closes a flow without answers at its bound") {
+  // A device between caller and agent has lost the flow's state. The caller
+  // waits for alerts that cannot reach it.
   silent_flows Flows({.Bound = seconds(60)});
   Flows.opened(flowOf(1), Start);
 
@@ -61,7 +61,7 @@
   CHECK(Seen.Pings <= 80);
 }
 
-TEST_CASE("silent_flows does not probe a flow that talks") {
+TEST_CASE("silent_flows does not probe an active flow") {
   silent_flows Flows({.Bound = seconds(60)});
   Flows.opened(flowOf(1), Start);
   int Actions = 0;
