--- a/bench/work/plot.cpp
+++ b/bench/work/plot.cpp
@@ -97,7 +97,7 @@
     const double X = placeOf(Index, Plot.Points.size());
     const double Value = Plot.Points[Index].Value;
     Out << text(X, Bottom + 16, number(Value), "middle");
-    if (Value == Plot.Chosen)
+    if (Value == Plot.CurrentValue)
       Out << line(X, Top, X, Bottom,
                   "stroke=\"#444\" stroke-dasharray=\"4 3\"");
   }
--- a/bench/work/plot.h
+++ b/bench/work/plot.h
@@ -25,7 +25,7 @@
   std::string LeftName;
   std::string RightName;
   /// The value used in the settings.
-  double Chosen = 0;
+  double CurrentValue = 0;
   std::vector<sweep_point> Points;
 };
 
--- a/bench/work/sweep.cpp
+++ b/bench/work/sweep.cpp
@@ -208,7 +208,7 @@
         {}},
        {0.2, 0.3, 0.5, 1, 2, 4, 8},
        twoFaults(),
-       [](scenario &S, double X) { S.Relay.Stale = toDuration(X); },
+       [](scenario &S, double X) { S.Relay.MaxReportAge = toDuration(X); },
        answered,
        imbalance},
       {{"relay_no_return",
@@ -219,7 +219,7 @@
         {}},
        {0, 0.1, 0.25, 0.5, 1, 2, 5},
        skewedCallers(),
-       [](scenario &S, double X) { S.Relay.NoReturn = toDuration(X); },
+       [](scenario &S, double X) { S.Relay.NoReturnPeriod = toDuration(X); },
        goodput,
        relayed},
   };
--- a/daemons/agent/agent_view.cpp
+++ b/daemons/agent/agent_view.cpp
@@ -241,7 +241,7 @@
   Proxied.Past =
       NeverRan ? replica_history::NeverRan : replica_history::MayHaveRun;
   if (isFirstEver(View))
-    Proxied.Past = replica_history::FirstOfService;
+    Proxied.Past = replica_history::NewService;
   proxy_hooks Hooks;
   Hooks.Connect = [this](const endpoint &Peer, byte_events Events) {
     return connectByKernel(Loop, Settings.RelayListen, Peer, std::move(Events));
--- a/include/marjoramrail/report.h
+++ b/include/marjoramrail/report.h
@@ -132,7 +132,7 @@
 struct experiment_report {
   std::string Title;
   /// Parameters of the experiment as name and value: deployment, scale, seed.
-  std::vector<std::pair<std::string, std::string>> Set;
+  std::vector<std::pair<std::string, std::string>> Parameters;
   std::vector<report_promise> Promises;
   report_flows Flows;
   std::vector<service_shares> Services;
--- a/include/marjoramrail/work.h
+++ b/include/marjoramrail/work.h
@@ -185,10 +185,10 @@
 
 struct relay_settings {
   /// Load reports older than this are ignored.
-  duration Stale = std::chrono::seconds(2);
+  duration MaxReportAge = std::chrono::seconds(2);
   /// After a peer has relayed a request here, nothing is relayed to it for this
   /// long.
-  duration NoReturn = std::chrono::seconds(1);
+  duration NoReturnPeriod = std::chrono::seconds(1);
   /// Under overload a peer is chosen only if its load is lower than this
   /// agent's Pressure by at least this much.
   double Margin = 0.25;
@@ -411,13 +411,13 @@
   /// records that other replicas stored before it joined.
   NeverRan,
   /// The service itself is new, so no records exist from before.
-  FirstOfService,
+  NewService,
 };
 
 inline constexpr name_table<replica_history, 3> ReplicaHistoryNames = {{
     {replica_history::MayHaveRun, "may_have_run"},
     {replica_history::NeverRan, "never_ran"},
-    {replica_history::FirstOfService, "first_of_service"},
+    {replica_history::NewService, "first_of_service"},
 }};
 
 /// Stores the records of the keys for which this agent is a replica, and grants
--- a/src/report/report_html.cpp
+++ b/src/report/report_html.cpp
@@ -141,7 +141,7 @@
   Html += Report.kept() ? "<p class=\"kept\">Every promise was kept.</p>\n"
                         : "<p class=\"broke\">A promise broke.</p>\n";
   Html += "<p>";
-  for (const auto &[Name, Value] : Report.Set)
+  for (const auto &[Name, Value] : Report.Parameters)
     Html += escaped(Name) + " " + escaped(Value) + "; ";
   Html += "</p>\n";
   Html += promiseTable(Report);
--- a/src/report/report_json.cpp
+++ b/src/report/report_json.cpp
@@ -74,15 +74,15 @@
 }
 
 std::string toJson(const experiment_report &Report) {
-  ordered_json Set = ordered_json::object();
-  for (const auto &[Name, Value] : Report.Set)
-    Set[Name] = Value;
+  ordered_json Parameters = ordered_json::object();
+  for (const auto &[Name, Value] : Report.Parameters)
+    Parameters[Name] = Value;
   ordered_json Totals = ordered_json::object();
   for (const auto &[End, Name] : AttemptOutcomeNames)
     Totals[std::string(Name)] = Report.total(End);
   const ordered_json Json = {{"title", Report.Title},
                              {"kept", Report.kept()},
-                             {"set", Set},
+                             {"set", Parameters},
                              {"promises", promises(Report)},
                              {"requests", Totals},
                              {"flows",
--- a/src/work/key_claims.cpp
+++ b/src/work/key_claims.cpp
@@ -24,7 +24,7 @@
 constexpr int MaxBackoff = 16;
 /// After a refusal, other replicas that may know the outcome get this fraction
 /// of the timeout (1/4) to answer.
-constexpr int RefusalShare = 4;
+constexpr int RefusalTimeoutDivisor = 4;
 
 } // namespace
 
@@ -54,9 +54,9 @@
   }
 
   void begin(attempt &Attempt, instant Now);
-  void ask(attempt &Attempt, instant Now);
+  void sendClaim(attempt &Attempt, instant Now);
   void take(attempt &Attempt, const key_message &Answer, instant Now);
-  void hold(attempt &Attempt, const key_message &Answer, instant Now);
+  void onHeld(attempt &Attempt, const key_message &Answer, instant Now);
   void conclude(const std::string &Key, instant Now);
   void end(const std::string &Key, key_verdict Verdict, key_state State,
            instant Now);
@@ -64,7 +64,7 @@
   void resend(instant Now);
   bool overdue(const attempt &Attempt, instant Now) const;
   void endOverdue(instant Now);
-  key_messages drain() { return std::exchange(Outbox, {}); }
+  key_messages takeOutbox() { return std::exchange(Outbox, {}); }
 
   host_id Self{};
   std::uint32_t Incarnation = 0;
@@ -81,10 +81,10 @@
   Attempt.Replicas = Ring.liveReplicas(Attempt.Record.Key);
   Attempt.Next = 0;
   Attempt.RecordsComplete = false;
-  ask(Attempt, Now);
+  sendClaim(Attempt, Now);
 }
 
-void key_claims::impl::ask(attempt &Attempt, instant Now) {
+void key_claims::impl::sendClaim(attempt &Attempt, instant Now) {
   if (Attempt.Next == Attempt.Replicas.size()) {
     conclude(Attempt.Record.Key, Now);
     return;
@@ -109,10 +109,10 @@
   case key_message_kind::Granted:
     Attempt.RecordsComplete = Attempt.RecordsComplete || Answer.RecordsComplete;
     ++Attempt.Next;
-    ask(Attempt, Now);
+    sendClaim(Attempt, Now);
     return;
   case key_message_kind::Held:
-    hold(Attempt, Answer, Now);
+    onHeld(Attempt, Answer, Now);
     return;
   case key_message_kind::Full:
     Attempt.Refusal = key_verdict::Full;
@@ -125,8 +125,8 @@
 
 /// Asks the other replicas as well, because the end of a run may have reached
 /// only one of them.
-void key_claims::impl::hold(attempt &Attempt, const key_message &Answer,
-                            instant Now) {
+void key_claims::impl::onHeld(attempt &Attempt, const key_message &Answer,
+                              instant Now) {
   const key_state State = Answer.Record.State;
   if (State == key_state::Done) {
     Attempt.Refusal = key_verdict::Done;
@@ -139,7 +139,7 @@
   else if (!Attempt.Refusal)
     Attempt.Refusal = key_verdict::RunningElsewhere;
   ++Attempt.Next;
-  ask(Attempt, Now);
+  sendClaim(Attempt, Now);
 }
 
 void key_claims::impl::conclude(const std::string &Key, instant Now) {
@@ -196,9 +196,10 @@
 }
 
 bool key_claims::impl::overdue(const attempt &Attempt, instant Now) const {
-  const duration Most = Attempt.Refusal ? Settings.ClaimTimeout / RefusalShare
-                                        : Settings.ClaimTimeout;
-  return !Attempt.Running && Now - Attempt.Since > Most;
+  const duration Timeout = Attempt.Refusal
+                               ? Settings.ClaimTimeout / RefusalTimeoutDivisor
+                               : Settings.ClaimTimeout;
+  return !Attempt.Running && Now - Attempt.Since > Timeout;
 }
 
 void key_claims::impl::endOverdue(instant Now) {
@@ -226,11 +227,11 @@
   Impl->Ring = key_ring(View);
   if (Impl->Ring.digest() == Before)
     return {};
-  std::vector<std::string> Asking;
+  std::vector<std::string> Pending;
   for (const auto &[Key, Attempt] : Impl->Attempts)
     if (!Attempt.Running)
-      Asking.push_back(Key);
-  for (const std::string &Key : Asking) {
+      Pending.push_back(Key);
+  for (const std::string &Key : Pending) {
     impl::attempt &Attempt = Impl->Attempts.at(Key);
     if (!Impl->member() || Attempt.Refusal)
       Impl->end(Key, Attempt.Refusal.value_or(key_verdict::RecordsIncomplete),
@@ -238,7 +239,7 @@
     else
       Impl->begin(Attempt, Now);
   }
-  return Impl->drain();
+  return Impl->takeOutbox();
 }
 
 key_messages key_claims::claim(const std::string &Key, instant Now) {
@@ -268,7 +269,7 @@
   Attempt.Record.Attempt = ++Impl->LastAttempt;
   Attempt.Since = Now;
   Impl->begin(Attempt, Now);
-  return Impl->drain();
+  return Impl->takeOutbox();
 }
 
 key_messages key_claims::receive(const key_message &Message, instant Now) {
@@ -279,18 +280,18 @@
     if (Found != Impl->Notices.end() &&
         Found->second.Record.Attempt == Record.Attempt)
       Impl->Notices.erase(Found);
-    return Impl->drain();
+    return Impl->takeOutbox();
   }
   const auto Found = Impl->Attempts.find(Record.Key);
   if (Found == Impl->Attempts.end() || Found->second.Running)
-    return Impl->drain();
+    return Impl->takeOutbox();
   impl::attempt &Attempt = Found->second;
   const bool Expected = Attempt.Next < Attempt.Replicas.size() &&
                         Attempt.Replicas[Attempt.Next] == Message.From &&
                         Attempt.Record.Attempt == Record.Attempt;
   if (Expected && Message.Digest == Impl->Ring.digest())
     Impl->take(Attempt, Message, Now);
-  return Impl->drain();
+  return Impl->takeOutbox();
 }
 
 key_messages key_claims::tick(instant Now) {
@@ -300,9 +301,9 @@
     if (!Attempt.Running && Now - Attempt.SentAt >= Impl->Settings.Resend)
       Unanswered.push_back(Key);
   for (const std::string &Key : Unanswered)
-    Impl->ask(Impl->Attempts.at(Key), Now);
+    Impl->sendClaim(Impl->Attempts.at(Key), Now);
   Impl->resend(Now);
-  return Impl->drain();
+  return Impl->takeOutbox();
 }
 
 key_messages key_claims::settle(const std::string &Key, key_state State,
@@ -318,15 +319,15 @@
   for (const host_id Replica : Impl->Ring.liveReplicas(Key))
     Attempt.Contacted.insert(Replica);
   Impl->notify(Attempt, Now);
-  return Impl->drain();
+  return Impl->takeOutbox();
 }
 
 void key_claims::lapsed(std::uint32_t Incarnation, instant Now) {
-  std::vector<std::string> Asking;
+  std::vector<std::string> Pending;
   for (const auto &[Key, Attempt] : Impl->Attempts)
     if (!Attempt.Running)
-      Asking.push_back(Key);
-  for (const std::string &Key : Asking)
+      Pending.push_back(Key);
+  for (const std::string &Key : Pending)
     Impl->end(Key, key_verdict::RecordsIncomplete, key_state::Released, Now);
   Impl->Incarnation = Incarnation;
 }
--- a/src/work/record_completeness.cpp
+++ b/src/work/record_completeness.cpp
@@ -14,7 +14,7 @@
 record_completeness::generation_records
 record_completeness::startTracking(const key_generation &Generation,
                                    instant Now) const {
-  const bool Continuous = !FirstView || Past == replica_history::FirstOfService;
+  const bool Continuous = !FirstView || Past == replica_history::NewService;
   const bool AskedInAll =
       Past == replica_history::NeverRan && contains(Generation.Members, Self);
   return {Generation, Now, Continuous || AskedInAll, Continuous, {}};
--- a/src/work/relay_choice.cpp
+++ b/src/work/relay_choice.cpp
@@ -96,7 +96,7 @@
   if (Found == Impl->Peers.end())
     return;
   instant &Until = Found->second.AvoidUntil;
-  Until = std::max(Until, Now + Impl->Settings.NoReturn);
+  Until = std::max(Until, Now + Impl->Settings.NoReturnPeriod);
 }
 
 void relay_choice::notRun(host_id Peer, duration RetryAfter, instant Now) {
@@ -108,7 +108,7 @@
 }
 
 bool relay_choice::impl::usable(const peer &Peer, instant Now) const {
-  const bool Fresh = Now - Peer.At <= Settings.Stale;
+  const bool Fresh = Now - Peer.At <= Settings.MaxReportAge;
   const bool Avoided = Peer.AvoidUntil > Now || Peer.NotRunUntil > Now;
   return Fresh && Peer.Load.Accepting && !Avoided;
 }
@@ -146,7 +146,7 @@
   double Sum = Own.Busy;
   double Count = 1;
   for (const auto &[Host, Peer] : Peers) {
-    if (Now - Peer.At > Settings.Stale || !Peer.Load.Accepting)
+    if (Now - Peer.At > Settings.MaxReportAge || !Peer.Load.Accepting)
       continue;
     Sum += Peer.Load.Busy;
     Count += 1;
--- a/test/mechanism/mechanism_test.cpp
+++ b/test/mechanism/mechanism_test.cpp
@@ -16,11 +16,11 @@
 }
 
 TEST_CASE("a set contains what was added") {
-  mechanism_set Without;
-  CHECK(Without.empty());
-  Without.add(mechanism::FlowCheckpoints);
-  Without.add(mechanism::TwoChoices);
-  CHECK(Without.has(mechanism::FlowCheckpoints));
-  CHECK_FALSE(Without.has(mechanism::SettleTime));
-  CHECK(toText(Without) == "two_choices kept_flows");
+  mechanism_set Disabled;
+  CHECK(Disabled.empty());
+  Disabled.add(mechanism::FlowCheckpoints);
+  Disabled.add(mechanism::TwoChoices);
+  CHECK(Disabled.has(mechanism::FlowCheckpoints));
+  CHECK_FALSE(Disabled.has(mechanism::SettleTime));
+  CHECK(toText(Disabled) == "two_choices kept_flows");
 }
--- a/test/proxy/proxy_bench.h
+++ b/test/proxy/proxy_bench.h
@@ -124,8 +124,8 @@
 
   explicit proxy_bench(std::uint32_t Slots = 4, bool FirstEver = true) {
     Settings.Incarnation = 1;
-    Settings.Past = FirstEver ? replica_history::FirstOfService
-                              : replica_history::MayHaveRun;
+    Settings.Past =
+        FirstEver ? replica_history::NewService : replica_history::MayHaveRun;
     Settings.Host = host_id(1);
     Settings.Target = TargetAddress;
     Settings.Admission.Slots = Slots;
--- a/test/report/report_test.cpp
+++ b/test/report/report_test.cpp
@@ -26,7 +26,7 @@
       attempt(attempt_outcome::Unknown, seconds(2), milliseconds(1), "502"));
   Builder.mark(Start + milliseconds(1500), "kill balancer-2");
   experiment_report Report = Builder.finish();
-  Report.Set = {{"seed", "1"}};
+  Report.Parameters = {{"seed", "1"}};
   Report.Services = {{"ledger", {{"ledger-1", 10, 2.5, false}}, 1, 1}};
   Report.Promises = {{"nothing ran twice", true, "0"}};
   return Report;
--- a/test/work/key_claims_test.cpp
+++ b/test/work/key_claims_test.cpp
@@ -24,7 +24,7 @@
     Settings.MaxRecords = MaxRecords;
     for (std::uint32_t Host = 0; Host < 2; ++Host) {
       Replicas.push_back(std::make_unique<key_replica>(
-          host_id{Host}, 1, Settings, replica_history::FirstOfService));
+          host_id{Host}, 1, Settings, replica_history::NewService));
       Claims.push_back(
           std::make_unique<key_claims>(host_id{Host}, 1, Settings));
       pass(Replicas[Host]->take(View, Now));
--- a/test/work/key_history.cpp
+++ b/test/work/key_history.cpp
@@ -34,12 +34,12 @@
   bool Joined = true;
   instant PausedUntil;
   instant BackAt;
-  instant LastTurn;
+  instant LastStep;
   std::size_t ViewTaken = 0;
   instant NextView;
   std::vector<run> Runs;
   std::deque<key_message> Inbox;
-  std::multiset<std::string> Asking;
+  std::multiset<std::string> PendingClaims;
 };
 
 class world {
@@ -52,11 +52,11 @@
     return uniform() < PerSecond * std::chrono::duration<double>(Step).count();
   }
   double uniform() { return std::uniform_real_distribution<>(0, 1)(Random); }
-  std::size_t below(std::size_t Count) { return Random() % Count; }
+  std::size_t randomBelow(std::size_t Count) { return Random() % Count; }
   duration millis(std::size_t Low, std::size_t High) {
-    return milliseconds(Low + below(High - Low + 1));
+    return milliseconds(Low + randomBelow(High - Low + 1));
   }
-  bool acts(const agent &Agent) const {
+  bool isRunning(const agent &Agent) const {
     return Agent.Alive && Agent.PausedUntil <= Now;
   }
 
@@ -64,14 +64,14 @@
   void join();
   void send(const key_messages &Messages);
   void deliver();
-  void turn(std::size_t Index);
+  void runAgent(std::size_t Index);
   void takeView(agent &Agent);
-  void ask();
+  void claimRandomKey();
   void takeResults(std::size_t Index);
   void begin(std::size_t Index, const std::string &Key);
   void endRuns(std::size_t Index);
-  void fault();
-  void fleet();
+  void injectFaults();
+  void updateFleetView();
   void publish(const key_view &View) { Views.push_back(View); }
   key_member &entry(key_view &View, std::size_t Index) {
     return View.Hosts[Index];
@@ -83,7 +83,7 @@
   key_settings Settings;
   std::vector<agent> Agents;
   std::vector<key_view> Views;
-  std::multimap<instant, key_message> Wire;
+  std::multimap<instant, key_message> Network;
   std::map<std::string, instant> FirstRun;
   /// The answers of all runs of a key, in order.
   std::map<std::string, std::vector<std::string>> Answers;
@@ -106,7 +106,7 @@
     Agent.Joined = Index < H.Hosts - H.NewHosts;
     Agent.Alive = Agent.Joined;
     if (Agent.Joined)
-      start(Index, replica_history::FirstOfService);
+      start(Index, replica_history::NewService);
   }
 }
 
@@ -130,14 +130,14 @@
   agent &Agent = Agents[Index];
   const host_id Self{std::uint32_t(Index)};
   Agent.Alive = true;
-  Agent.LastTurn = Now;
+  Agent.LastStep = Now;
   Agent.Replica =
       std::make_unique<key_replica>(Self, Agent.Incarnation, Settings, Past);
   Agent.Claims =
       std::make_unique<key_claims>(Self, Agent.Incarnation, Settings);
   Agent.ViewTaken = 0;
   Agent.NextView =
-      Past == replica_history::FirstOfService ? Now : Now + millis(0, 200);
+      Past == replica_history::NewService ? Now : Now + millis(0, 200);
 }
 
 void world::send(const key_messages &Messages) {
@@ -147,15 +147,15 @@
     const int Copies = uniform() < H.Faults.Duplicate ? 2 : 1;
     for (int Copy = 0; Copy < Copies; ++Copy) {
       const bool Late = uniform() < H.Faults.Late;
-      Wire.emplace(Now + (Late ? millis(50, 2000) : millis(1, 12)), Message);
+      Network.emplace(Now + (Late ? millis(50, 2000) : millis(1, 12)), Message);
     }
   }
 }
 
 void world::deliver() {
-  while (!Wire.empty() && Wire.begin()->first <= Now) {
-    const key_message Message = Wire.begin()->second;
-    Wire.erase(Wire.begin());
+  while (!Network.empty() && Network.begin()->first <= Now) {
+    const key_message Message = Network.begin()->second;
+    Network.erase(Network.begin());
     agent &To = Agents[std::size_t(Message.To)];
     if (To.Alive)
       To.Inbox.push_back(Message);
@@ -172,16 +172,16 @@
   send(Agent.Claims->take(Views.back(), Now));
 }
 
-void world::turn(std::size_t Index) {
+void world::runAgent(std::size_t Index) {
   agent &Agent = Agents[Index];
-  if (!acts(Agent))
+  if (!isRunning(Agent))
     return;
-  if (Now - Agent.LastTurn > LapsedAfter) {
+  if (Now - Agent.LastStep > LapsedAfter) {
     ++Agent.Incarnation;
     Agent.Replica->lapsed(Agent.Incarnation, Now);
     Agent.Claims->lapsed(Agent.Incarnation, Now);
   }
-  Agent.LastTurn = Now;
+  Agent.LastStep = Now;
   takeView(Agent);
   while (!Agent.Inbox.empty()) {
     const key_message Message = Agent.Inbox.front();
@@ -199,7 +199,7 @@
   agent &Agent = Agents[Index];
   for (const key_result &Result : Agent.Claims->results()) {
     ++Outcomes.Verdicts[Result.Verdict];
-    Agent.Asking.erase(Agent.Asking.find(Result.Key));
+    Agent.PendingClaims.erase(Agent.PendingClaims.find(Result.Key));
     if (Result.Verdict == key_verdict::Run)
       begin(Index, Result.Key);
     if (Result.Verdict == key_verdict::Done && !Result.Outcome.empty() &&
@@ -243,30 +243,30 @@
   Agent.Runs = Left;
 }
 
-void world::ask() {
-  if (!happens(H.AsksPerSecond))
+void world::claimRandomKey() {
+  if (!happens(H.ClaimsPerSecond))
     return;
-  const std::size_t Index = below(Agents.size());
+  const std::size_t Index = randomBelow(Agents.size());
   agent &Agent = Agents[Index];
-  if (!acts(Agent))
+  if (!isRunning(Agent))
     return;
-  const std::string Key = "key-" + std::to_string(below(H.Keys));
-  ++Outcomes.Asked;
-  Agent.Asking.insert(Key);
+  const std::string Key = "key-" + std::to_string(randomBelow(H.Keys));
+  ++Outcomes.ClaimsStarted;
+  Agent.PendingClaims.insert(Key);
   send(Agent.Claims->claim(Key, Now));
   takeResults(Index);
 }
 
-void world::fault() {
-  agent &Agent = Agents[below(Agents.size())];
-  if (happens(H.Faults.Crashes) && acts(Agent)) {
+void world::injectFaults() {
+  agent &Agent = Agents[randomBelow(Agents.size())];
+  if (happens(H.Faults.Crashes) && isRunning(Agent)) {
     Agent.Alive = false;
     Agent.Inbox.clear();
     Agent.Runs.clear();
-    Agent.Asking.clear();
+    Agent.PendingClaims.clear();
     Agent.BackAt = Now + millis(50, 3000);
   }
-  if (happens(H.Faults.Pauses) && acts(Agent))
+  if (happens(H.Faults.Pauses) && isRunning(Agent))
     Agent.PausedUntil = Now + millis(50, 3000);
   for (std::size_t Index = 0; Index < Agents.size(); ++Index)
     if (Agents[Index].Joined && !Agents[Index].Alive &&
@@ -278,7 +278,7 @@
 
 /// Publishes the fleet's view: which hosts are down or have returned, which
 /// generation is in effect, and which older ones no agent needs any more.
-void world::fleet() {
+void world::updateFleetView() {
   key_view Next = Views.back();
   bool Changed = false;
   bool AllSettled = true;
@@ -287,8 +287,8 @@
     if (!Agent.Joined)
       continue;
     key_member &Entry = entry(Next, Index);
-    const bool Silent = Now - Agent.LastTurn > DownAfter;
-    const bool Back = acts(Agent) && Agent.Incarnation > Entry.Incarnation;
+    const bool Silent = Now - Agent.LastStep > DownAfter;
+    const bool Back = isRunning(Agent) && Agent.Incarnation > Entry.Incarnation;
     if (Silent && !Entry.Down) {
       Entry.Down = true;
       Changed = true;
@@ -297,8 +297,8 @@
       Entry = {Entry.Host, Agent.Incarnation, false};
       Changed = true;
     }
-    AllSettled = AllSettled && acts(Agent) && Agent.Replica->settled(Now) &&
-                 Agent.ViewTaken == Views.size();
+    AllSettled = AllSettled && isRunning(Agent) &&
+                 Agent.Replica->settled(Now) && Agent.ViewTaken == Views.size();
   }
   if (AllSettled && Next.Generations.size() > 1) {
     Next.Generations.pop_back();
@@ -326,23 +326,23 @@
     if (H.NewHosts > 0 && Now >= JoinAt && !Agents.back().Joined)
       join();
     deliver();
-    fleet();
+    updateFleetView();
     for (std::size_t Index = 0; Index < Agents.size(); ++Index)
-      turn(Index);
-    ask();
-    fault();
+      runAgent(Index);
+    claimRandomKey();
+    injectFaults();
   }
   // A quiet period without faults, after which every claim of a running agent
   // has its verdict.
   for (const instant Quiet = Now + seconds(4); Now < Quiet; Now += Step) {
     deliver();
-    fleet();
+    updateFleetView();
     for (std::size_t Index = 0; Index < Agents.size(); ++Index)
-      turn(Index);
+      runAgent(Index);
   }
   for (const agent &Agent : Agents)
-    if (acts(Agent)) {
-      Outcomes.NoVerdict += Agent.Asking.size();
+    if (isRunning(Agent)) {
+      Outcomes.NoVerdict += Agent.PendingClaims.size();
       Outcomes.Unsettled += Agent.Replica->settled(Now) ? 0 : 1;
     }
   return Outcomes;
--- a/test/work/key_history.h
+++ b/test/work/key_history.h
@@ -38,13 +38,13 @@
   std::size_t NewHosts = 0;
   std::size_t Keys = 300;
   double Seconds = 30;
-  double AsksPerSecond = 60;
+  double ClaimsPerSecond = 60;
   faults Faults;
   duration Lifetime = std::chrono::minutes(2);
 };
 
 struct history_result {
-  std::uint64_t Asked = 0;
+  std::uint64_t ClaimsStarted = 0;
   std::uint64_t Ran = 0;
   /// Ran again within one lifetime of its first run.
   std::uint64_t RanTwice = 0;
--- a/test/work/load_model.cpp
+++ b/test/work/load_model.cpp
@@ -267,11 +267,11 @@
 double model::slowness(std::size_t Host) const {
   const double Age = Now - Hosts[Host].StartedAt;
   const double Cold = std::max(0.0, 1 - Age / ColdSeconds);
-  double Slowness = 1 + (S.ColdSlowness - 1) * Cold;
+  double SlowdownFactor = 1 + (S.ColdSlowdownFactor - 1) * Cold;
   for (const host_fault &Fault : S.Faults)
     if (Fault.Host == Host && Now >= Fault.From && Now < Fault.To)
-      Slowness = Fault.Slowness;
-  return Slowness;
+      SlowdownFactor = Fault.SlowdownFactor;
+  return SlowdownFactor;
 }
 
 void model::begin(request_id Id) {
@@ -280,10 +280,10 @@
   Host.InSlots.insert(Id);
   const double Crowd =
       std::max(1.0, double(Host.InSlots.size()) / double(S.TrueSlots));
-  const double Slowness = slowness(Request.Runner);
+  const double SlowdownFactor = slowness(Request.Runner);
   Request.Crowd = Crowd;
-  double Took = Request.Need * Crowd * Slowness;
-  if (Slowness == 0)
+  double Took = Request.Need * Crowd * SlowdownFactor;
+  if (SlowdownFactor == 0)
     for (const host_fault &Fault : S.Faults)
       if (Fault.Host == Request.Runner && Now >= Fault.From && Now < Fault.To)
         Took = Fault.To - Now + Request.Need;
@@ -332,9 +332,9 @@
     ++Out.Refusals;
     // A relay that found no free capacity adds a round trip to the answer's
     // latency.
-    const double Way = Request.Work.Hops > 0 ? 2 * S.RelaySeconds : 0;
+    const double RelayDelay = Request.Work.Hops > 0 ? 2 * S.RelaySeconds : 0;
     const double Took = Now - Request.Since;
-    Out.LateRefusals += Took > Request.Need + Way + 1e-6 ? 1 : 0;
+    Out.LateRefusals += Took > Request.Need + RelayDelay + 1e-6 ? 1 : 0;
     Out.ReturnedRefused += Request.CameBack ? 1 : 0;
   }
   comeBack(Request, RetryAfter);
--- a/test/work/load_model.h
+++ b/test/work/load_model.h
@@ -40,7 +40,7 @@
   double To = 0;
   /// Factor by which service times are longer; 0 means that the host gives no
   /// answer.
-  double Slowness = 1;
+  double SlowdownFactor = 1;
 };
 
 /// A planned replacement of a host: it drains while its flows are gradually
@@ -80,7 +80,7 @@
   double ReportSeconds = 0.25;
   /// Factor by which a newly started target takes longer at first; it falls to
   /// 1 over ten seconds.
-  double ColdSlowness = 1;
+  double ColdSlowdownFactor = 1;
   caller_policy Caller = caller_policy::HonorsRetryAfter;
   agent_policy Agent = agent_policy::Ours;
   std::vector<host_fault> Faults;
--- a/test/work/scenarios.h
+++ b/test/work/scenarios.h
@@ -35,7 +35,7 @@
 /// One of seven targets takes ten times as long.
 inline scenario slowTarget() {
   scenario S;
-  S.Faults = {{.Host = 2, .From = 15, .To = 60, .Slowness = 10}};
+  S.Faults = {{.Host = 2, .From = 15, .To = 60, .SlowdownFactor = 10}};
   S.Load = 0.6;
   return S;
 }
@@ -63,7 +63,8 @@
   S.Caller = caller_policy::RetriesAtOnce;
   S.Attempts = 10;
   for (std::size_t Host = 0; Host < S.Hosts; ++Host)
-    S.Faults.push_back({.Host = Host, .From = 15, .To = 20, .Slowness = 0});
+    S.Faults.push_back(
+        {.Host = Host, .From = 15, .To = 20, .SlowdownFactor = 0});
   return S;
 }
 
@@ -105,7 +106,7 @@
 inline scenario rollingReplacement() {
   scenario S;
   S.Callers = 14000;
-  S.ColdSlowness = 3;
+  S.ColdSlowdownFactor = 3;
   S.Load = 0.5;
   S.Seconds = 100;
   for (std::size_t Host = 0; Host < S.Hosts; ++Host) {
@@ -123,8 +124,8 @@
 inline scenario twoFaults() {
   scenario S;
   S.Load = 0.5;
-  S.Faults = {{.Host = 2, .From = 15, .To = 50, .Slowness = 10},
-              {.Host = 4, .From = 20, .To = 25, .Slowness = 0}};
+  S.Faults = {{.Host = 2, .From = 15, .To = 50, .SlowdownFactor = 10},
+              {.Host = 4, .From = 20, .To = 25, .SlowdownFactor = 0}};
   S.Replacements = {{.Host = 5, .DrainAt = 18, .StopAt = 23, .BackAt = 24}};
   return S;
 }
