--- a/bench/work/work_bench.cpp
+++ b/bench/work/work_bench.cpp
@@ -7,9 +7,9 @@
 #include <cstdio>
 #include <gflags/gflags.h>
 
-DEFINE_string(sweep, "", "folder to write sweeps to, instead of the rows");
+DEFINE_string(sweep, "", "folder for sweep files; replaces the scenario rows");
 DEFINE_uint64(seed, 1, "seed of the scenarios");
-DEFINE_string(only, "", "name of the only scenario or sweep to play");
+DEFINE_string(only, "", "name of the only scenario or sweep to run");
 
 using namespace load_model;
 
--- a/src/work/key_claims.cpp
+++ b/src/work/key_claims.cpp
@@ -22,8 +22,8 @@
 /// Settle notices to a replica that does not answer are sent with increasing
 /// intervals, up to this many times the resend period.
 constexpr int MaxBackoff = 16;
-/// After a refusal, other replicas that may know the outcome get this fraction
-/// of the timeout (1/4) to answer.
+/// After a refusal, other replicas that may know the outcome get ClaimTimeout
+/// divided by this to answer.
 constexpr int RefusalTimeoutDivisor = 4;
 
 } // namespace
