--- a/bench/routing/imbalance.cpp
+++ b/bench/routing/imbalance.cpp
@@ -17,24 +17,24 @@
 static constexpr std::uint32_t Flows = Hosts * 2000;
 /// Mean lifetime of a flow at the target size: 88 million open flows, 520,000
 /// new ones per second.
-static constexpr duration FlowLife = seconds(169);
+static constexpr duration FlowLifetime = seconds(169);
 /// The imbalance is measured this long after a change; what a new host lacks
 /// until then is part of the peak.
-static constexpr duration Settle = seconds(20);
+static constexpr duration SettlePeriod = seconds(20);
 /// The reported imbalance is the highest within this time.
 static constexpr duration Window = seconds(5);
 
 namespace {
 
 /// Simulates flows that end and begin while hosts change.
-class churning_world {
+class churn_simulation {
 public:
-  explicit churning_world(std::uint64_t Seed) : World(settings(Seed)) {
+  explicit churn_simulation(std::uint64_t Seed) : World(settings(Seed)) {
     World.setMoving(true);
-    constexpr std::uint32_t PerTurn = 10; // 1,000 per second
+    constexpr std::uint32_t FlowsPerTurn = 10; // 1,000 per second
     for (std::uint32_t I = 0; I < Flows; ++I) {
       World.openFlow(I);
-      if (I % PerTurn == PerTurn - 1)
+      if (I % FlowsPerTurn == FlowsPerTurn - 1)
         World.pass(path_world::Turn);
     }
     World.pass(seconds(5));
@@ -43,25 +43,26 @@
   path_world &world() { return World; }
 
   /// Returns the seconds until the imbalance has fallen to \p Bound.
-  double settle(double Bound) {
-    double Gone = 0;
-    while (World.imbalance() > Bound && Gone < 300) {
-      pass(seconds(1));
-      ++Gone;
+  double secondsToSettle(double Bound) {
+    double Elapsed = 0;
+    while (World.imbalance() > Bound && Elapsed < 300) {
+      advance(seconds(1));
+      ++Elapsed;
     }
-    return Gone;
+    return Elapsed;
   }
 
   /// Advances the time and returns the highest imbalance in it.
-  double pass(duration Time) {
+  double advance(duration Time) {
     double Peak = 0;
-    const double PerTurn = double(Flows) * double(path_world::Turn.count()) /
-                           double(FlowLife.count());
-    for (duration Gone{}; Gone < Time; Gone += path_world::Turn) {
-      for (Due += PerTurn; Due >= 1; --Due)
+    const double FlowsPerTurn = double(Flows) *
+                                double(path_world::Turn.count()) /
+                                double(FlowLifetime.count());
+    for (duration Elapsed{}; Elapsed < Time; Elapsed += path_world::Turn) {
+      for (Due += FlowsPerTurn; Due >= 1; --Due)
         renewOne();
       World.pass(path_world::Turn);
-      if (Gone % seconds(1) == duration(0))
+      if (Elapsed % seconds(1) == duration(0))
         Peak = std::max(Peak, World.imbalance());
     }
     return Peak;
@@ -106,12 +107,12 @@
     ++Count[Hash % After];
     Broken += Hash % Before != Hash % After;
   }
-  const double Most = *std::max_element(Count.begin(), Count.end());
-  return {Most * After / Flows, Broken};
+  const double Highest = *std::max_element(Count.begin(), Count.end());
+  return {Highest * After / Flows, Broken};
 }
 
 static double measureService(const std::string &Service, std::uint64_t Seed) {
-  churning_world Churning(Seed);
+  churn_simulation Churning(Seed);
   path_world &World = Churning.world();
   double Worst = 0;
   const auto Phase = [&](const std::string &Name, std::uint32_t Before,
@@ -119,8 +120,8 @@
                          const std::function<void()> &Change) {
     const std::uint64_t BrokenBefore = World.verdict().BrokenPlanned;
     Change();
-    const double Peak = Churning.pass(Settle);
-    const double Settled = Churning.pass(Window);
+    const double Peak = Churning.advance(SettlePeriod);
+    const double Settled = Churning.advance(Window);
     Worst = std::max(Worst, Settled);
     const naive_figures Naive = naive(Before, After);
     const std::string Key = "_" + Service + "_" + Name;
@@ -135,7 +136,9 @@
   Phase("add", Hosts, Hosts + 1, [&] { World.addHost(); });
   constexpr double Bound = 1.10;
   print("flow_imbalance_add_settled_after_" + Service,
-        double((Settle + Window) / seconds(1)) + Churning.settle(Bound), "s");
+        double((SettlePeriod + Window) / seconds(1)) +
+            Churning.secondsToSettle(Bound),
+        "s");
   Phase("drain", Hosts + 1, Hosts, [&] { World.drainHost(0); });
   Phase("restart", Hosts, Hosts, [&] { World.restartHost(1); });
   print("misrouted_" + Service, double(World.verdict().Misrouted), "packets");
--- a/src/report/svg_chart.cpp
+++ b/src/report/svg_chart.cpp
@@ -35,33 +35,33 @@
 } // namespace
 
 std::string escaped(std::string_view Text) {
-  std::string Safe;
+  std::string Escaped;
   for (const char Character : Text) {
     switch (Character) {
     case '&':
-      Safe += "&amp;";
+      Escaped += "&amp;";
       break;
     case '<':
-      Safe += "&lt;";
+      Escaped += "&lt;";
       break;
     case '>':
-      Safe += "&gt;";
+      Escaped += "&gt;";
       break;
     case '"':
-      Safe += "&quot;";
+      Escaped += "&quot;";
       break;
     default:
-      Safe += Character;
+      Escaped += Character;
     }
   }
-  return Safe;
+  return Escaped;
 }
 
 std::string shortNumber(double Value) {
   std::array<char, 32> Text{};
   const double Size = std::abs(Value);
-  const char *Form = Size >= 100 ? "%.0f" : Size >= 10 ? "%.1f" : "%.2f";
-  std::snprintf(Text.data(), Text.size(), Form, Value);
+  const char *Format = Size >= 100 ? "%.0f" : Size >= 10 ? "%.1f" : "%.2f";
+  std::snprintf(Text.data(), Text.size(), Format, Value);
   return Text.data();
 }
 
--- a/src/routing/service_router.cpp
+++ b/src/routing/service_router.cpp
@@ -119,7 +119,7 @@
   }
 }
 
-static const std::vector<std::uint16_t> NoOthers;
+static const std::vector<std::uint16_t> NoTargets;
 
 /// Owners that are not down, without repeats: each generation's first choice
 /// before any second choice.
@@ -173,7 +173,7 @@
     }
     Best.add(Keys);
   }
-  return mergeRanks(Best, Targets, HasDroppedGeneration ? Live : NoOthers);
+  return mergeRanks(Best, Targets, HasDroppedGeneration ? Live : NoTargets);
 }
 
 owner_list service_router::owners(const flow_key &Flow) const {
--- a/src/work/record_completeness.cpp
+++ b/src/work/record_completeness.cpp
@@ -21,17 +21,17 @@
 }
 
 void record_completeness::take(const key_view &View, instant Now) {
-  bool Grew = false;
+  bool HasNewGeneration = false;
   for (const key_generation &Generation : View.Generations) {
     if (Generations.contains(Generation.Number))
       continue;
     Generations[Generation.Number] = startTracking(Generation, Now);
-    Grew = true;
+    HasNewGeneration = true;
   }
   if (View.Generations.empty())
     return;
   const std::uint64_t Newest = View.Generations.front().Number;
-  const bool MayBeNewReplica = Grew && !FirstView;
+  const bool MayBeNewReplica = HasNewGeneration && !FirstView;
   if (FirstView && Past == replica_history::MayHaveRun)
     resetRecords(Now);
   FirstView = false;
--- a/test/work/load_model.cpp
+++ b/test/work/load_model.cpp
@@ -25,18 +25,18 @@
   work_request Work;
   std::size_t Caller = 0;
   bool Light = true;
-  double Need = 0;
+  double WorkSeconds = 0;
   double Since = 0;
   int Attempt = 0;
   /// The agent that received the request on its flow, and the agent that runs
   /// it.
   std::size_t Origin = 0;
   std::size_t Runner = 0;
-  double Crowd = 1;
+  double SharingFactor = 1;
   /// Arrived after the warm-up.
   bool Counted = false;
-  bool Over = false;
-  bool CameBack = false;
+  bool Ended = false;
+  bool IsReturn = false;
 };
 
 struct host {
@@ -89,10 +89,10 @@
   void end(request_id Id, double Took);
   void refuse(request_id Id, double RetryAfter);
   void giveUp(request_id Id);
-  void comeBack(const request &Before, double Later);
+  void scheduleReturn(const request &Before, double Later);
   void naiveOffer(request_id Id);
   void naiveRun(std::size_t Host);
-  double slowness(std::size_t Host) const;
+  double slowdownFactor(std::size_t Host) const;
   void report();
   void replace(const replacement &Plan);
   void moveFlows(std::size_t From);
@@ -180,7 +180,8 @@
   Request.Light = Request.Caller >= S.HeavyCallers;
   const bool Long = uniform() < S.LongShare;
   Request.Work.Kind = Long ? work_kind::Long : work_kind::Short;
-  Request.Need = exponential(S.ServiceSeconds * (Long ? S.LongFactor : 1));
+  Request.WorkSeconds =
+      exponential(S.ServiceSeconds * (Long ? S.LongFactor : 1));
   Request.Counted = counted();
   if (Request.Counted) {
     ++Out.Offered;
@@ -240,7 +241,7 @@
       Back.Runner = Back.Origin;
       Back.Work.RelayedBy.reset();
       Hosts[Back.Origin].Peers->notRun(Peer, Later, at(Now));
-      if (!Back.Over)
+      if (!Back.Ended)
         offer(Id);
     });
   } else if (Decision.Verdict == verdict::Refuse) {
@@ -259,12 +260,12 @@
     const host_id From{std::uint32_t(Request.Origin)};
     if (Hosts[Peer].Peers)
       Hosts[Peer].Peers->receivedRelayFrom(From, at(Now));
-    if (!Request.Over)
+    if (!Request.Ended)
       offer(Id);
   });
 }
 
-double model::slowness(std::size_t Host) const {
+double model::slowdownFactor(std::size_t Host) const {
   const double Age = Now - Hosts[Host].StartedAt;
   const double Cold = std::max(0.0, 1 - Age / ColdSeconds);
   double SlowdownFactor = 1 + (S.ColdSlowdownFactor - 1) * Cold;
@@ -278,15 +279,15 @@
   request &Request = Live.at(Id);
   host &Host = Hosts[Request.Runner];
   Host.InSlots.insert(Id);
-  const double Crowd =
+  const double SharingFactor =
       std::max(1.0, double(Host.InSlots.size()) / double(S.TrueSlots));
-  const double SlowdownFactor = slowness(Request.Runner);
-  Request.Crowd = Crowd;
-  double Took = Request.Need * Crowd * SlowdownFactor;
+  const double SlowdownFactor = slowdownFactor(Request.Runner);
+  Request.SharingFactor = SharingFactor;
+  double Took = Request.WorkSeconds * SharingFactor * SlowdownFactor;
   if (SlowdownFactor == 0)
     for (const host_fault &Fault : S.Faults)
       if (Fault.Host == Request.Runner && Now >= Fault.From && Now < Fault.To)
-        Took = Fault.To - Now + Request.Need;
+        Took = Fault.To - Now + Request.WorkSeconds;
   after(Took, [this, Id, Took] { end(Id, Took); });
 }
 
@@ -297,11 +298,11 @@
     return;
   // If more requests are in flight than the target can run, they share its
   // slots.
-  Host.BusySeconds += counted() ? Took / Request.Crowd : 0;
+  Host.BusySeconds += counted() ? Took / Request.SharingFactor : 0;
   if (S.Agent == agent_policy::Ours)
     Host.Work->finished(Id, {.Elapsed = at(Took) - instant()}, at(Now));
-  if (!Request.Over) {
-    Request.Over = true;
+  if (!Request.Ended) {
+    Request.Ended = true;
     const bool Relayed = Request.Runner != Request.Origin;
     const double Back = Relayed ? S.RelaySeconds : 0;
     InTime += counted() ? 1 : 0;
@@ -325,26 +326,26 @@
 
 void model::refuse(request_id Id, double RetryAfter) {
   request &Request = Live.at(Id);
-  if (Request.Over)
+  if (Request.Ended)
     return;
-  Request.Over = true;
+  Request.Ended = true;
   if (Request.Counted) {
     ++Out.Refusals;
     // A relay that found no free capacity adds a round trip to the answer's
     // latency.
     const double RelayDelay = Request.Work.Hops > 0 ? 2 * S.RelaySeconds : 0;
     const double Took = Now - Request.Since;
-    Out.LateRefusals += Took > Request.Need + RelayDelay + 1e-6 ? 1 : 0;
-    Out.ReturnedRefused += Request.CameBack ? 1 : 0;
+    Out.LateRefusals += Took > Request.WorkSeconds + RelayDelay + 1e-6 ? 1 : 0;
+    Out.ReturnedRefused += Request.IsReturn ? 1 : 0;
   }
-  comeBack(Request, RetryAfter);
+  scheduleReturn(Request, RetryAfter);
 }
 
 void model::giveUp(request_id Id) {
   request &Request = Live.at(Id);
-  if (Request.Over)
+  if (Request.Ended)
     return;
-  Request.Over = true;
+  Request.Ended = true;
   Out.GivenUp += Request.Counted ? 1 : 0;
   host &Host = Hosts[Request.Runner];
   if (S.Agent == agent_policy::Ours && !Host.Stopped) {
@@ -354,23 +355,23 @@
       Host.BusySeconds += counted() ? Now - Request.Since : 0;
     tick(Request.Runner);
   }
-  comeBack(Request, 0);
+  scheduleReturn(Request, 0);
 }
 
-void model::comeBack(const request &Before, double Later) {
+void model::scheduleReturn(const request &Before, double Later) {
   if (Before.Attempt + 1 >= S.Attempts)
     return;
   request Next = Before;
-  Next.Over = false;
+  Next.Ended = false;
   Next.Attempt += 1;
   const bool HonorsRetryAfter = S.Caller == caller_policy::HonorsRetryAfter;
-  Next.CameBack = HonorsRetryAfter && Later > 0;
+  Next.IsReturn = HonorsRetryAfter && Later > 0;
   // Without a retry-after, a caller that honors it uses exponential backoff
   // with jitter.
   const double Backoff = 0.2 * std::exp2(Before.Attempt) * (0.5 + uniform());
   const double Wait = HonorsRetryAfter ? (Later > 0 ? Later : Backoff) : 0.01;
   after(Wait, [this, Next] {
-    Out.Returned += Next.CameBack && Next.Counted ? 1 : 0;
+    Out.Returned += Next.IsReturn && Next.Counted ? 1 : 0;
     attempt(Next);
   });
 }
