--- a/include/marjoramrail/routing.h
+++ b/include/marjoramrail/routing.h
@@ -156,7 +156,7 @@
   /// without targets that are draining or down. After the first choice come
   /// those in its zone, because an agent that exceeds its share passes a SYN to
   /// the next choice, and links between zones cost more and drop packets. Load
-  /// still has the last word: each agent passes on what exceeds its share,
+  /// still takes precedence: each agent passes on what exceeds its share,
   /// eventually to another zone. The result is always a subset of owners(). For
   /// this, the choices are selected by weight first and filtered by state
   /// afterwards; otherwise a balancer that does not know of a drain yet would
