--- a/bench/work/sweep.cpp
+++ b/bench/work/sweep.cpp
@@ -16,7 +16,7 @@
 using measure = std::function<double(const outcome &)>;
 using setting = std::function<void(scenario &, double)>;
 
-/// One threshold, the load it answers and what is read off.
+/// A sweep over one threshold: its values, the scenario and the two measures.
 struct sweep {
   sweep_plot Plot;
   std::vector<double> Values;
@@ -208,7 +208,7 @@
         {}},
        {0.2, 0.3, 0.5, 1, 2, 4, 8},
        twoFaults(),
-       [](scenario &S, double X) { S.Relay.Stale = toDuration(X); },
+       [](scenario &S, double X) { S.Relay.MaxReportAge = toDuration(X); },
        answered,
        imbalance},
       {{"relay_no_return",
@@ -219,7 +219,7 @@
         {}},
        {0, 0.1, 0.25, 0.5, 1, 2, 5},
        skewedCallers(),
-       [](scenario &S, double X) { S.Relay.NoReturn = toDuration(X); },
+       [](scenario &S, double X) { S.Relay.NoReturnPeriod = toDuration(X); },
        goodput,
        relayed},
   };
@@ -232,7 +232,7 @@
       scenario Scenario = Sweep.Scenario;
       Scenario.Seed = Seed;
       Sweep.Set(Scenario, Value);
-      const outcome Got = play(Scenario);
+      const outcome Got = simulate(Scenario);
       Point.Left += Sweep.Left(Got) / double(Seeds);
       Point.Right += Sweep.Right(Got) / double(Seeds);
     }
--- a/bench/work/work_bench.cpp
+++ b/bench/work/work_bench.cpp
@@ -1,14 +1,15 @@
-/// Rows of each scenario, naive beside ours: `bench: NAME VALUE UNIT`. With
-/// --sweep=FOLDER it sweeps the thresholds instead (CSV and SVG).
+/// Prints lines `bench: NAME VALUE UNIT` for each scenario, for the naive
+/// policy and for marjoramrail's. With --sweep=FOLDER it sweeps the thresholds
+/// instead and writes CSV and SVG files.
 #include "sweep.h"
 #include "work/scenarios.h"
 
 #include <cstdio>
 #include <gflags/gflags.h>
 
-DEFINE_string(sweep, "", "folder to write sweeps to, instead of the rows");
+DEFINE_string(sweep, "", "folder for sweep files; replaces the scenario rows");
 DEFINE_uint64(seed, 1, "seed of the scenarios");
-DEFINE_string(only, "", "name of the only scenario or sweep to play");
+DEFINE_string(only, "", "name of the only scenario or sweep to run");
 
 using namespace load_model;
 
@@ -20,7 +21,7 @@
 }
 
 void rowsOf(const std::string &Name, const scenario &Scenario) {
-  const outcome Got = play(Scenario);
+  const outcome Got = simulate(Scenario);
   row(Name, "goodput", Got.Goodput, "of_capacity");
   row(Name, "answered", double(Got.Answered) / double(Got.Offered),
       "of_offered");
--- a/src/report/svg_chart.cpp
+++ b/src/report/svg_chart.cpp
@@ -18,7 +18,7 @@
 constexpr double BarNameWidth = 140;
 constexpr int GridLines = 4;
 
-/// Where a value of a chart is drawn.
+/// Maps the values of a chart to coordinates.
 struct scale {
   double Seconds = 1;
   double Highest = 1;
@@ -35,37 +35,37 @@
 } // namespace
 
 std::string escaped(std::string_view Text) {
-  std::string Safe;
+  std::string Escaped;
   for (const char Character : Text) {
     switch (Character) {
     case '&':
-      Safe += "&amp;";
+      Escaped += "&amp;";
       break;
     case '<':
-      Safe += "&lt;";
+      Escaped += "&lt;";
       break;
     case '>':
-      Safe += "&gt;";
+      Escaped += "&gt;";
       break;
     case '"':
-      Safe += "&quot;";
+      Escaped += "&quot;";
       break;
     default:
-      Safe += Character;
+      Escaped += Character;
     }
   }
-  return Safe;
+  return Escaped;
 }
 
 std::string shortNumber(double Value) {
   std::array<char, 32> Text{};
   const double Size = std::abs(Value);
-  const char *Form = Size >= 100 ? "%.0f" : Size >= 10 ? "%.1f" : "%.2f";
-  std::snprintf(Text.data(), Text.size(), Form, Value);
+  const char *Format = Size >= 100 ? "%.0f" : Size >= 10 ? "%.1f" : "%.2f";
+  std::snprintf(Text.data(), Text.size(), Format, Value);
   return Text.data();
 }
 
-/// The next number of the form 1, 2 or 5 times a power of ten.
+/// Rounds up to the next number of the form 1, 2 or 5 times a power of ten.
 static double roundUp(double Value) {
   if (Value <= 0)
     return 1;
@@ -104,8 +104,8 @@
   return Svg;
 }
 
-/// A mark's number stands at its place, its text in the list below the chart:
-/// texts of marks close to each other would overlap.
+/// Draws only the number of each mark; the list below the chart has the texts,
+/// because those of adjacent marks would overlap.
 static std::string drawMarks(const scale &Scale,
                              const std::vector<report_mark> &Marks) {
   std::string Svg;
--- a/src/work/admission.cpp
+++ b/src/work/admission.cpp
@@ -1,18 +1,19 @@
-/// What becomes of a request at one agent: the decisions of this folder put in
-/// their order. Load patterns and thresholds stand with each of them.
+/// Combines the admission decisions of this folder for each request of one
+/// agent. The header of each component describes its load patterns and
+/// thresholds.
 ///
-/// What goes wrong without: a queue bounded by length only is long in time when
-/// the target is slow; requests then wait until their callers have given up,
-/// and the target works for no one. One sees full use and no goodput. Here a
-/// request that would wait longer than the bound, or past its deadline, is
-/// refused when it comes, with the time at which there will be room.
+/// A queue that is bounded only by length becomes long in time when the target
+/// is slow: requests wait until their callers have given up, and the target
+/// works for nobody. It is then fully used but has no goodput. Here a request
+/// that would wait longer than the bound, or past its deadline, is refused on
+/// arrival, with the time at which there will be capacity.
 #include "marjoramrail/work.h"
 
 #include "work/busy_share.h"
 #include "work/concurrency_limit.h"
 #include "work/fair_queue.h"
+#include "work/retry_after_estimator.h"
 #include "work/retry_budget.h"
-#include "work/return_time.h"
 
 #include <algorithm>
 #include <unordered_map>
@@ -24,20 +25,22 @@
 
 namespace {
 
-/// A request that the estimate let in and that still waits after this many
-/// bounds is refused: the target has slowed down meanwhile. With two bounds the
-/// chance of four long requests at once refused 83 late in saturation.
-constexpr int HardBounds = 4;
-/// All slots taking this many mean service times is no accident: with four
-/// slots and exponential times it happens once in e^12.
+/// A request that was admitted by its estimate and still waits after this many
+/// bounds is refused, because the target has slowed down in the meantime. Two
+/// bounds are too few: four long requests that occupied all slots by chance
+/// caused 83 late refusals in the saturation scenario.
+constexpr int MaxWaitBounds = 4;
+/// If all slots have been occupied for this many mean service times, the target
+/// has stalled: with four slots and exponential times, this happens by chance
+/// with probability e^-12.
 constexpr int StallFactor = 3;
 
 double toSeconds(duration Time) {
   return std::chrono::duration<double>(Time).count();
 }
 
-/// No service time is taken to be shorter: it divides.
-constexpr duration Least = std::chrono::milliseconds(1);
+/// Lower bound for service times, which are used as a divisor.
+constexpr duration MinServiceTime = std::chrono::milliseconds(1);
 
 duration toDuration(double Seconds) {
   return std::chrono::duration_cast<duration>(
@@ -57,19 +60,20 @@
        std::uint64_t Seed)
       : Settings(Settings), PickPeer(std::move(PickPeer)),
         Queue(Settings.CallerQueues, Seed), Limit(Settings),
-        Return(Settings.MaxRetryAfter, Seed + 1), Budget(Settings.RetryShare),
-        Times(Settings.FirstEstimate) {}
+        RetryEstimator(Settings.MaxRetryAfter, Seed + 1),
+        Budget(Settings.RetryShare), Times(Settings.FirstEstimate) {}
 
   decision offer(const work_request &Request, instant Now);
   decision offerStream(const work_request &Request, instant Now);
-  decision enqueue(const work_request &Request, double Need, instant Now);
+  decision enqueue(const work_request &Request, double ServiceSeconds,
+                   instant Now);
   std::optional<decision> relay(const work_request &Request, relay_reason Why,
                                 instant Now);
   decision run(const work_request &Request, instant Now);
   decision refuse(const work_request &Request, refusal Why, instant Now);
   void freeSlot(request_id Id);
   void runWaiting(instant Now);
-  void refuseHopeless(instant Now);
+  void refuseExpired(instant Now);
   void relayWaiting(relay_reason Why, instant Now);
   duration stalledFor(instant Now) const;
   duration waitBound(work_kind Kind) const;
@@ -84,15 +88,16 @@
   bool hasSlot(work_kind Kind, instant Now) const;
   double servers(work_kind Kind, instant Now) const;
   duration expectedWait(const work_request &Request, instant Now) const;
-  bool tooLate(const work_request &Request, double Need, instant Start) const;
+  bool tooLate(const work_request &Request, double ServiceSeconds,
+               instant Start) const;
   load_report load(instant Now);
-  void noteUse(instant Now);
+  void recordUse(instant Now);
 
   admission_settings Settings;
   pick_peer PickPeer;
   fair_queue Queue;
   concurrency_limit Limit;
-  return_time Return;
+  retry_after_estimator RetryEstimator;
   retry_budget Budget;
   service_times Times;
   busy_share Busy;
@@ -100,9 +105,10 @@
   std::size_t Streams = 0;
   std::size_t LongRunning = 0;
   bool Draining = false;
-  /// Relayed after they had been let in to the queue: one that no peer ran
-  /// comes back and must not be refused then, later than if it had never come.
-  std::unordered_set<request_id> Moved;
+  /// Requests relayed after they had been admitted to the queue. If no peer
+  /// runs such a request, it returns and must not be refused then, later than
+  /// if it had never been admitted.
+  std::unordered_set<request_id> RelayedFromQueue;
   std::vector<decision> Outbox;
   admission_counts Counts;
 };
@@ -121,7 +127,7 @@
   return Kind != work_kind::Long || LongRunning < longSlots(Slots);
 }
 
-/// Slots that serve the queue of \p Kind.
+/// Number of slots that serve the queue of \p Kind.
 double admission::impl::servers(work_kind Kind, instant Now) const {
   const std::size_t Slots = std::max<std::size_t>(Limit.limit(Now), 1);
   const std::size_t ForLong = longSlots(Slots);
@@ -133,9 +139,10 @@
   return double(std::max<std::size_t>(Slots - Taken, 1));
 }
 
-/// Zero, or for how long no short request in a slot has been answered although
-/// each is overdue: a target that hangs says nothing that could be learnt from,
-/// and requests let in on its former speed would wait for their refusal.
+/// Time for which no short request in a slot has been answered although all are
+/// overdue, or zero. A target that hangs produces no answer times, so without
+/// this check requests would be admitted on the basis of its former speed and
+/// refused late.
 duration admission::impl::stalledFor(instant Now) const {
   if (inSlots() <= LongRunning)
     return duration::zero();
@@ -151,20 +158,22 @@
 duration admission::impl::expectedWait(const work_request &Request,
                                        instant Now) const {
   const double Ahead = Queue.workAhead(Request.Caller, Request.Kind);
-  // The first slot frees after about one service time shared by all slots.
+  // The first slot becomes free after about one service time divided by the
+  // number of slots.
   const double First = Times.mean(Request.Kind);
   return Limit.pause(Now) + stalledFor(Now) +
          toDuration((Ahead + First) / servers(Request.Kind, Now));
 }
 
-bool admission::impl::tooLate(const work_request &Request, double Need,
-                              instant Start) const {
-  return Request.Deadline && Start + toDuration(Need) > *Request.Deadline;
+bool admission::impl::tooLate(const work_request &Request,
+                              double ServiceSeconds, instant Start) const {
+  return Request.Deadline &&
+         Start + toDuration(ServiceSeconds) > *Request.Deadline;
 }
 
-void admission::impl::noteUse(instant Now) {
-  // In declared slots, so that trials of the limit do not look like load; a
-  // cold target is full with fewer.
+void admission::impl::recordUse(instant Now) {
+  // Uses the declared slots so that trials of the limit do not look like load.
+  // A cold target is full with fewer.
   const std::size_t Counted =
       std::min<std::size_t>(Limit.limit(Now), Settings.Slots);
   const double Slots = double(std::max<std::size_t>(Counted, 1));
@@ -172,11 +181,12 @@
 }
 
 load_report admission::impl::load(instant Now) {
-  noteUse(Now);
+  recordUse(Now);
   load_report Report;
   Report.Slots = double(std::max<std::size_t>(Limit.limit(Now), 1));
   Report.Busy = Busy.value();
-  Report.Service = std::max(toDuration(Times.mean(work_kind::Short)), Least);
+  Report.Service =
+      std::max(toDuration(Times.mean(work_kind::Short)), MinServiceTime);
   Report.Pressure = double(inSlots() + Queue.size()) / Report.Slots;
   Report.Accepting = !Draining && Limit.pause(Now) == duration::zero();
   return Report;
@@ -195,10 +205,12 @@
 decision admission::impl::refuse(const work_request &Request, refusal Why,
                                  instant Now) {
   ++Counts.Refused;
-  // A relayed request goes back to its own agent, which books it if it must.
-  const double Need = Request.RelayedBy ? 0 : Times.expected(Request);
-  const duration Later = Return.book(Need, Queue.work(Request.Kind),
-                                     servers(Request.Kind, Now), Now);
+  // A relayed request returns to the agent that relayed it, which reserves time
+  // for it if needed.
+  const double ServiceSeconds = Request.RelayedBy ? 0 : Times.expected(Request);
+  const duration Later =
+      RetryEstimator.book(ServiceSeconds, Queue.work(Request.Kind),
+                          servers(Request.Kind, Now), Now);
   return {.Id = Request.Id,
           .Verdict = verdict::Refuse,
           .Reason = Why,
@@ -229,24 +241,24 @@
 }
 
 decision admission::impl::offer(const work_request &Request, instant Now) {
-  noteUse(Now);
+  recordUse(Now);
   if (Request.Kind == work_kind::Stream)
     return offerStream(Request, Now);
   if (!Request.Retry) {
     Budget.firstTry();
-    Return.firstTry(Times.expected(Request), Now);
+    RetryEstimator.firstTry(Times.expected(Request), Now);
   }
   if (Draining) {
     if (const auto Relayed = relay(Request, relay_reason::Draining, Now))
       return *Relayed;
     return refuse(Request, refusal::Draining, Now);
   }
-  const double Need = Times.expected(Request);
-  if (!tooLate(Request, Need, Now)) {
+  const double ServiceSeconds = Times.expected(Request);
+  if (!tooLate(Request, ServiceSeconds, Now)) {
     if (const auto Relayed = relay(Request, relay_reason::Balance, Now))
       return *Relayed;
     if (Queue.empty(Request.Kind) && hasSlot(Request.Kind, Now)) {
-      Queue.forgive();
+      Queue.resetTags();
       return run(Request, Now);
     }
   }
@@ -254,21 +266,22 @@
       Limit.ramping(Now) ? relay_reason::Cold : relay_reason::Overloaded;
   if (const auto Relayed = relay(Request, Why, Now))
     return *Relayed;
-  return enqueue(Request, Need, Now);
+  return enqueue(Request, ServiceSeconds, Now);
 }
 
-decision admission::impl::enqueue(const work_request &Request, double Need,
-                                  instant Now) {
-  if (Moved.erase(Request.Id) > 0 && !tooLate(Request, Need, Now)) {
-    Queue.push({Request, Need, Now});
+decision admission::impl::enqueue(const work_request &Request,
+                                  double ServiceSeconds, instant Now) {
+  if (RelayedFromQueue.erase(Request.Id) > 0 &&
+      !tooLate(Request, ServiceSeconds, Now)) {
+    Queue.push({Request, ServiceSeconds, Now});
     return {.Id = Request.Id, .Verdict = verdict::Wait};
   }
   const duration Wait = expectedWait(Request, Now);
-  // A relayed request is run or refused: the agent it came from can still put
-  // it into its own queue, where its caller's share is known.
+  // A relayed request is either run or refused: the agent that relayed it can
+  // still queue it and knows its caller's share.
   const bool CannotWait = Request.RelayedBy || Wait > waitBound(Request.Kind) ||
                           !hasRoom(Request, Now);
-  if (tooLate(Request, Need, Now + Wait))
+  if (tooLate(Request, ServiceSeconds, Now + Wait))
     return refuse(Request, refusal::DeadlineTooClose, Now);
   if (CannotWait) {
     const bool Paused = Limit.pause(Now) > duration::zero();
@@ -277,22 +290,24 @@
   }
   if (!retryAllowed(Request, Now))
     return refuse(Request, refusal::RetryBudget, Now);
-  Queue.push({Request, Need, Now});
+  Queue.push({Request, ServiceSeconds, Now});
   return {.Id = Request.Id, .Verdict = verdict::Wait};
 }
 
-/// How long a request of \p Kind may wait: long work at most about as long as
-/// it takes, or it could never queue behind another of its kind.
+/// Longest wait for requests of \p Kind. For long work it is at least the mean
+/// time of such work; otherwise a long request could never queue behind another
+/// one.
 duration admission::impl::waitBound(work_kind Kind) const {
   if (Kind != work_kind::Long)
     return Settings.WaitBound;
   return std::max(Settings.WaitBound, toDuration(Times.mean(Kind)));
 }
 
-/// A caller may have as much waiting as is still free (a dynamic threshold, as
-/// in shared-memory switches): one heavy caller takes half of the queue, three
-/// take a quarter each, and room is always left for one that has none. Nothing
-/// that waits is ever thrown out to make room, so no refusal comes late.
+/// A caller may have as much work waiting as is still free (a dynamic
+/// threshold, as in shared-memory switches). One heavy caller takes half of the
+/// queue, three take a quarter each, and there is always room for a caller with
+/// nothing waiting. Waiting requests are never evicted to make room, so no
+/// refusal comes late.
 bool admission::impl::hasRoom(const work_request &Request, instant Now) const {
   const double Most =
       toSeconds(waitBound(Request.Kind)) * servers(Request.Kind, Now);
@@ -302,7 +317,7 @@
   return Queue.workOf(Request.Caller, Request.Kind) <= Free;
 }
 
-/// Retries may fill half of the queue; beyond, they are held to the budget.
+/// Retries may fill half of the queue; beyond that they need the retry budget.
 bool admission::impl::retryAllowed(const work_request &Request, instant Now) {
   const double Half =
       toSeconds(waitBound(Request.Kind)) * servers(Request.Kind, Now) / 2;
@@ -318,14 +333,14 @@
   Running.erase(Found);
 }
 
-void admission::impl::refuseHopeless(instant Now) {
-  const auto Hopeless = [&](const waiting_request &Each) {
+void admission::impl::refuseExpired(instant Now) {
+  const auto Expired = [&](const waiting_request &Each) {
     const bool Overdue =
-        Now - Each.Since > HardBounds * waitBound(Each.Request.Kind);
-    return Overdue || tooLate(Each.Request, Each.Need, Now);
+        Now - Each.Since > MaxWaitBounds * waitBound(Each.Request.Kind);
+    return Overdue || tooLate(Each.Request, Each.ServiceSeconds, Now);
   };
-  for (const waiting_request &Each : Queue.removeIf(Hopeless)) {
-    const bool Late = tooLate(Each.Request, Each.Need, Now);
+  for (const waiting_request &Each : Queue.removeIf(Expired)) {
+    const bool Late = tooLate(Each.Request, Each.ServiceSeconds, Now);
     Outbox.push_back(
         refuse(Each.Request,
                Late ? refusal::DeadlineTooClose : refusal::Overloaded, Now));
@@ -342,18 +357,20 @@
   }
 }
 
-/// What waits goes to peers when draining starts or the target has stalled;
-/// what no peer takes keeps its place, as it has been accepted.
+/// Relays waiting requests to peers when draining starts or the target has
+/// stalled. Requests that no peer takes keep their place, because they have
+/// been admitted.
 void admission::impl::relayWaiting(relay_reason Why, instant Now) {
-  // Most never come back; forgotten ones lose only their privilege.
-  if (Moved.size() > Settings.MaxWaiting)
-    Moved.clear();
+  // Most entries never return. A request whose entry is removed only loses its
+  // exemption from a late refusal.
+  if (RelayedFromQueue.size() > Settings.MaxWaiting)
+    RelayedFromQueue.clear();
   std::vector<decision> Relayed;
   const auto Moves = [&](const waiting_request &Each) {
     const auto Peer = relay(Each.Request, Why, Now);
     if (Peer) {
       Relayed.push_back(*Peer);
-      Moved.insert(Each.Request.Id);
+      RelayedFromQueue.insert(Each.Request.Id);
     }
     return Peer.has_value();
   };
@@ -375,7 +392,7 @@
   const auto Found = Impl->Running.find(Id);
   if (Found == Impl->Running.end())
     return;
-  Impl->noteUse(Now);
+  Impl->recordUse(Now);
   const auto Ran = Found->second;
   const std::size_t InFlight = Impl->inSlots();
   Impl->freeSlot(Id);
@@ -391,17 +408,17 @@
 }
 
 void admission::cancelled(request_id Id, instant Now) {
-  Impl->noteUse(Now);
+  Impl->recordUse(Now);
   Impl->freeSlot(Id);
   Impl->Queue.remove(Id);
   ++Impl->Counts.Cancelled;
 }
 
 std::vector<decision> admission::tick(instant Now) {
-  Impl->noteUse(Now);
+  Impl->recordUse(Now);
   if (Impl->stalledFor(Now) > Impl->Settings.WaitBound / 2)
     Impl->relayWaiting(relay_reason::Overloaded, Now);
-  Impl->refuseHopeless(Now);
+  Impl->refuseExpired(Now);
   Impl->runWaiting(Now);
   return std::exchange(Impl->Outbox, {});
 }
--- a/src/work/key_claims.cpp
+++ b/src/work/key_claims.cpp
@@ -1,10 +1,12 @@
-/// The claims of one agent: a non-idempotent request runs only after every
-/// live keeper of its key has granted it and one of them was sure.
+/// Claims of one agent: a non-idempotent request runs only after every live
+/// replica of its key has granted it and at least one of them had complete
+/// records.
 ///
-/// What can go wrong: messages are lost, come twice or late; the view changes
-/// between two answers; this agent is paused. An answer counts only for the
-/// attempt and the view it was asked under, a claim that takes too long is
-/// given back, and its end is sent until each keeper has acknowledged it.
+/// Messages may be lost, duplicated or late, the view may change between two
+/// answers, and this agent may be paused. Therefore an answer counts only for
+/// the attempt and the view for which it was requested, a claim that takes too
+/// long is returned, and the end of a claim is sent until each replica has
+/// acknowledged it.
 #include "marjoramrail/work.h"
 
 #include "work/key_ring.h"
@@ -17,12 +19,12 @@
 
 namespace {
 
-/// A notice to a keeper that does not answer is sent ever more rarely, up to
-/// this many times the resend period.
+/// Settle notices to a replica that does not answer are sent with increasing
+/// intervals, up to this many times the resend period.
 constexpr int MaxBackoff = 16;
-/// A refusal waits this share of the timeout for a keeper that knows the
-/// answer.
-constexpr int RefusalShare = 4;
+/// After a refusal, other replicas that may know the outcome get ClaimTimeout
+/// divided by this to answer.
+constexpr int RefusalTimeoutDivisor = 4;
 
 } // namespace
 
@@ -32,11 +34,11 @@
     instant Since;
     instant SentAt;
     bool Running = false;
-    bool Sure = false;
-    std::vector<host_id> Keepers;
+    bool RecordsComplete = false;
+    std::vector<host_id> Replicas;
     std::size_t Next = 0;
-    /// Keepers that may hold this claim.
-    std::set<host_id> Asked;
+    /// Replicas that may have recorded this claim.
+    std::set<host_id> Contacted;
     std::optional<key_verdict> Refusal;
   };
   struct notice {
@@ -52,9 +54,9 @@
   }
 
   void begin(attempt &Attempt, instant Now);
-  void ask(attempt &Attempt, instant Now);
+  void sendClaim(attempt &Attempt, instant Now);
   void take(attempt &Attempt, const key_message &Answer, instant Now);
-  void hold(attempt &Attempt, const key_message &Answer, instant Now);
+  void onHeld(attempt &Attempt, const key_message &Answer, instant Now);
   void conclude(const std::string &Key, instant Now);
   void end(const std::string &Key, key_verdict Verdict, key_state State,
            instant Now);
@@ -62,7 +64,7 @@
   void resend(instant Now);
   bool overdue(const attempt &Attempt, instant Now) const;
   void endOverdue(instant Now);
-  key_messages drain() { return std::exchange(Outbox, {}); }
+  key_messages takeOutbox() { return std::exchange(Outbox, {}); }
 
   host_id Self{};
   std::uint32_t Incarnation = 0;
@@ -76,27 +78,27 @@
 };
 
 void key_claims::impl::begin(attempt &Attempt, instant Now) {
-  Attempt.Keepers = Ring.liveKeepers(Attempt.Record.Key);
+  Attempt.Replicas = Ring.liveReplicas(Attempt.Record.Key);
   Attempt.Next = 0;
-  Attempt.Sure = false;
-  ask(Attempt, Now);
+  Attempt.RecordsComplete = false;
+  sendClaim(Attempt, Now);
 }
 
-void key_claims::impl::ask(attempt &Attempt, instant Now) {
-  if (Attempt.Next == Attempt.Keepers.size()) {
+void key_claims::impl::sendClaim(attempt &Attempt, instant Now) {
+  if (Attempt.Next == Attempt.Replicas.size()) {
     conclude(Attempt.Record.Key, Now);
     return;
   }
-  const host_id Keeper = Attempt.Keepers[Attempt.Next];
+  const host_id Replica = Attempt.Replicas[Attempt.Next];
   key_message Message;
   Message.Kind =
       Attempt.Refusal ? key_message_kind::Query : key_message_kind::Claim;
   Message.From = Self;
-  Message.To = Keeper;
+  Message.To = Replica;
   Message.Digest = Ring.digest();
   Message.Record = Attempt.Record;
   if (!Attempt.Refusal)
-    Attempt.Asked.insert(Keeper);
+    Attempt.Contacted.insert(Replica);
   Attempt.SentAt = Now;
   Outbox.push_back(std::move(Message));
 }
@@ -105,25 +107,26 @@
                             instant Now) {
   switch (Answer.Kind) {
   case key_message_kind::Granted:
-    Attempt.Sure = Attempt.Sure || Answer.Sure;
+    Attempt.RecordsComplete = Attempt.RecordsComplete || Answer.RecordsComplete;
     ++Attempt.Next;
-    ask(Attempt, Now);
+    sendClaim(Attempt, Now);
     return;
   case key_message_kind::Held:
-    hold(Attempt, Answer, Now);
+    onHeld(Attempt, Answer, Now);
     return;
   case key_message_kind::Full:
     Attempt.Refusal = key_verdict::Full;
     conclude(Attempt.Record.Key, Now);
     return;
   default:
-    return; // Behind: asked again by tick().
+    return; // ViewMismatch: tick() asks again.
   }
 }
 
-/// Another keeper may know more: a runner's end can have reached only one.
-void key_claims::impl::hold(attempt &Attempt, const key_message &Answer,
-                            instant Now) {
+/// Asks the other replicas as well, because the end of a run may have reached
+/// only one of them.
+void key_claims::impl::onHeld(attempt &Attempt, const key_message &Answer,
+                              instant Now) {
   const key_state State = Answer.Record.State;
   if (State == key_state::Done) {
     Attempt.Refusal = key_verdict::Done;
@@ -136,7 +139,7 @@
   else if (!Attempt.Refusal)
     Attempt.Refusal = key_verdict::RunningElsewhere;
   ++Attempt.Next;
-  ask(Attempt, Now);
+  sendClaim(Attempt, Now);
 }
 
 void key_claims::impl::conclude(const std::string &Key, instant Now) {
@@ -145,8 +148,8 @@
     end(Key, *Attempt.Refusal, key_state::Released, Now);
     return;
   }
-  if (!Attempt.Sure) {
-    end(Key, key_verdict::NotSure, key_state::Released, Now);
+  if (!Attempt.RecordsComplete) {
+    end(Key, key_verdict::RecordsIncomplete, key_state::Released, Now);
     return;
   }
   Attempt.Running = true;
@@ -158,7 +161,7 @@
   const auto Found = Attempts.find(Key);
   attempt Attempt = std::move(Found->second);
   Attempts.erase(Found);
-  // Key may have been a part of the attempt that is gone now.
+  // Key may refer to the erased attempt, so it is not used here.
   Results.push_back({Attempt.Record.Key, Verdict, Attempt.Record.Outcome});
   Attempt.Record.State = State;
   Attempt.Record.Outcome.clear();
@@ -166,8 +169,8 @@
 }
 
 void key_claims::impl::notify(const attempt &Attempt, instant Now) {
-  for (const host_id Keeper : Attempt.Asked) {
-    Notices[{Attempt.Record.Key, Keeper}] = {Attempt.Record, instant(), 1};
+  for (const host_id Replica : Attempt.Contacted) {
+    Notices[{Attempt.Record.Key, Replica}] = {Attempt.Record, instant(), 1};
   }
   resend(Now);
 }
@@ -193,9 +196,10 @@
 }
 
 bool key_claims::impl::overdue(const attempt &Attempt, instant Now) const {
-  const duration Most = Attempt.Refusal ? Settings.ClaimTimeout / RefusalShare
-                                        : Settings.ClaimTimeout;
-  return !Attempt.Running && Now - Attempt.Since > Most;
+  const duration Timeout = Attempt.Refusal
+                               ? Settings.ClaimTimeout / RefusalTimeoutDivisor
+                               : Settings.ClaimTimeout;
+  return !Attempt.Running && Now - Attempt.Since > Timeout;
 }
 
 void key_claims::impl::endOverdue(instant Now) {
@@ -223,19 +227,19 @@
   Impl->Ring = key_ring(View);
   if (Impl->Ring.digest() == Before)
     return {};
-  std::vector<std::string> Asking;
+  std::vector<std::string> Pending;
   for (const auto &[Key, Attempt] : Impl->Attempts)
     if (!Attempt.Running)
-      Asking.push_back(Key);
-  for (const std::string &Key : Asking) {
+      Pending.push_back(Key);
+  for (const std::string &Key : Pending) {
     impl::attempt &Attempt = Impl->Attempts.at(Key);
     if (!Impl->member() || Attempt.Refusal)
-      Impl->end(Key, Attempt.Refusal.value_or(key_verdict::NotSure),
+      Impl->end(Key, Attempt.Refusal.value_or(key_verdict::RecordsIncomplete),
                 key_state::Released, Now);
     else
       Impl->begin(Attempt, Now);
   }
-  return Impl->drain();
+  return Impl->takeOutbox();
 }
 
 key_messages key_claims::claim(const std::string &Key, instant Now) {
@@ -247,8 +251,8 @@
     return Refuse(key_verdict::RunningElsewhere, "");
   const auto Notice = Impl->Notices.lower_bound({Key, host_id{0}});
   if (Notice != Impl->Notices.end() && Notice->first.first == Key) {
-    // A new claim's notices would take the place of these, and a keeper would
-    // hold the old claim for its lifetime.
+    // The notices of a new claim would replace these, and a replica would keep
+    // the old claim for its lifetime.
     const key_record &Last = Notice->second.Record;
     const bool Done = Last.State == key_state::Done;
     return Refuse(Done ? key_verdict::Done : key_verdict::RunningElsewhere,
@@ -257,7 +261,7 @@
   if (open() >= Impl->Settings.MaxRecords)
     return Refuse(key_verdict::Full, "");
   if (!Impl->member())
-    return Refuse(key_verdict::NotSure, "");
+    return Refuse(key_verdict::RecordsIncomplete, "");
   impl::attempt &Attempt = Impl->Attempts[Key];
   Attempt.Record.Key = Key;
   Attempt.Record.Runner = Impl->Self;
@@ -265,7 +269,7 @@
   Attempt.Record.Attempt = ++Impl->LastAttempt;
   Attempt.Since = Now;
   Impl->begin(Attempt, Now);
-  return Impl->drain();
+  return Impl->takeOutbox();
 }
 
 key_messages key_claims::receive(const key_message &Message, instant Now) {
@@ -276,18 +280,18 @@
     if (Found != Impl->Notices.end() &&
         Found->second.Record.Attempt == Record.Attempt)
       Impl->Notices.erase(Found);
-    return Impl->drain();
+    return Impl->takeOutbox();
   }
   const auto Found = Impl->Attempts.find(Record.Key);
   if (Found == Impl->Attempts.end() || Found->second.Running)
-    return Impl->drain();
+    return Impl->takeOutbox();
   impl::attempt &Attempt = Found->second;
-  const bool Expected = Attempt.Next < Attempt.Keepers.size() &&
-                        Attempt.Keepers[Attempt.Next] == Message.From &&
+  const bool Expected = Attempt.Next < Attempt.Replicas.size() &&
+                        Attempt.Replicas[Attempt.Next] == Message.From &&
                         Attempt.Record.Attempt == Record.Attempt;
   if (Expected && Message.Digest == Impl->Ring.digest())
     Impl->take(Attempt, Message, Now);
-  return Impl->drain();
+  return Impl->takeOutbox();
 }
 
 key_messages key_claims::tick(instant Now) {
@@ -297,9 +301,9 @@
     if (!Attempt.Running && Now - Attempt.SentAt >= Impl->Settings.Resend)
       Unanswered.push_back(Key);
   for (const std::string &Key : Unanswered)
-    Impl->ask(Impl->Attempts.at(Key), Now);
+    Impl->sendClaim(Impl->Attempts.at(Key), Now);
   Impl->resend(Now);
-  return Impl->drain();
+  return Impl->takeOutbox();
 }
 
 key_messages key_claims::settle(const std::string &Key, key_state State,
@@ -312,19 +316,19 @@
   Attempt.Record.State = State;
   if (Outcome.size() <= Impl->Settings.MaxOutcome)
     Attempt.Record.Outcome = Outcome;
-  for (const host_id Keeper : Impl->Ring.liveKeepers(Key))
-    Attempt.Asked.insert(Keeper);
+  for (const host_id Replica : Impl->Ring.liveReplicas(Key))
+    Attempt.Contacted.insert(Replica);
   Impl->notify(Attempt, Now);
-  return Impl->drain();
+  return Impl->takeOutbox();
 }
 
 void key_claims::lapsed(std::uint32_t Incarnation, instant Now) {
-  std::vector<std::string> Asking;
+  std::vector<std::string> Pending;
   for (const auto &[Key, Attempt] : Impl->Attempts)
     if (!Attempt.Running)
-      Asking.push_back(Key);
-  for (const std::string &Key : Asking)
-    Impl->end(Key, key_verdict::NotSure, key_state::Released, Now);
+      Pending.push_back(Key);
+  for (const std::string &Key : Pending)
+    Impl->end(Key, key_verdict::RecordsIncomplete, key_state::Released, Now);
   Impl->Incarnation = Incarnation;
 }
 
--- a/test/mechanism/mechanism_test.cpp
+++ b/test/mechanism/mechanism_test.cpp
@@ -5,7 +5,7 @@
 
 using namespace marjoramrail;
 
-TEST_CASE("every mechanism has a name of its own") {
+TEST_CASE("every mechanism has a distinct name") {
   std::set<std::string_view> Names;
   std::size_t Next = 0;
   for (const auto &[Mechanism, Name] : MechanismNames) {
@@ -15,12 +15,12 @@
   CHECK(Names.size() == MechanismNames.size());
 }
 
-TEST_CASE("a set holds what was added") {
-  mechanism_set Without;
-  CHECK(Without.empty());
-  Without.add(mechanism::KeptFlows);
-  Without.add(mechanism::TwoChoices);
-  CHECK(Without.has(mechanism::KeptFlows));
-  CHECK_FALSE(Without.has(mechanism::SettleTime));
-  CHECK(toText(Without) == "two_choices kept_flows");
+TEST_CASE("a set contains what was added") {
+  mechanism_set Disabled;
+  CHECK(Disabled.empty());
+  Disabled.add(mechanism::FlowCheckpoints);
+  Disabled.add(mechanism::TwoChoices);
+  CHECK(Disabled.has(mechanism::FlowCheckpoints));
+  CHECK_FALSE(Disabled.has(mechanism::SettleTime));
+  CHECK(toText(Disabled) == "two_choices kept_flows");
 }
--- a/test/work/key_claims_test.cpp
+++ b/test/work/key_claims_test.cpp
@@ -11,23 +11,23 @@
 
 const instant Start(seconds(100));
 
-/// Two hosts that keep every key, and a network without faults.
+/// Two hosts that are replicas of every key, and a network without faults.
 struct pair_of_hosts {
   key_view View{{{host_id{0}, 1, false}, {host_id{1}, 1, false}},
                 {{1, {host_id{0}, host_id{1}}}}};
   key_settings Settings;
-  std::vector<std::unique_ptr<key_keeper>> Keepers;
+  std::vector<std::unique_ptr<key_replica>> Replicas;
   std::vector<std::unique_ptr<key_claims>> Claims;
   instant Now = Start;
 
   explicit pair_of_hosts(std::size_t MaxRecords = 100) {
     Settings.MaxRecords = MaxRecords;
     for (std::uint32_t Host = 0; Host < 2; ++Host) {
-      Keepers.push_back(std::make_unique<key_keeper>(
-          host_id{Host}, 1, Settings, keeper_past::FirstOfService));
+      Replicas.push_back(std::make_unique<key_replica>(
+          host_id{Host}, 1, Settings, replica_history::NewService));
       Claims.push_back(
           std::make_unique<key_claims>(host_id{Host}, 1, Settings));
-      pass(Keepers[Host]->take(View, Now));
+      pass(Replicas[Host]->take(View, Now));
       pass(Claims[Host]->take(View, Now));
     }
   }
@@ -38,7 +38,7 @@
       Messages.erase(Messages.begin());
       const auto To = std::size_t(Next.To);
       for (key_messages Out :
-           {Keepers[To]->receive(Next, Now), Claims[To]->receive(Next, Now)})
+           {Replicas[To]->receive(Next, Now), Claims[To]->receive(Next, Now)})
         Messages.insert(Messages.end(), Out.begin(), Out.end());
     }
   }
@@ -50,16 +50,16 @@
                            : Results[0];
   }
 
-  /// Both keepers start again with nothing, as VMs without disks do.
-  void loseBothKeepers() {
+  /// Both replicas restart without records, as VMs without disks do.
+  void loseBothReplicas() {
     for (std::uint32_t Host = 0; Host < 2; ++Host) {
       View.Hosts[Host].Incarnation = 2;
-      Keepers[Host] = std::make_unique<key_keeper>(host_id{Host}, 2, Settings,
-                                                   keeper_past::MayHaveRun);
+      Replicas[Host] = std::make_unique<key_replica>(
+          host_id{Host}, 2, Settings, replica_history::MayHaveRun);
       Claims[Host]->lapsed(2, Now);
     }
     for (std::uint32_t Host = 0; Host < 2; ++Host) {
-      pass(Keepers[Host]->take(View, Now));
+      pass(Replicas[Host]->take(View, Now));
       pass(Claims[Host]->take(View, Now));
     }
   }
@@ -67,8 +67,8 @@
 
 } // namespace
 
-TEST_CASE("key_claims tells a repeat the stored outcome") {
-  // The answer to an amendment was lost; the broker sends it again to another
+TEST_CASE("key_claims returns the stored outcome to a repeat") {
+  // The answer to an amendment was lost, and the broker repeats it at another
   // host.
   pair_of_hosts Hosts;
   CHECK(Hosts.ask(0, "amendment").Verdict == key_verdict::Run);
@@ -88,7 +88,7 @@
   CHECK(Hosts.ask(1, "amendment").Verdict == key_verdict::RunningElsewhere);
 }
 
-TEST_CASE("key_claims lets a key run after an explicit not run") {
+TEST_CASE("key_claims grants a key again after an explicit not-run") {
   pair_of_hosts Hosts;
   Hosts.ask(0, "amendment");
   Hosts.pass(
@@ -102,41 +102,41 @@
   pair_of_hosts Hosts;
   Hosts.ask(0, "amendment");
   Hosts.View.Hosts[0].Down = true;
-  Hosts.pass(Hosts.Keepers[1]->take(Hosts.View, Hosts.Now));
+  Hosts.pass(Hosts.Replicas[1]->take(Hosts.View, Hosts.Now));
   Hosts.pass(Hosts.Claims[1]->take(Hosts.View, Hosts.Now));
 
   CHECK(Hosts.ask(1, "amendment").Verdict == key_verdict::Unknown);
 }
 
-TEST_CASE("key_claims is granted by one keeper while the other is down") {
+TEST_CASE("key_claims needs only one replica while the other is down") {
   pair_of_hosts Hosts;
   Hosts.View.Hosts[0].Down = true;
-  Hosts.pass(Hosts.Keepers[1]->take(Hosts.View, Hosts.Now));
+  Hosts.pass(Hosts.Replicas[1]->take(Hosts.View, Hosts.Now));
   Hosts.pass(Hosts.Claims[1]->take(Hosts.View, Hosts.Now));
 
   CHECK(Hosts.ask(1, "amendment").Verdict == key_verdict::Run);
 }
 
-TEST_CASE("keys are refused for a lifetime after both keepers were lost") {
-  // Nobody can tell any more which amendments ran.
+TEST_CASE("keys are refused for a lifetime after both replicas were lost") {
+  // No replica knows any more which amendments ran.
   pair_of_hosts Hosts;
   Hosts.ask(0, "amendment");
-  Hosts.loseBothKeepers();
+  Hosts.loseBothReplicas();
 
   const key_result AtOnce = Hosts.ask(1, "amendment");
   Hosts.Now += minutes(10) + milliseconds(1);
   const key_result AfterLifetime = Hosts.ask(1, "amendment");
 
-  CHECK(AtOnce.Verdict == key_verdict::NotSure);
+  CHECK(AtOnce.Verdict == key_verdict::RecordsIncomplete);
   CHECK(AfterLifetime.Verdict == key_verdict::Run);
 }
 
-TEST_CASE("a keeper whose view differs grants nothing") {
-  // Another set of keepers may have been asked under the other view.
+TEST_CASE("a replica with a different view grants nothing") {
+  // Under the other view, different replicas may have been asked.
   pair_of_hosts Hosts;
   key_view Newer = Hosts.View;
   Newer.Generations.insert(Newer.Generations.begin(), {2, {host_id{1}}});
-  Hosts.pass(Hosts.Keepers[0]->take(Newer, Hosts.Now));
+  Hosts.pass(Hosts.Replicas[0]->take(Newer, Hosts.Now));
 
   Hosts.ask(1, "amendment");
   Hosts.Now += seconds(2);
@@ -147,12 +147,12 @@
   CHECK(Results[0].Verdict == key_verdict::NoAnswer);
 }
 
-TEST_CASE("a full keeper refuses a new key and keeps what it has") {
+TEST_CASE("a full replica refuses a new key and keeps its records") {
   pair_of_hosts Hosts(2);
   Hosts.ask(0, "first");
   Hosts.ask(1, "second");
 
   CHECK(Hosts.ask(0, "third").Verdict == key_verdict::Full);
   CHECK(Hosts.ask(1, "first").Verdict == key_verdict::RunningElsewhere);
-  CHECK(Hosts.Keepers[0]->records() == 2);
+  CHECK(Hosts.Replicas[0]->records() == 2);
 }
--- a/test/work/key_history.cpp
+++ b/test/work/key_history.cpp
@@ -13,8 +13,9 @@
 using std::chrono::seconds;
 
 constexpr duration Step = milliseconds(5);
-/// The fleet shows a host as down after it has been silent for this long; an
-/// agent that was out of touch for less than that counts itself as lapsed.
+/// The fleet marks a host as down when it has not responded for DownAfter. An
+/// agent that was out of contact for the shorter LapsedAfter treats itself as
+/// lapsed.
 constexpr duration DownAfter = milliseconds(400);
 constexpr duration LapsedAfter = milliseconds(300);
 
@@ -25,52 +26,52 @@
 };
 
 struct agent {
-  std::unique_ptr<key_keeper> Keeper;
+  std::unique_ptr<key_replica> Replica;
   std::unique_ptr<key_claims> Claims;
   std::uint32_t Incarnation = 1;
   bool Alive = true;
-  /// False for a host that is yet to join.
+  /// False for a host that has not joined yet.
   bool Joined = true;
   instant PausedUntil;
   instant BackAt;
-  instant LastTurn;
+  instant LastStep;
   std::size_t ViewTaken = 0;
   instant NextView;
   std::vector<run> Runs;
   std::deque<key_message> Inbox;
-  std::multiset<std::string> Asking;
+  std::multiset<std::string> PendingClaims;
 };
 
 class world {
 public:
   explicit world(const history &History);
-  judgement play();
+  history_result simulate();
 
 private:
   bool happens(double PerSecond) {
     return uniform() < PerSecond * std::chrono::duration<double>(Step).count();
   }
   double uniform() { return std::uniform_real_distribution<>(0, 1)(Random); }
-  std::size_t below(std::size_t Count) { return Random() % Count; }
+  std::size_t randomBelow(std::size_t Count) { return Random() % Count; }
   duration millis(std::size_t Low, std::size_t High) {
-    return milliseconds(Low + below(High - Low + 1));
+    return milliseconds(Low + randomBelow(High - Low + 1));
   }
-  bool acts(const agent &Agent) const {
+  bool isRunning(const agent &Agent) const {
     return Agent.Alive && Agent.PausedUntil <= Now;
   }
 
-  void start(std::size_t Index, keeper_past Past);
+  void start(std::size_t Index, replica_history Past);
   void join();
   void send(const key_messages &Messages);
   void deliver();
-  void turn(std::size_t Index);
+  void runAgent(std::size_t Index);
   void takeView(agent &Agent);
-  void ask();
+  void claimRandomKey();
   void takeResults(std::size_t Index);
   void begin(std::size_t Index, const std::string &Key);
   void endRuns(std::size_t Index);
-  void fault();
-  void fleet();
+  void injectFaults();
+  void updateFleetView();
   void publish(const key_view &View) { Views.push_back(View); }
   key_member &entry(key_view &View, std::size_t Index) {
     return View.Hosts[Index];
@@ -82,11 +83,11 @@
   key_settings Settings;
   std::vector<agent> Agents;
   std::vector<key_view> Views;
-  std::multimap<instant, key_message> Wire;
+  std::multimap<instant, key_message> Network;
   std::map<std::string, instant> FirstRun;
-  /// Of every run of a key, the last one last.
+  /// The answers of all runs of a key, in order.
   std::map<std::string, std::vector<std::string>> Answers;
-  judgement Judgement;
+  history_result Outcomes;
 };
 
 world::world(const history &History)
@@ -94,7 +95,7 @@
   Settings.Lifetime = H.Lifetime;
   key_view View;
   key_generation First{1, {}};
-  for (std::size_t Index = 0; Index < H.Hosts - H.Joiners; ++Index) {
+  for (std::size_t Index = 0; Index < H.Hosts - H.NewHosts; ++Index) {
     View.Hosts.push_back({host_id{std::uint32_t(Index)}, 1, false});
     First.Members.push_back(host_id{std::uint32_t(Index)});
   }
@@ -102,14 +103,15 @@
   publish(View);
   for (std::size_t Index = 0; Index < H.Hosts; ++Index) {
     agent &Agent = Agents[Index];
-    Agent.Joined = Index < H.Hosts - H.Joiners;
+    Agent.Joined = Index < H.Hosts - H.NewHosts;
     Agent.Alive = Agent.Joined;
     if (Agent.Joined)
-      start(Index, keeper_past::FirstOfService);
+      start(Index, replica_history::NewService);
   }
 }
 
-/// All hosts that are yet to join start, and one generation takes them in.
+/// Starts all hosts that have not joined yet and publishes one generation with
+/// them.
 void world::join() {
   key_view Next = Views.back();
   key_generation Generation{Next.Generations.front().Number + 1, {}};
@@ -117,25 +119,25 @@
     Generation.Members.push_back(host_id{std::uint32_t(Index)});
     if (std::exchange(Agents[Index].Joined, true))
       continue;
-    start(Index, keeper_past::NeverRan);
+    start(Index, replica_history::NeverRan);
     Next.Hosts.push_back({host_id{std::uint32_t(Index)}, 1, false});
   }
   Next.Generations.insert(Next.Generations.begin(), Generation);
   publish(Next);
 }
 
-void world::start(std::size_t Index, keeper_past Past) {
+void world::start(std::size_t Index, replica_history Past) {
   agent &Agent = Agents[Index];
   const host_id Self{std::uint32_t(Index)};
   Agent.Alive = true;
-  Agent.LastTurn = Now;
-  Agent.Keeper =
-      std::make_unique<key_keeper>(Self, Agent.Incarnation, Settings, Past);
+  Agent.LastStep = Now;
+  Agent.Replica =
+      std::make_unique<key_replica>(Self, Agent.Incarnation, Settings, Past);
   Agent.Claims =
       std::make_unique<key_claims>(Self, Agent.Incarnation, Settings);
   Agent.ViewTaken = 0;
   Agent.NextView =
-      Past == keeper_past::FirstOfService ? Now : Now + millis(0, 200);
+      Past == replica_history::NewService ? Now : Now + millis(0, 200);
 }
 
 void world::send(const key_messages &Messages) {
@@ -145,49 +147,49 @@
     const int Copies = uniform() < H.Faults.Duplicate ? 2 : 1;
     for (int Copy = 0; Copy < Copies; ++Copy) {
       const bool Late = uniform() < H.Faults.Late;
-      Wire.emplace(Now + (Late ? millis(50, 2000) : millis(1, 12)), Message);
+      Network.emplace(Now + (Late ? millis(50, 2000) : millis(1, 12)), Message);
     }
   }
 }
 
 void world::deliver() {
-  while (!Wire.empty() && Wire.begin()->first <= Now) {
-    const key_message Message = Wire.begin()->second;
-    Wire.erase(Wire.begin());
+  while (!Network.empty() && Network.begin()->first <= Now) {
+    const key_message Message = Network.begin()->second;
+    Network.erase(Network.begin());
     agent &To = Agents[std::size_t(Message.To)];
     if (To.Alive)
       To.Inbox.push_back(Message);
   }
 }
 
-/// A view reaches each agent by itself, some later than others.
+/// Each agent receives a view at its own time, some later than others.
 void world::takeView(agent &Agent) {
   if (Agent.ViewTaken == Views.size() || Now < Agent.NextView)
     return;
   Agent.ViewTaken = Views.size();
   Agent.NextView = Now + millis(10, 300);
-  send(Agent.Keeper->take(Views.back(), Now));
+  send(Agent.Replica->take(Views.back(), Now));
   send(Agent.Claims->take(Views.back(), Now));
 }
 
-void world::turn(std::size_t Index) {
+void world::runAgent(std::size_t Index) {
   agent &Agent = Agents[Index];
-  if (!acts(Agent))
+  if (!isRunning(Agent))
     return;
-  if (Now - Agent.LastTurn > LapsedAfter) {
+  if (Now - Agent.LastStep > LapsedAfter) {
     ++Agent.Incarnation;
-    Agent.Keeper->lapsed(Agent.Incarnation, Now);
+    Agent.Replica->lapsed(Agent.Incarnation, Now);
     Agent.Claims->lapsed(Agent.Incarnation, Now);
   }
-  Agent.LastTurn = Now;
+  Agent.LastStep = Now;
   takeView(Agent);
   while (!Agent.Inbox.empty()) {
     const key_message Message = Agent.Inbox.front();
     Agent.Inbox.pop_front();
-    send(Agent.Keeper->receive(Message, Now));
+    send(Agent.Replica->receive(Message, Now));
     send(Agent.Claims->receive(Message, Now));
   }
-  send(Agent.Keeper->tick(Now));
+  send(Agent.Replica->tick(Now));
   send(Agent.Claims->tick(Now));
   endRuns(Index);
   takeResults(Index);
@@ -196,14 +198,14 @@
 void world::takeResults(std::size_t Index) {
   agent &Agent = Agents[Index];
   for (const key_result &Result : Agent.Claims->results()) {
-    ++Judgement.Verdicts[Result.Verdict];
-    Agent.Asking.erase(Agent.Asking.find(Result.Key));
+    ++Outcomes.Verdicts[Result.Verdict];
+    Agent.PendingClaims.erase(Agent.PendingClaims.find(Result.Key));
     if (Result.Verdict == key_verdict::Run)
       begin(Index, Result.Key);
     if (Result.Verdict == key_verdict::Done && !Result.Outcome.empty() &&
         std::count(Answers[Result.Key].begin(), Answers[Result.Key].end(),
                    Result.Outcome) == 0)
-      ++Judgement.WrongAnswer;
+      ++Outcomes.WrongAnswer;
   }
 }
 
@@ -211,19 +213,19 @@
   const double Draw = uniform();
   run Run{Key, Now + millis(5, 300), key_state::Done};
   if (Draw < 0.05)
-    Run.State = key_state::Released; // the target said: not run
+    Run.State = key_state::Released; // the target answered "not run"
   else if (Draw < 0.1)
     Run.State = key_state::Unknown; // ran, but the answer was lost
   Agents[Index].Runs.push_back(Run);
   if (Run.State == key_state::Released)
     return;
-  ++Judgement.Ran;
+  ++Outcomes.Ran;
   const auto Found = FirstRun.find(Key);
   if (Found != FirstRun.end() && Now - Found->second < H.Lifetime)
-    ++Judgement.RanTwice;
+    ++Outcomes.RanTwice;
   FirstRun[Key] = Now;
   Answers[Key].push_back("ran at " + std::to_string(Index) + " as " +
-                         std::to_string(Judgement.Ran));
+                         std::to_string(Outcomes.Ran));
 }
 
 void world::endRuns(std::size_t Index) {
@@ -241,42 +243,42 @@
   Agent.Runs = Left;
 }
 
-void world::ask() {
-  if (!happens(H.AsksPerSecond))
+void world::claimRandomKey() {
+  if (!happens(H.ClaimsPerSecond))
     return;
-  const std::size_t Index = below(Agents.size());
+  const std::size_t Index = randomBelow(Agents.size());
   agent &Agent = Agents[Index];
-  if (!acts(Agent))
+  if (!isRunning(Agent))
     return;
-  const std::string Key = "key-" + std::to_string(below(H.Keys));
-  ++Judgement.Asked;
-  Agent.Asking.insert(Key);
+  const std::string Key = "key-" + std::to_string(randomBelow(H.Keys));
+  ++Outcomes.ClaimsStarted;
+  Agent.PendingClaims.insert(Key);
   send(Agent.Claims->claim(Key, Now));
   takeResults(Index);
 }
 
-void world::fault() {
-  agent &Agent = Agents[below(Agents.size())];
-  if (happens(H.Faults.Crashes) && acts(Agent)) {
+void world::injectFaults() {
+  agent &Agent = Agents[randomBelow(Agents.size())];
+  if (happens(H.Faults.Crashes) && isRunning(Agent)) {
     Agent.Alive = false;
     Agent.Inbox.clear();
     Agent.Runs.clear();
-    Agent.Asking.clear();
+    Agent.PendingClaims.clear();
     Agent.BackAt = Now + millis(50, 3000);
   }
-  if (happens(H.Faults.Pauses) && acts(Agent))
+  if (happens(H.Faults.Pauses) && isRunning(Agent))
     Agent.PausedUntil = Now + millis(50, 3000);
   for (std::size_t Index = 0; Index < Agents.size(); ++Index)
     if (Agents[Index].Joined && !Agents[Index].Alive &&
         Agents[Index].BackAt <= Now) {
       ++Agents[Index].Incarnation;
-      start(Index, keeper_past::MayHaveRun);
+      start(Index, replica_history::MayHaveRun);
     }
 }
 
-/// Publishes what the fleet knows: who is silent, who is back, which target set
-/// is in force, and which older ones no agent needs any more.
-void world::fleet() {
+/// Publishes the fleet's view: which hosts are down or have returned, which
+/// generation is in effect, and which older ones no agent needs any more.
+void world::updateFleetView() {
   key_view Next = Views.back();
   bool Changed = false;
   bool AllSettled = true;
@@ -285,8 +287,8 @@
     if (!Agent.Joined)
       continue;
     key_member &Entry = entry(Next, Index);
-    const bool Silent = Now - Agent.LastTurn > DownAfter;
-    const bool Back = acts(Agent) && Agent.Incarnation > Entry.Incarnation;
+    const bool Silent = Now - Agent.LastStep > DownAfter;
+    const bool Back = isRunning(Agent) && Agent.Incarnation > Entry.Incarnation;
     if (Silent && !Entry.Down) {
       Entry.Down = true;
       Changed = true;
@@ -295,8 +297,8 @@
       Entry = {Entry.Host, Agent.Incarnation, false};
       Changed = true;
     }
-    AllSettled = AllSettled && acts(Agent) && Agent.Keeper->settled(Now) &&
-                 Agent.ViewTaken == Views.size();
+    AllSettled = AllSettled && isRunning(Agent) &&
+                 Agent.Replica->settled(Now) && Agent.ViewTaken == Views.size();
   }
   if (AllSettled && Next.Generations.size() > 1) {
     Next.Generations.pop_back();
@@ -316,37 +318,40 @@
     publish(Next);
 }
 
-judgement world::play() {
+history_result world::simulate() {
   const instant End = Now + std::chrono::duration_cast<duration>(
                                 std::chrono::duration<double>(H.Seconds));
   const instant JoinAt = Now + (End - Now) / 4;
   for (; Now < End; Now += Step) {
-    if (H.Joiners > 0 && Now >= JoinAt && !Agents.back().Joined)
+    if (H.NewHosts > 0 && Now >= JoinAt && !Agents.back().Joined)
       join();
     deliver();
-    fleet();
+    updateFleetView();
     for (std::size_t Index = 0; Index < Agents.size(); ++Index)
-      turn(Index);
-    ask();
-    fault();
+      runAgent(Index);
+    claimRandomKey();
+    injectFaults();
   }
-  // Two more quiet seconds: every ask of an agent that lives has its verdict.
+  // A quiet period without faults, after which every claim of a running agent
+  // has its verdict.
   for (const instant Quiet = Now + seconds(4); Now < Quiet; Now += Step) {
     deliver();
-    fleet();
+    updateFleetView();
     for (std::size_t Index = 0; Index < Agents.size(); ++Index)
-      turn(Index);
+      runAgent(Index);
   }
   for (const agent &Agent : Agents)
-    if (acts(Agent)) {
-      Judgement.NoVerdict += Agent.Asking.size();
-      Judgement.Unsettled += Agent.Keeper->settled(Now) ? 0 : 1;
+    if (isRunning(Agent)) {
+      Outcomes.NoVerdict += Agent.PendingClaims.size();
+      Outcomes.Unsettled += Agent.Replica->settled(Now) ? 0 : 1;
     }
-  return Judgement;
+  return Outcomes;
 }
 
 } // namespace
 
-judgement play(const history &History) { return world(History).play(); }
+history_result simulate(const history &History) {
+  return world(History).simulate();
+}
 
 } // namespace key_history
--- a/test/work/key_history_test.cpp
+++ b/test/work/key_history_test.cpp
@@ -7,12 +7,13 @@
 
 namespace {
 
-std::uint64_t verdicts(judgement &Got, key_verdict Verdict) {
+std::uint64_t verdicts(history_result &Got, key_verdict Verdict) {
   return Got.Verdicts[Verdict];
 }
 
-/// Every fault at once, at the rates at which most broken rules show.
-history troubled(std::uint64_t Seed) {
+/// All faults at once, at rates at which violations of the protocol's rules are
+/// most likely to show.
+history faultyHistory(std::uint64_t Seed) {
   history History;
   History.Seed = Seed;
   History.Faults = {.Loss = 0.05,
@@ -25,7 +26,7 @@
 }
 
 void checkSafe(const history &History) {
-  const judgement Got = play(History);
+  const history_result Got = simulate(History);
   INFO("seed ", History.Seed);
   CHECK(Got.RanTwice == 0);
   CHECK(Got.WrongAnswer == 0);
@@ -35,33 +36,33 @@
 
 } // namespace
 
-TEST_CASE("without faults every key that is asked for runs exactly once") {
+TEST_CASE("without faults every claimed key runs exactly once") {
   for (std::uint64_t Seed = 1; Seed <= 10; ++Seed) {
     history History;
     History.Seed = Seed;
 
-    judgement Got = play(History);
+    history_result Got = simulate(History);
 
     CHECK(Got.RanTwice == 0);
     CHECK(Got.NoVerdict == 0);
-    CHECK(verdicts(Got, key_verdict::NotSure) == 0);
+    CHECK(verdicts(Got, key_verdict::RecordsIncomplete) == 0);
     CHECK(verdicts(Got, key_verdict::NoAnswer) == 0);
     CHECK(Got.Ran >= History.Keys * 8 / 10);
   }
 }
 
-TEST_CASE("keys run although hosts have joined together") {
+TEST_CASE("keys run after several hosts have joined at once") {
   // Two or three new hosts start in the same second. Each waited for the other
-  // to vouch for records that neither can have, and for ten minutes every key
-  // that two of them keep was refused: at Visexport's full size 19,459 of
-  // 71,388 requests.
+  // to confirm records that neither can have, and for ten minutes every key
+  // with two such replicas was refused: 19,459 of 71,388 requests at
+  // Visexport's full size.
   for (std::uint64_t Seed = 1; Seed <= 10; ++Seed) {
     history History;
     History.Seed = Seed;
     History.Hosts = 7;
-    History.Joiners = 2 + Seed % 2;
+    History.NewHosts = 2 + Seed % 2;
 
-    judgement Got = play(History);
+    history_result Got = simulate(History);
 
     INFO("seed ", Seed);
     CHECK(Got.RanTwice == 0);
@@ -72,13 +73,13 @@
 }
 
 TEST_CASE("no key runs twice while hosts join and others crash and pause") {
-  // The hosts that join hold no records, those that could give theirs crash or
-  // stand still, and views come late.
+  // The joining hosts have no records, the hosts that could send theirs crash
+  // or pause, and views arrive late.
   for (std::uint64_t Seed = 1; Seed <= 60; ++Seed) {
     history History;
     History.Seed = Seed;
     History.Hosts = 7;
-    History.Joiners = 1 + Seed % 3;
+    History.NewHosts = 1 + Seed % 3;
     History.Faults = {.Loss = 0.05,
                       .Duplicate = 0.05,
                       .Late = 0.05,
@@ -91,8 +92,8 @@
 }
 
 TEST_CASE("no key runs twice while messages are lost, repeated and late") {
-  // A repeat of an amendment comes on another flow while the first answer is
-  // lost. Run twice, it would void a valid certificate.
+  // An amendment is repeated on another flow because the first answer was lost.
+  // If it ran twice, it would void a valid certificate.
   for (std::uint64_t Seed = 1; Seed <= 20; ++Seed) {
     history History;
     History.Seed = Seed;
@@ -104,23 +105,26 @@
 
 TEST_CASE(
     "no key runs twice while agents crash, pause and generations change") {
-  // A runner dies after its claim, its keepers restart with nothing, one that
-  // was paused still acts on what it knew, and views arrive unevenly.
+  // A runner dies after its claim, its replicas restart without records, a
+  // paused replica still acts on outdated state, and views arrive at different
+  // times.
   for (std::uint64_t Seed = 1; Seed <= 60; ++Seed) {
-    checkSafe(troubled(Seed));
+    checkSafe(faultyHistory(Seed));
   }
 }
 
-TEST_CASE("no key runs twice in the histories that once broke the promise") {
-  // A restarted keeper granted a key, unsure, while it fetched a record of the
-  // same key: the grant, given back later, took the record with it.
+TEST_CASE("no key runs twice with seeds that once violated at-most-once") {
+  // A restarted replica granted a key with incomplete records while it fetched
+  // a record of the same key. When the grant was returned later, the fetched
+  // record was removed with it.
   for (const std::uint64_t Seed : {1058, 1160}) {
-    checkSafe(troubled(Seed));
+    checkSafe(faultyHistory(Seed));
   }
 }
 
 TEST_CASE("no key runs twice within a lifetime when records expire") {
-  // With a short lifetime, keepers that lost all grant again after it.
+  // With a short lifetime, replicas that lost all records grant keys again
+  // after it.
   std::vector<std::uint64_t> Seeds = {1008, 1013, 1057, 1115, 2669};
   for (std::uint64_t Seed = 1; Seed <= 30; ++Seed)
     Seeds.push_back(Seed);
--- a/test/work/load_model.cpp
+++ b/test/work/load_model.cpp
@@ -25,17 +25,18 @@
   work_request Work;
   std::size_t Caller = 0;
   bool Light = true;
-  double Need = 0;
+  double WorkSeconds = 0;
   double Since = 0;
   int Attempt = 0;
-  /// The agent whose flow it came by, and the one that runs it.
+  /// The agent that received the request on its flow, and the agent that runs
+  /// it.
   std::size_t Origin = 0;
   std::size_t Runner = 0;
-  double Crowd = 1;
-  /// Came after the warm-up.
+  double SharingFactor = 1;
+  /// Arrived after the warm-up.
   bool Counted = false;
-  bool Over = false;
-  bool CameBack = false;
+  bool Ended = false;
+  bool IsReturn = false;
 };
 
 struct host {
@@ -52,7 +53,7 @@
 class model {
 public:
   explicit model(const scenario &Scenario);
-  outcome play();
+  outcome simulate();
 
 private:
   using event = std::function<void()>;
@@ -88,10 +89,10 @@
   void end(request_id Id, double Took);
   void refuse(request_id Id, double RetryAfter);
   void giveUp(request_id Id);
-  void comeBack(const request &Before, double Later);
+  void scheduleReturn(const request &Before, double Later);
   void naiveOffer(request_id Id);
   void naiveRun(std::size_t Host);
-  double slowness(std::size_t Host) const;
+  double slowdownFactor(std::size_t Host) const;
   void report();
   void replace(const replacement &Plan);
   void moveFlows(std::size_t From);
@@ -108,7 +109,7 @@
   std::vector<std::size_t> HostOf;
   std::unordered_map<request_id, request> Live;
   outcome Out;
-  /// Answered in time after the warm-up, whenever the request came.
+  /// Answered in time after the warm-up, whenever the request arrived.
   std::uint64_t InTime = 0;
   std::uint64_t LightOffered = 0;
   std::uint64_t LightAnswers = 0;
@@ -179,7 +180,8 @@
   Request.Light = Request.Caller >= S.HeavyCallers;
   const bool Long = uniform() < S.LongShare;
   Request.Work.Kind = Long ? work_kind::Long : work_kind::Short;
-  Request.Need = exponential(S.ServiceSeconds * (Long ? S.LongFactor : 1));
+  Request.WorkSeconds =
+      exponential(S.ServiceSeconds * (Long ? S.LongFactor : 1));
   Request.Counted = counted();
   if (Request.Counted) {
     ++Out.Offered;
@@ -191,7 +193,7 @@
 void model::attempt(request Request) {
   const request_id Id{++LastId};
   const bool Long = Request.Work.Kind == work_kind::Long;
-  const double Patience = S.Patience * (Long ? 10 : 1);
+  const double TimeoutSeconds = S.TimeoutSeconds * (Long ? 10 : 1);
   Request.Since = Now;
   Request.Origin = Request.Runner = HostOf[Request.Caller];
   Request.Work.Id = Id;
@@ -199,9 +201,9 @@
   Request.Work.Hops = 0;
   Request.Work.RelayedBy.reset();
   Request.Work.Retry = Request.Attempt > 0;
-  Request.Work.Deadline = at(Now + Patience);
+  Request.Work.Deadline = at(Now + TimeoutSeconds);
   Live.emplace(Id, Request);
-  after(Patience, [this, Id] { giveUp(Id); });
+  after(TimeoutSeconds, [this, Id] { giveUp(Id); });
   offer(Id);
 }
 
@@ -230,7 +232,8 @@
   } else if (Decision.Verdict == verdict::Relay) {
     relayTo(Decision.Id, std::size_t(Decision.Peer));
   } else if (Decision.Verdict == verdict::Refuse && Request.Work.RelayedBy) {
-    // "Not run": back to the agent that sent it, which decides once more.
+    // "Not run": the request returns to the agent that relayed it, which
+    // decides again.
     const host_id Peer{std::uint32_t(Host)};
     const duration Later = Decision.RetryAfter;
     after(S.RelaySeconds, [this, Id = Decision.Id, Peer, Later] {
@@ -238,7 +241,7 @@
       Back.Runner = Back.Origin;
       Back.Work.RelayedBy.reset();
       Hosts[Back.Origin].Peers->notRun(Peer, Later, at(Now));
-      if (!Back.Over)
+      if (!Back.Ended)
         offer(Id);
     });
   } else if (Decision.Verdict == verdict::Refuse) {
@@ -256,35 +259,35 @@
     const request &Request = Live.at(Id);
     const host_id From{std::uint32_t(Request.Origin)};
     if (Hosts[Peer].Peers)
-      Hosts[Peer].Peers->relayedHere(From, at(Now));
-    if (!Request.Over)
+      Hosts[Peer].Peers->receivedRelayFrom(From, at(Now));
+    if (!Request.Ended)
       offer(Id);
   });
 }
 
-double model::slowness(std::size_t Host) const {
+double model::slowdownFactor(std::size_t Host) const {
   const double Age = Now - Hosts[Host].StartedAt;
   const double Cold = std::max(0.0, 1 - Age / ColdSeconds);
-  double Slowness = 1 + (S.ColdSlowness - 1) * Cold;
+  double SlowdownFactor = 1 + (S.ColdSlowdownFactor - 1) * Cold;
   for (const host_fault &Fault : S.Faults)
     if (Fault.Host == Host && Now >= Fault.From && Now < Fault.To)
-      Slowness = Fault.Slowness;
-  return Slowness;
+      SlowdownFactor = Fault.SlowdownFactor;
+  return SlowdownFactor;
 }
 
 void model::begin(request_id Id) {
   request &Request = Live.at(Id);
   host &Host = Hosts[Request.Runner];
   Host.InSlots.insert(Id);
-  const double Crowd =
+  const double SharingFactor =
       std::max(1.0, double(Host.InSlots.size()) / double(S.TrueSlots));
-  const double Slowness = slowness(Request.Runner);
-  Request.Crowd = Crowd;
-  double Took = Request.Need * Crowd * Slowness;
-  if (Slowness == 0)
+  const double SlowdownFactor = slowdownFactor(Request.Runner);
+  Request.SharingFactor = SharingFactor;
+  double Took = Request.WorkSeconds * SharingFactor * SlowdownFactor;
+  if (SlowdownFactor == 0)
     for (const host_fault &Fault : S.Faults)
       if (Fault.Host == Request.Runner && Now >= Fault.From && Now < Fault.To)
-        Took = Fault.To - Now + Request.Need;
+        Took = Fault.To - Now + Request.WorkSeconds;
   after(Took, [this, Id, Took] { end(Id, Took); });
 }
 
@@ -293,12 +296,13 @@
   host &Host = Hosts[Request.Runner];
   if (Host.InSlots.erase(Id) == 0)
     return;
-  // More in flight than the target can run share its slots.
-  Host.BusySeconds += counted() ? Took / Request.Crowd : 0;
+  // If more requests are in flight than the target can run, they share its
+  // slots.
+  Host.BusySeconds += counted() ? Took / Request.SharingFactor : 0;
   if (S.Agent == agent_policy::Ours)
     Host.Work->finished(Id, {.Elapsed = at(Took) - instant()}, at(Now));
-  if (!Request.Over) {
-    Request.Over = true;
+  if (!Request.Ended) {
+    Request.Ended = true;
     const bool Relayed = Request.Runner != Request.Origin;
     const double Back = Relayed ? S.RelaySeconds : 0;
     InTime += counted() ? 1 : 0;
@@ -322,25 +326,26 @@
 
 void model::refuse(request_id Id, double RetryAfter) {
   request &Request = Live.at(Id);
-  if (Request.Over)
+  if (Request.Ended)
     return;
-  Request.Over = true;
+  Request.Ended = true;
   if (Request.Counted) {
     ++Out.Refusals;
-    // A relay that found no room there and back is part of the answer's way.
-    const double Way = Request.Work.Hops > 0 ? 2 * S.RelaySeconds : 0;
+    // A relay that found no free capacity adds a round trip to the answer's
+    // latency.
+    const double RelayDelay = Request.Work.Hops > 0 ? 2 * S.RelaySeconds : 0;
     const double Took = Now - Request.Since;
-    Out.LateRefusals += Took > Request.Need + Way + 1e-6 ? 1 : 0;
-    Out.ReturnedRefused += Request.CameBack ? 1 : 0;
+    Out.LateRefusals += Took > Request.WorkSeconds + RelayDelay + 1e-6 ? 1 : 0;
+    Out.ReturnedRefused += Request.IsReturn ? 1 : 0;
   }
-  comeBack(Request, RetryAfter);
+  scheduleReturn(Request, RetryAfter);
 }
 
 void model::giveUp(request_id Id) {
   request &Request = Live.at(Id);
-  if (Request.Over)
+  if (Request.Ended)
     return;
-  Request.Over = true;
+  Request.Ended = true;
   Out.GivenUp += Request.Counted ? 1 : 0;
   host &Host = Hosts[Request.Runner];
   if (S.Agent == agent_policy::Ours && !Host.Stopped) {
@@ -350,22 +355,23 @@
       Host.BusySeconds += counted() ? Now - Request.Since : 0;
     tick(Request.Runner);
   }
-  comeBack(Request, 0);
+  scheduleReturn(Request, 0);
 }
 
-void model::comeBack(const request &Before, double Later) {
+void model::scheduleReturn(const request &Before, double Later) {
   if (Before.Attempt + 1 >= S.Attempts)
     return;
   request Next = Before;
-  Next.Over = false;
+  Next.Ended = false;
   Next.Attempt += 1;
-  const bool Obeys = S.Caller == caller_policy::Obeys;
-  Next.CameBack = Obeys && Later > 0;
-  // Without a retry-after a caller that obeys backs off, doubling with jitter.
+  const bool HonorsRetryAfter = S.Caller == caller_policy::HonorsRetryAfter;
+  Next.IsReturn = HonorsRetryAfter && Later > 0;
+  // Without a retry-after, a caller that honors it uses exponential backoff
+  // with jitter.
   const double Backoff = 0.2 * std::exp2(Before.Attempt) * (0.5 + uniform());
-  const double Wait = Obeys ? (Later > 0 ? Later : Backoff) : 0.01;
+  const double Wait = HonorsRetryAfter ? (Later > 0 ? Later : Backoff) : 0.01;
   after(Wait, [this, Next] {
-    Out.Returned += Next.CameBack && Next.Counted ? 1 : 0;
+    Out.Returned += Next.IsReturn && Next.Counted ? 1 : 0;
     attempt(Next);
   });
 }
@@ -438,7 +444,7 @@
   });
 }
 
-outcome model::play() {
+outcome model::simulate() {
   arrive();
   report();
   std::function<void()> Ticking = [&] {
@@ -492,6 +498,8 @@
 
 } // namespace
 
-outcome play(const scenario &Scenario) { return model(Scenario).play(); }
+outcome simulate(const scenario &Scenario) {
+  return model(Scenario).simulate();
+}
 
 } // namespace load_model
--- a/test/work/scenarios.h
+++ b/test/work/scenarios.h
@@ -1,7 +1,7 @@
-//===- scenarios.h - The loads that the decisions answer --------*- C++ -*-===//
+//===- scenarios.h - Load and fault scenarios -------------------*- C++ -*-===//
 ///
 /// \file
-/// One function per scenario, used by the tests and by the bench's rows.
+/// One function per scenario, used by the tests and by the bench.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,7 +23,7 @@
   return S;
 }
 
-/// Three callers bring 70% of more than the service can do.
+/// Three callers send 70% of a load that exceeds the capacity.
 inline scenario skewedCallers() {
   scenario S;
   S.HeavyCallers = 3;
@@ -35,7 +35,7 @@
 /// One of seven targets takes ten times as long.
 inline scenario slowTarget() {
   scenario S;
-  S.Faults = {{.Host = 2, .From = 15, .To = 60, .Slowness = 10}};
+  S.Faults = {{.Host = 2, .From = 15, .To = 60, .SlowdownFactor = 10}};
   S.Load = 0.6;
   return S;
 }
@@ -56,18 +56,20 @@
   return S;
 }
 
-/// All targets give no answer for five seconds; callers insist.
+/// No target answers for five seconds, and callers retry at once.
 inline scenario retryStorm() {
   scenario S;
   S.Load = 0.8;
-  S.Caller = caller_policy::Insists;
+  S.Caller = caller_policy::RetriesAtOnce;
   S.Attempts = 10;
   for (std::size_t Host = 0; Host < S.Hosts; ++Host)
-    S.Faults.push_back({.Host = Host, .From = 15, .To = 20, .Slowness = 0});
+    S.Faults.push_back(
+        {.Host = Host, .From = 15, .To = 20, .SlowdownFactor = 0});
   return S;
 }
 
-/// Flows are fixed to hosts one to four; the work in them must move.
+/// Flows are bound to hosts in proportions of one to four, so the requests in
+/// them have to be relayed.
 inline scenario unevenFlows() {
   scenario S;
   S.Skew = 0.5;
@@ -75,7 +77,7 @@
   return S;
 }
 
-/// The same with dispatch's two slots and its zones 5 ms apart.
+/// The same with the two slots of the dispatch service and 5 ms between zones.
 inline scenario unevenDispatch() {
   scenario S = unevenFlows();
   S.DeclaredSlots = S.TrueSlots = 2;
@@ -83,7 +85,7 @@
   return S;
 }
 
-/// Eight slots declared, and with more than four each answer takes longer.
+/// Eight slots are declared, but with more than four each answer takes longer.
 inline scenario declaredTooHigh() {
   scenario S;
   S.DeclaredSlots = 8;
@@ -91,7 +93,7 @@
   return S;
 }
 
-/// Two slots declared of a target that can run four.
+/// Two slots are declared for a target that can run four.
 inline scenario declaredTooLow() {
   scenario S;
   S.DeclaredSlots = 2;
@@ -99,11 +101,12 @@
   return S;
 }
 
-/// All ledger hosts replaced one after the other, 2,000 connections each.
+/// All hosts of the ledger service are replaced one after the other, with 2,000
+/// connections each.
 inline scenario rollingReplacement() {
   scenario S;
   S.Callers = 14000;
-  S.ColdSlowness = 3;
+  S.ColdSlowdownFactor = 3;
   S.Load = 0.5;
   S.Seconds = 100;
   for (std::size_t Host = 0; Host < S.Hosts; ++Host) {
@@ -116,12 +119,13 @@
   return S;
 }
 
-/// A target turns slow while another is replaced and its peer is silent.
+/// A target becomes slow while another is replaced and a third does not
+/// respond.
 inline scenario twoFaults() {
   scenario S;
   S.Load = 0.5;
-  S.Faults = {{.Host = 2, .From = 15, .To = 50, .Slowness = 10},
-              {.Host = 4, .From = 20, .To = 25, .Slowness = 0}};
+  S.Faults = {{.Host = 2, .From = 15, .To = 50, .SlowdownFactor = 10},
+              {.Host = 4, .From = 20, .To = 25, .SlowdownFactor = 0}};
   S.Replacements = {{.Host = 5, .DrainAt = 18, .StopAt = 23, .BackAt = 24}};
   return S;
 }
