--- a/bench/fleet/main.cpp
+++ b/bench/fleet/main.cpp
@@ -49,7 +49,7 @@
   double Received = 0;
   double Calls = 0;
   double Writes = 0;
-  double PutOff = 0;
+  double Deferred = 0;
 };
 
 struct measured {
@@ -100,7 +100,7 @@
         Sum.ByKind[I] += static_cast<double>(Counters.BytesByKind[I]);
       Sum.Bytes += static_cast<double>(Counters.BytesSent);
       Sum.Received += static_cast<double>(Counters.BytesReceived);
-      Sum.PutOff += static_cast<double>(Counters.PutOff);
+      Sum.Deferred += static_cast<double>(Counters.Deferred);
     }
     Sum.Calls = static_cast<double>(Fleet.Platform.Calls);
     Sum.Writes = static_cast<double>(Fleet.Platform.Writes);
@@ -115,8 +115,8 @@
               Nodes, (End.ByKind[I] - Start.ByKind[I]) / Per, "B/s");
   }
 
-  bool know(const std::string &Service, std::uint64_t Version,
-            const char *Host = nullptr) const {
+  bool isKnownEverywhere(const std::string &Service, std::uint64_t Version,
+                         const char *Host = nullptr) const {
     return std::all_of(
         Fleet.Balancers.begin(), Fleet.Balancers.end(),
         [&](const auto &Balancer) {
@@ -178,7 +178,7 @@
     std::vector<double> Took;
     const auto Look = [&] {
       std::erase_if(Waiting, [&](const auto &Change) {
-        if (!know(Change.first, Change.second.first))
+        if (!isKnownEverywhere(Change.first, Change.second.first))
           return false;
         Took.push_back(millis(Fleet.Net.now() - Change.second.second));
         return true;
@@ -219,7 +219,7 @@
     print("platform_calls_per_s_" + Rate + "_changes", Nodes,
           (End.Calls - Start.Calls) / Seconds, "1/s");
     print("put_off_per_s_" + Rate + "_changes", Nodes,
-          (End.PutOff - Start.PutOff) / Per, "1/s");
+          (End.Deferred - Start.Deferred) / Per, "1/s");
     if (!Alone)
       Measured.ChangeBytes = Bytes;
     print("changes_not_in_force_" + Rate, Nodes,
@@ -246,7 +246,8 @@
       Agent.Dead = true;
       const std::string Service = Agent.Host.substr(0, Agent.Host.find('-'));
       const auto Took = Fleet.runUntil(
-          [&] { return know(Service, 0, Agent.Host.c_str()); }, 60s);
+          [&] { return isKnownEverywhere(Service, 0, Agent.Host.c_str()); },
+          60s);
       if (!Took)
         continue;
       ++Found;
--- a/bench/fleet/target_size.cpp
+++ b/bench/fleet/target_size.cpp
@@ -1,7 +1,7 @@
 #include "target_size.h"
 
+#include "fleet/applied_tree.h"
 #include "fleet/fake_platform.h"
-#include "fleet/force_tree.h"
 #include "fleet/membership_codec.h"
 #include "fleet/platform_feed.h"
 #include "fleet/rendezvous.h"
@@ -81,7 +81,7 @@
         "B");
   print("view_delta_bytes",
         static_cast<double>(encode(makeDelta(One, Next)).size()), "B");
-  announcement Heartbeat;
+  host_heartbeat Heartbeat;
   Heartbeat.Service = One.View.Name;
   Heartbeat.Host = One.Info[0].Host;
   Heartbeat.Zone = "zone-1";
@@ -99,17 +99,17 @@
   const double Before = heapBytes();
   timer_service Timers(instant(std::chrono::seconds(1)));
   peer_table Peers({"balancer-0", "zone-0", {1, 4000}, 1}, 1);
-  peer_news News;
+  peer_update Update;
   double Start = cpuSeconds();
   constexpr std::uint32_t Sample = 200;
   for (std::uint32_t I = 1; I < Nodes; ++I) {
     if (I == Nodes - Sample)
       Start = cpuSeconds();
-    News.Info = {"balancer-" + std::to_string(I),
-                 "zone-" + std::to_string(I % 17),
-                 {I + 1, 4000},
-                 1760000000U + I};
-    Peers.take(News, Timers.now());
+    Update.Info = {"balancer-" + std::to_string(I),
+                   "zone-" + std::to_string(I % 17),
+                   {I + 1, 4000},
+                   1760000000U + I};
+    Peers.take(Update, Timers.now());
   }
   print("target_peer_join_us", (cpuSeconds() - Start) * 1e6 / Sample, "us");
   print("target_peers_mb", (heapBytes() - Before) / 1e6, "MB");
@@ -118,18 +118,18 @@
   print("target_pick_us",
         microsPer(20, [&] { pick("host-77", Peers.living(), 3); }), "us");
   const view_store Views;
-  force_tree::hooks Hooks;
+  applied_tree::hooks Hooks;
   Hooks.Send = [](const endpoint &, const message &) {};
   print("target_tree_us",
         microsPer(3,
                   [&] {
-                    force_tree Tree(Timers, Peers, Views, Hooks);
-                    Tree.take({}, force_report());
+                    applied_tree Tree(Timers, Peers, Views, Hooks);
+                    Tree.take({}, applied_report());
                   }),
         "us");
 }
 
-void measureHolder() {
+void measureController() {
   timer_service Timers(instant(std::chrono::seconds(1)));
   testing::fake_platform Platform(Timers);
   for (std::uint32_t I = 0; I < Services; ++I) {
@@ -145,15 +145,15 @@
   const double Start = cpuSeconds();
   fleet_counters Counters;
   platform_writer Writer(Timers, Platform.api(), "bench:1", Counters);
-  duty_holder::hooks Hooks;
-  Hooks.Mine = [](const std::string &Service) {
+  shard_controller::hooks Hooks;
+  Hooks.HoldsShard = [](const std::string &Service) {
     return shardOf(Service, Shards) == 0;
   };
   Hooks.OnWritten = [](const membership &) {};
-  duty_holder Holder(Timers, Writer, Counters, Hooks);
+  shard_controller Controller(Timers, Writer, Counters, Hooks);
   platform_feed Feed(
       Timers, Platform.api(), Counters,
-      [&](const platform_object &Object) { Holder.take(Object); });
+      [&](const platform_object &Object) { Controller.take(Object); });
   Feed.start();
   Timers.advance(Timers.now() + std::chrono::milliseconds(100));
   print("target_holder_list_s", cpuSeconds() - Start, "s");
@@ -167,7 +167,7 @@
 void measureTargetSize() {
   measureViews();
   measurePeers();
-  measureHolder();
+  measureController();
 }
 
 } // namespace marjoramrail::bench
--- a/daemons/agent/agent_process.cpp
+++ b/daemons/agent/agent_process.cpp
@@ -108,7 +108,7 @@
     Owner->drain();
     Proxy->drain();
   }
-  Announcer.announceNow();
+  Announcer.sendNow();
   for (auto &[Flow, Side] : Flows)
     Side->drain();
 }
--- a/daemons/agent/agent_process.h
+++ b/daemons/agent/agent_process.h
@@ -63,8 +63,8 @@
   void finishIfIdle();
   agent_report describe() const;
   std::optional<drain_status> describeDrain() const;
-  announcer_hooks announcerHooks();
-  announcer_settings announcerSettings() const;
+  heartbeat_hooks announcerHooks();
+  heartbeat_settings announcerSettings() const;
   status_page::hooks pages();
   void registerMetrics();
   void registerProxyMetrics();
@@ -80,7 +80,7 @@
   status_page Page;
   udp_socket Socket;
   tcp_stack Stack;
-  announcer Announcer;
+  heartbeat_sender Announcer;
   tcp_listener RelayListener;
   std::optional<platform_client> Platform;
   std::optional<drain_reporter> DrainReporter;
--- a/daemons/agent/agent_view.cpp
+++ b/daemons/agent/agent_view.cpp
@@ -6,8 +6,8 @@
 
 namespace marjoramrail {
 
-announcer_settings agent_process::announcerSettings() const {
-  announcer_settings Announced;
+heartbeat_settings agent_process::announcerSettings() const {
+  heartbeat_settings Announced;
   Announced.Host = Settings.Name;
   Announced.Service = Settings.Service;
   Announced.Zone = Settings.Zone;
@@ -19,14 +19,14 @@
   return Announced;
 }
 
-announcer_hooks agent_process::announcerHooks() {
-  announcer_hooks Hooks;
+heartbeat_hooks agent_process::announcerHooks() {
+  heartbeat_hooks Hooks;
   Hooks.Send = [this](const endpoint &To, fleet_bytes Bytes) {
     sendControl(To, Bytes);
   };
   Hooks.Describe = [this] { return describe(); };
   Hooks.OnView = [this](const membership &Members) { takeView(Members); };
-  Hooks.OnDeclaredDown = [this](std::uint32_t Next) { declaredDown(Next); };
+  Hooks.OnDeclaredDead = [this](std::uint32_t Next) { declaredDown(Next); };
   return Hooks;
 }
 
--- a/daemons/balancer/fleet_link.cpp
+++ b/daemons/balancer/fleet_link.cpp
@@ -51,14 +51,14 @@
   };
   Show("fleet_bytes_sent", Counters.BytesSent);
   Show("fleet_bytes_received", Counters.BytesReceived);
-  Show("fleet_faults", Counters.Faults);
-  Show("fleet_put_off", Counters.PutOff);
+  Show("fleet_faults", Counters.DecodeErrors);
+  Show("fleet_put_off", Counters.Deferred);
   Show("fleet_platform_calls", Counters.PlatformCalls);
   Show("fleet_platform_writes", Counters.PlatformWrites);
   Show("fleet_writes_fenced", Counters.WritesFenced);
   Show("fleet_writes_resolved", Counters.WritesResolved);
-  Show("fleet_hosts_declared_down", Counters.HostsDeclaredDown);
-  Show("fleet_older_ignored", Counters.OlderIgnored);
+  Show("fleet_hosts_declared_down", Counters.HostsDeclaredDead);
+  Show("fleet_older_ignored", Counters.StaleIgnored);
   Show("fleet_foreign_datagrams", ForeignDatagrams);
 }
 
--- a/include/marjoramrail/fleet.h
+++ b/include/marjoramrail/fleet.h
@@ -22,12 +22,12 @@
 ///                        .Describe = [&] { return describe(Core); },
 ///                        .OnView = [&](const membership &Members) {
 ///                          Core.takeView(Members.View); },
-///                        .OnDeclaredDown = [&](std::uint32_t Incarnation) {
+///                        .OnDeclaredDead = [&](std::uint32_t Incarnation) {
 ///                          Core.forgetFlows(Incarnation); }});
 ///   // for each datagram:
 ///   if (isFleetMessage(Bytes)) { Announcer.input(From, Bytes); return; }
 ///   // after a batch of timers: Socket.flush()
-///   // on SIGTERM: Describe says Draining; Announcer.announceNow();
+///   // on SIGTERM: Describe says Draining; Announcer.sendNow();
 /// \endcode
 ///
 /// Usage, in a balancer (UDP socket bound to control_listen):
@@ -86,7 +86,7 @@
   /// Requests that the target runs at a time.
   std::uint32_t Slots = 0;
   /// The agent itself wishes to take no new work.
-  bool DrainWish = false;
+  bool DrainRequested = false;
 
   bool operator==(const target_info &) const = default;
 };
@@ -115,7 +115,7 @@
 // The agent's side
 //===----------------------------------------------------------------------===//
 
-struct announcer_settings {
+struct heartbeat_settings {
   /// The name of the target host; it outlives restarts.
   std::string Host;
   std::string Service;
@@ -148,7 +148,7 @@
   std::uint64_t ViewVersion = 0;
 };
 
-struct announcer_hooks {
+struct heartbeat_hooks {
   fleet_send Send = nullptr;
   std::function<agent_report()> Describe = nullptr;
   /// A newer view of its service. Versions only grow.
@@ -156,29 +156,29 @@
   /// The fleet held this agent for dead (it was frozen or cut off): its flows
   /// have been given up, others may have answered for it. It goes on under the
   /// new incarnation and must forget all flows of the former.
-  std::function<void(std::uint32_t Incarnation)> OnDeclaredDown = nullptr;
+  std::function<void(std::uint32_t Incarnation)> OnDeclaredDead = nullptr;
 };
 
 /// Announces one agent to a few balancers and receives its service's view.
-class announcer {
+class heartbeat_sender {
 public:
-  announcer(timer_service &Timers, announcer_settings Settings,
-            announcer_hooks Hooks);
-  ~announcer();
-  announcer(const announcer &) = delete;
-  announcer &operator=(const announcer &) = delete;
+  heartbeat_sender(timer_service &Timers, heartbeat_settings Settings,
+                   heartbeat_hooks Hooks);
+  ~heartbeat_sender();
+  heartbeat_sender(const heartbeat_sender &) = delete;
+  heartbeat_sender &operator=(const heartbeat_sender &) = delete;
 
   /// A fleet message that came to the agent's socket.
   void input(const endpoint &From, fleet_bytes Bytes);
 
   /// Announces without waiting for the period, e.g. when draining begins.
-  void announceNow();
+  void sendNow();
 
   std::uint32_t incarnation() const;
   /// When a balancer last answered; lets an agent judge whether it is cut off.
   std::optional<instant> lastHeard() const;
   /// Messages that could not be read.
-  std::uint64_t faults() const;
+  std::uint64_t decodeErrors() const;
 
 private:
   struct impl;
@@ -209,7 +209,7 @@
   duration GossipPeriod = std::chrono::seconds(1);
   /// A host that is silent for this long is asked, three times: two
   /// announcements were lost, or it is dead.
-  duration SilenceBound = std::chrono::milliseconds(2200);
+  duration SilenceTimeout = std::chrono::milliseconds(2200);
   /// Bytes a second that this node sends for control at most; bursts of up to
   /// four seconds' worth are allowed.
   std::uint32_t BytesPerSecond = 4096;
@@ -239,37 +239,37 @@
 
 /// The kinds of fleet messages, for accounting.
 enum class fleet_message {
-  Announcement,
+  HostHeartbeat,
   Assignment,
   HostPing,
   ViewFull,
-  Beat,
+  PeerHeartbeat,
   BucketDigests,
   BucketVersions,
   ViewRequest,
   ViewDelta,
   HostReport,
   ProbeRequest,
-  ForceReport,
-  ForceAck,
-  News,
+  AppliedReport,
+  AppliedAck,
+  GossipUpdate,
 };
 
 inline constexpr name_table<fleet_message, 14> FleetMessageNames = {{
-    {fleet_message::Announcement, "announcement"},
+    {fleet_message::HostHeartbeat, "announcement"},
     {fleet_message::Assignment, "assignment"},
     {fleet_message::HostPing, "host_ping"},
     {fleet_message::ViewFull, "view_full"},
-    {fleet_message::Beat, "beat"},
+    {fleet_message::PeerHeartbeat, "beat"},
     {fleet_message::BucketDigests, "bucket_digests"},
     {fleet_message::BucketVersions, "bucket_versions"},
     {fleet_message::ViewRequest, "view_request"},
     {fleet_message::ViewDelta, "view_delta"},
     {fleet_message::HostReport, "host_report"},
     {fleet_message::ProbeRequest, "probe_request"},
-    {fleet_message::ForceReport, "force_report"},
-    {fleet_message::ForceAck, "force_ack"},
-    {fleet_message::News, "news"},
+    {fleet_message::AppliedReport, "force_report"},
+    {fleet_message::AppliedAck, "force_ack"},
+    {fleet_message::GossipUpdate, "news"},
 }};
 
 struct fleet_counters {
@@ -280,18 +280,18 @@
   std::uint64_t DatagramsReceived = 0;
   std::uint64_t BytesReceived = 0;
   /// Datagrams that could not be read.
-  std::uint64_t Faults = 0;
+  std::uint64_t DecodeErrors = 0;
   /// Messages put off because the byte budget was spent.
-  std::uint64_t PutOff = 0;
+  std::uint64_t Deferred = 0;
   std::uint64_t PlatformCalls = 0;
   std::uint64_t PlatformWrites = 0;
   /// Conditional writes that met another version: someone else's won.
   std::uint64_t WritesFenced = 0;
   /// Times that a write's lost answer was resolved by reading back.
   std::uint64_t WritesResolved = 0;
-  std::uint64_t HostsDeclaredDown = 0;
+  std::uint64_t HostsDeclaredDead = 0;
   /// Older states that the platform or a peer offered and that were ignored.
-  std::uint64_t OlderIgnored = 0;
+  std::uint64_t StaleIgnored = 0;
 };
 
 /// Tells operators how far a drain has come, as the object drain-status/HOST.
@@ -311,7 +311,7 @@
   drain_reporter &operator=(const drain_reporter &) = delete;
 
   /// Looks now instead of at the next period.
-  void look();
+  void checkNow();
 
 private:
   void read(std::function<void(const platform_reply &)> Then);
@@ -354,7 +354,7 @@
   std::vector<std::string> services() const;
   std::vector<balancer_info> balancers() const;
   /// Shards whose lease this node holds now.
-  std::vector<std::uint32_t> duties() const;
+  std::vector<std::uint32_t> heldShards() const;
   /// True once a peer or the platform has told it the fleet's state.
   bool ready() const;
   /// When anything of the fleet was last heard, for routed_flag::Stale.
--- a/src/fleet/force_tree.cpp
+++ b/src/fleet/applied_tree.cpp
@@ -1,4 +1,4 @@
-#include "fleet/force_tree.h"
+#include "fleet/applied_tree.h"
 
 #include "fleet/rendezvous.h"
 
@@ -9,15 +9,15 @@
 namespace {
 
 /// A report that was not acknowledged is sent again after this.
-constexpr duration Repeat = std::chrono::seconds(3);
-constexpr int MostTries = 5;
+constexpr duration ResendInterval = std::chrono::seconds(3);
+constexpr int MaxTries = 5;
 /// What comes within this goes up in one report. Five levels take five
 /// seconds; a status is for people, and bytes are for views.
-constexpr duration Settle = std::chrono::milliseconds(800);
+constexpr duration SettleTime = std::chrono::milliseconds(800);
 /// Entries that fit one datagram.
 constexpr std::size_t MaxEntries = 20;
 /// After a change of the tree, only what changed lately is reported again.
-constexpr duration Lately = std::chrono::minutes(1);
+constexpr duration RecentWindow = std::chrono::minutes(1);
 /// Names in a status; an operator needs a few to look at, not thousands.
 constexpr std::size_t MaxLagging = 3;
 /// Makes the order of the tree another than that of other picks.
@@ -25,11 +25,11 @@
 
 } // namespace
 
-force_tree::force_tree(timer_service &Timers, const peer_table &Peers,
-                       const view_store &Views, hooks Hooks)
+applied_tree::applied_tree(timer_service &Timers, const peer_table &Peers,
+                           const view_store &Views, hooks Hooks)
     : Timers(Timers), Peers(Peers), Views(Views), Hooks(std::move(Hooks)) {}
 
-const force_tree::place &force_tree::here() {
+const applied_tree::place &applied_tree::currentPlace() {
   if (Place.PeersVersion == Peers.version())
     return Place;
   Place = {Peers.version(), "", std::nullopt, {}};
@@ -49,48 +49,49 @@
   return Place;
 }
 
-void force_tree::viewTaken(const std::string &Service) {
-  service_force &Force = Services[Service];
-  Force.Complete = false;
-  changed(Service, Force);
+void applied_tree::viewTaken(const std::string &Service) {
+  applied_progress &Progress = Services[Service];
+  Progress.Complete = false;
+  changed(Service, Progress);
 }
 
-void force_tree::changed(const std::string &Service, service_force &Force) {
-  Force.ChangedAt = Timers.now();
-  Force.Report = 0;
-  Force.Tries = 0;
+void applied_tree::changed(const std::string &Service,
+                           applied_progress &Progress) {
+  Progress.ChangedAt = Timers.now();
+  Progress.Report = 0;
+  Progress.Tries = 0;
   Active.insert(Service);
 }
 
-void force_tree::take(const endpoint &From, const force_report &Report) {
-  const std::vector<std::string> &Children = here().Children;
+void applied_tree::take(const endpoint &From, const applied_report &Report) {
+  const std::vector<std::string> &Children = currentPlace().Children;
   const bool Child = std::find(Children.begin(), Children.end(), Report.From) !=
                      Children.end();
-  for (const force_entry &Entry : Report.Entries) {
+  for (const applied_entry &Entry : Report.Entries) {
     if (!Child) {
       takeFromRoot(Report, Entry);
       continue;
     }
-    service_force &Force = Services[Entry.Service];
-    if (Entry.Version <= Force.Completed)
+    applied_progress &Progress = Services[Entry.Service];
+    if (Entry.Version <= Progress.Completed)
       continue;
-    force_entry &Known = Force.Children[Report.From];
+    applied_entry &Known = Progress.Children[Report.From];
     if (Entry.Version < Known.Version || Entry == Known)
       continue;
     Known = Entry;
-    changed(Entry.Service, Force);
+    changed(Entry.Service, Progress);
   }
-  Hooks.Send(From, force_ack{Report.Number});
+  Hooks.Send(From, applied_ack{Report.Number});
 }
 
 /// Also taken when this node does not know the same root yet: the digest of
 /// names is what makes a sum complete, not who sent it.
-void force_tree::takeFromRoot(const force_report &Report,
-                              const force_entry &Entry) {
+void applied_tree::takeFromRoot(const applied_report &Report,
+                                const applied_entry &Entry) {
   if (Hooks.Holder(Entry.Service).Holder != Peers.self().Name)
     return;
-  force_entry &Known = Services[Entry.Service].FromRoot;
-  const bool Other = Report.From != here().Root;
+  applied_entry &Known = Services[Entry.Service].FromRoot;
+  const bool Other = Report.From != currentPlace().Root;
   if (Entry.Version < Known.Version || Entry == Known ||
       (Other && Entry.Version == Known.Version))
     return;
@@ -98,36 +99,37 @@
   Hooks.OnChange(Entry.Service);
 }
 
-void force_tree::take(const force_ack &Ack) {
+void applied_tree::take(const applied_ack &Ack) {
   std::erase_if(Active, [&](const std::string &Service) {
-    service_force &Force = Services[Service];
-    if (Force.Report != Ack.Number || Ack.Number == 0)
+    applied_progress &Progress = Services[Service];
+    if (Progress.Report != Ack.Number || Ack.Number == 0)
       return false;
-    finish(Service, Force);
+    releaseIfComplete(Service, Progress);
     return true;
   });
 }
 
 /// Keeps nothing of a service that everyone below has confirmed: the reports
 /// on 46,000 services would not fit a node's memory.
-void force_tree::finish(const std::string &Service, service_force &Force) {
-  const force_entry Sum = sum(Service, Force);
+void applied_tree::releaseIfComplete(const std::string &Service,
+                                     applied_progress &Progress) {
+  const applied_entry Sum = sum(Service, Progress);
   if (!Sum.Lagging.empty())
     return;
-  Force.Completed = Sum.Version;
-  Force.Children.clear();
-  Force.Complete = true;
+  Progress.Completed = Sum.Version;
+  Progress.Children.clear();
+  Progress.Complete = true;
 }
 
-force_entry force_tree::sum(const std::string &Service,
-                            const service_force &Force) {
+applied_entry applied_tree::sum(const std::string &Service,
+                                const applied_progress &Progress) {
   const balancer_info &Self = Peers.self();
-  force_entry Sum{
+  applied_entry Sum{
       Service, Views.versionOf(Service), 1, hashOfName(Self.Name), {}};
-  for (const std::string &Child : here().Children) {
-    const auto Found = Force.Children.find(Child);
-    const bool Confirmed =
-        Found != Force.Children.end() && Found->second.Version >= Sum.Version;
+  for (const std::string &Child : currentPlace().Children) {
+    const auto Found = Progress.Children.find(Child);
+    const bool Confirmed = Found != Progress.Children.end() &&
+                           Found->second.Version >= Sum.Version;
     if (!Confirmed) {
       if (Sum.Lagging.size() < MaxLagging)
         Sum.Lagging.push_back(Child);
@@ -142,80 +144,81 @@
   return Sum;
 }
 
-bool force_tree::due(const service_force &Force) const {
-  if (Timers.now() - Force.ChangedAt < Settle)
+bool applied_tree::due(const applied_progress &Progress) const {
+  if (Timers.now() - Progress.ChangedAt < SettleTime)
     return false;
-  return Force.Report == 0 || Timers.now() - Force.SentAt >= Repeat;
+  return Progress.Report == 0 ||
+         Timers.now() - Progress.SentAt >= ResendInterval;
 }
 
 /// In another tree, children that reported elsewhere have to report here.
-void force_tree::reportAgain() {
+void applied_tree::scheduleReports() {
   PeersVersion = Peers.version();
-  for (auto &[Service, Force] : Services) {
-    if (Timers.now() - Force.ChangedAt >= Lately || Force.Complete)
+  for (auto &[Service, Progress] : Services) {
+    if (Timers.now() - Progress.ChangedAt >= RecentWindow || Progress.Complete)
       continue;
-    Force.Report = 0;
-    Force.Tries = 0;
+    Progress.Report = 0;
+    Progress.Tries = 0;
     Active.insert(Service);
   }
 }
 
-std::optional<endpoint> force_tree::receiverOf(const std::string &Service) {
-  if (here().Parent)
-    return here().Parent->Control;
-  const duty_news Duty = Hooks.Holder(Service);
-  if (Duty.Holder.empty())
+std::optional<endpoint> applied_tree::receiverOf(const std::string &Service) {
+  if (currentPlace().Parent)
+    return currentPlace().Parent->Control;
+  const shard_lease_update Lease = Hooks.Holder(Service);
+  if (Lease.Holder.empty())
     return std::nullopt;
-  return Duty.Control;
+  return Lease.Control;
 }
 
-void force_tree::tick() {
+void applied_tree::tick() {
   if (PeersVersion != Peers.version())
-    reportAgain();
-  if (Timers.now() - TickedAt < Settle)
+    scheduleReports();
+  if (Timers.now() - TickedAt < SettleTime)
     return;
   TickedAt = Timers.now();
   std::map<endpoint, std::vector<std::string>> ByReceiver;
   for (auto At = Active.begin(); At != Active.end();) {
-    service_force &Force = Services[*At];
+    applied_progress &Progress = Services[*At];
     const auto To = receiverOf(*At);
-    if (!due(Force) || !To) {
+    if (!due(Progress) || !To) {
       ++At;
       continue;
     }
     const bool Mine = *To == Peers.self().Control;
     if (Mine) {
-      Force.FromRoot = sum(*At, Force);
+      Progress.FromRoot = sum(*At, Progress);
       Hooks.OnChange(*At);
-      finish(*At, Force);
+      releaseIfComplete(*At, Progress);
     } else {
       ByReceiver[*To].push_back(*At);
     }
-    At = Mine || ++Force.Tries > MostTries ? Active.erase(At) : std::next(At);
+    At = Mine || ++Progress.Tries > MaxTries ? Active.erase(At) : std::next(At);
   }
   for (const auto &[To, Names] : ByReceiver)
     send(To, Names);
 }
 
-void force_tree::send(const endpoint &To,
-                      const std::vector<std::string> &Names) {
+void applied_tree::send(const endpoint &To,
+                        const std::vector<std::string> &Names) {
   for (std::size_t First = 0; First < Names.size(); First += MaxEntries) {
-    force_report Report{Peers.self().Name, ++LastReport, {}};
+    applied_report Report{Peers.self().Name, ++LastReport, {}};
     const std::size_t End = std::min(Names.size(), First + MaxEntries);
     for (std::size_t I = First; I < End; ++I) {
-      service_force &Force = Services[Names[I]];
-      Report.Entries.push_back(sum(Names[I], Force));
-      Force.Report = Report.Number;
-      Force.SentAt = Timers.now();
+      applied_progress &Progress = Services[Names[I]];
+      Report.Entries.push_back(sum(Names[I], Progress));
+      Progress.Report = Report.Number;
+      Progress.SentAt = Timers.now();
     }
     Hooks.Send(To, Report);
   }
 }
 
-force_summary force_tree::summary(const std::string &Service) {
-  force_summary Summary;
+applied_summary applied_tree::summary(const std::string &Service) {
+  applied_summary Summary;
   Summary.Of = static_cast<std::uint32_t>(Peers.living().size());
-  const force_entry &Sum = Services[Service].FromRoot;
+  const applied_entry &Sum = Services[Service].FromRoot;
   Summary.Version = Sum.Version;
   if (Sum.Version < Views.versionOf(Service)) {
     // No word from the root yet; this node itself has it in force.
--- a/src/fleet/force_tree.h
+++ b/src/fleet/applied_tree.h
@@ -1,4 +1,5 @@
-//===- force_tree.h - On how many nodes a view is in force ------*- C++ -*-===//
+//===- applied_tree.h - On how many nodes a view is in force ------*- C++
+//-*-===//
 ///
 /// \file
 /// Sums up confirmations along one tree over all balancers; its root tells each
@@ -9,22 +10,22 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef MARJORAMRAIL_FLEET_FORCE_TREE_H
-#define MARJORAMRAIL_FLEET_FORCE_TREE_H
+#ifndef MARJORAMRAIL_FLEET_APPLIED_TREE_H
+#define MARJORAMRAIL_FLEET_APPLIED_TREE_H
 
-#include "fleet/duty_holder.h"
 #include "fleet/peer_table.h"
+#include "fleet/shard_controller.h"
 #include "fleet/view_store.h"
 
 namespace marjoramrail::internal {
 
-class force_tree {
+class applied_tree {
 public:
   struct hooks {
     /// May not send if the byte budget is spent.
     std::function<void(const endpoint &, const message &)> Send;
     /// The holder of the service's shard; its name is empty if not known.
-    std::function<duty_news(const std::string &Service)> Holder;
+    std::function<shard_lease_update(const std::string &Service)> Holder;
     /// At the holder: the sum has changed.
     std::function<void(const std::string &Service)> OnChange;
   };
@@ -32,22 +33,22 @@
   /// Children per node: five levels carry 12,000 nodes.
   static constexpr std::size_t Width = 8;
 
-  force_tree(timer_service &Timers, const peer_table &Peers,
-             const view_store &Views, hooks Hooks);
+  applied_tree(timer_service &Timers, const peer_table &Peers,
+               const view_store &Views, hooks Hooks);
 
   void viewTaken(const std::string &Service);
-  void take(const endpoint &From, const force_report &Report);
-  void take(const force_ack &Ack);
+  void take(const endpoint &From, const applied_report &Report);
+  void take(const applied_ack &Ack);
   void tick();
 
   /// What this node knows as the holder.
-  force_summary summary(const std::string &Service);
+  applied_summary summary(const std::string &Service);
 
 private:
-  struct service_force {
-    std::map<std::string, force_entry> Children;
+  struct applied_progress {
+    std::map<std::string, applied_entry> Children;
     /// What the root told this node as the holder.
-    force_entry FromRoot;
+    applied_entry FromRoot;
     /// Everyone below has confirmed up to here: nothing more is kept.
     std::uint64_t Completed = 0;
     bool Complete = false;
@@ -66,23 +67,25 @@
     std::vector<std::string> Children;
   };
 
-  const place &here();
-  bool isRoot() { return here().Root == Peers.self().Name; }
-  force_entry sum(const std::string &Service, const service_force &Force);
-  void changed(const std::string &Service, service_force &Force);
-  void takeFromRoot(const force_report &Report, const force_entry &Entry);
-  bool due(const service_force &Force) const;
-  void reportAgain();
+  const place &currentPlace();
+  bool isRoot() { return currentPlace().Root == Peers.self().Name; }
+  applied_entry sum(const std::string &Service,
+                    const applied_progress &Progress);
+  void changed(const std::string &Service, applied_progress &Progress);
+  void takeFromRoot(const applied_report &Report, const applied_entry &Entry);
+  bool due(const applied_progress &Progress) const;
+  void scheduleReports();
   /// Where the sum of a service goes from here.
   std::optional<endpoint> receiverOf(const std::string &Service);
   void send(const endpoint &To, const std::vector<std::string> &Names);
-  void finish(const std::string &Service, service_force &Force);
+  void releaseIfComplete(const std::string &Service,
+                         applied_progress &Progress);
 
   timer_service &Timers;
   const peer_table &Peers;
   const view_store &Views;
   hooks Hooks;
-  std::map<std::string, service_force> Services;
+  std::map<std::string, applied_progress> Services;
   /// Those with something left to say; the others cost nothing.
   std::set<std::string> Active;
   place Place;
@@ -93,4 +96,4 @@
 
 } // namespace marjoramrail::internal
 
-#endif // MARJORAMRAIL_FLEET_FORCE_TREE_H
+#endif // MARJORAMRAIL_FLEET_APPLIED_TREE_H
--- a/src/fleet/drain_reporter.cpp
+++ b/src/fleet/drain_reporter.cpp
@@ -6,14 +6,14 @@
                                std::string Host, describe Describe)
     : Timers(Timers), Platform(std::move(Platform)), Host(std::move(Host)),
       Describe(std::move(Describe)),
-      Ticker(Timers.every(Period, [this] { look(); })) {}
+      Ticker(Timers.every(Period, [this] { checkNow(); })) {}
 
 drain_reporter::~drain_reporter() {
   Timers.cancel(Ticker);
   *Alive = false;
 }
 
-void drain_reporter::look() {
+void drain_reporter::checkNow() {
   if (Busy)
     return;
   const std::optional<drain_status> Now = Describe();
--- a/src/fleet/fleet_node.cpp
+++ b/src/fleet/fleet_node.cpp
@@ -39,7 +39,7 @@
   return Impl->Peers.living();
 }
 
-std::vector<std::uint32_t> fleet_node::duties() const {
+std::vector<std::uint32_t> fleet_node::heldShards() const {
   std::vector<std::uint32_t> Held;
   for (std::uint32_t I = 0; I < Impl->Leases.size(); ++I)
     if (Impl->Leases[I]->holds())
@@ -63,7 +63,7 @@
   for (const auto &[Name, Members] : Impl->Views.all())
     Views[Name] = {{"version", Members.View.Version}, {"term", Members.Term}};
   return json{{"name", Impl->Settings.Name},
-              {"duties", duties()},
+              {"duties", heldShards()},
               {"balancers", Balancers},
               {"views", Views}}
       .dump(2);
--- a/src/fleet/gossip.cpp
+++ b/src/fleet/gossip.cpp
@@ -12,32 +12,32 @@
 constexpr duration SpreadDelay = std::chrono::milliseconds(60);
 /// Between two rounds of news: when many changes come, each datagram carries
 /// several of them instead of its headers for one.
-constexpr duration SpreadPause = std::chrono::milliseconds(300);
+constexpr duration SpreadInterval = std::chrono::milliseconds(300);
 /// Peers that a node tells its news to at once; each then does the same.
 constexpr int SpreadFanout = 2;
 /// Peers that a node tells each new version to at once. With four, rumour
 /// alone misses about one node in fifty; the periodic beats reach those.
-constexpr int TellTimes = 4;
+constexpr int SendsPerView = 4;
 /// Periodic beats repeat the last changes, so that what rumour missed is found
 /// without an exchange of digests while changes keep coming.
 constexpr std::size_t MaxRecent = 12;
-constexpr duration RecentFor = std::chrono::seconds(5);
+constexpr duration RecentWindow = std::chrono::seconds(5);
 /// A requested view that did not come is asked for again, of another peer: the
 /// first may have spent its byte budget.
-constexpr duration RequestAgain = std::chrono::milliseconds(600);
-constexpr int MaxRequests = 4;
-constexpr duration DigestsPause = std::chrono::seconds(2);
+constexpr duration RequestRetryInterval = std::chrono::milliseconds(600);
+constexpr int MaxRequestAttempts = 4;
+constexpr duration DigestsInterval = std::chrono::seconds(2);
 /// Digests differ all the time while changes come; then they are compared
 /// only this often.
-constexpr duration DigestsPauseBusy = std::chrono::seconds(5);
-constexpr duration Quiet = std::chrono::seconds(2);
+constexpr duration BusyDigestsInterval = std::chrono::seconds(5);
+constexpr duration QuietPeriod = std::chrono::seconds(2);
 /// So that a beat with all of them fits one datagram.
-constexpr std::size_t MaxNews = 8;
+constexpr std::size_t MaxPeerUpdates = 8;
 constexpr std::size_t MaxFill = 16;
 constexpr std::size_t MaxVersions = 24;
 /// Versions in an answer to digests: three datagrams.
-constexpr std::size_t MaxListed = 150;
-constexpr std::size_t MaxAsked = 40;
+constexpr std::size_t MaxListedVersions = 150;
+constexpr std::size_t MaxRequestedViews = 40;
 /// A fleet that was cut in two for longer than the dead are remembered finds
 /// itself again through the seeds.
 constexpr std::uint64_t PeriodsPerSeed = 10;
@@ -58,14 +58,14 @@
     Timers.cancel(*SpreadTimer);
 }
 
-std::vector<view_version> gossip::hotViews() {
-  std::vector<view_version> News;
-  for (auto At = HotViews.begin();
-       At != HotViews.end() && News.size() < MaxVersions;) {
-    News.push_back({At->first, Views.versionOf(At->first)});
-    At = --At->second <= 0 ? HotViews.erase(At) : std::next(At);
+std::vector<view_version> gossip::nextPendingViews() {
+  std::vector<view_version> Update;
+  for (auto At = PendingViews.begin();
+       At != PendingViews.end() && Update.size() < MaxVersions;) {
+    Update.push_back({At->first, Views.versionOf(At->first)});
+    At = --At->second <= 0 ? PendingViews.erase(At) : std::next(At);
   }
-  return News;
+  return Update;
 }
 
 void gossip::addRecent(std::vector<view_version> &Versions) {
@@ -74,50 +74,50 @@
                                    [&](const view_version &Version) {
                                      return Version.Service == Change.first;
                                    });
-    if (Timers.now() - Change.second < RecentFor && !There &&
+    if (Timers.now() - Change.second < RecentWindow && !There &&
         Versions.size() < MaxVersions)
       Versions.push_back({Change.first, Views.versionOf(Change.first)});
   }
 }
 
-news gossip::makeNews() {
-  news News;
-  News.Peers = Peers.newsToSend(MaxNews, false);
-  News.Views = hotViews();
-  News.Duties = Hooks.Duties(false);
-  return News;
+gossip_update gossip::makeUpdate() {
+  gossip_update Update;
+  Update.Peers = Peers.updatesToSend(MaxPeerUpdates, false);
+  Update.Views = nextPendingViews();
+  Update.ShardLeases = Hooks.ShardLeases(false);
+  return Update;
 }
 
-beat gossip::makeBeat(bool WantsAnswer, bool Fill) {
-  beat Beat;
-  Beat.From = Peers.self();
-  Beat.WantsAnswer = WantsAnswer;
-  Beat.ViewsDigest = Views.digest();
-  Beat.PeersDigest = Peers.digest();
-  Beat.Peers = Peers.newsToSend(Fill ? MaxFill : MaxNews, Fill);
+peer_heartbeat gossip::makeHeartbeat(bool WantsAnswer, bool Fill) {
+  peer_heartbeat Heartbeat;
+  Heartbeat.From = Peers.self();
+  Heartbeat.WantsAnswer = WantsAnswer;
+  Heartbeat.ViewsDigest = Views.digest();
+  Heartbeat.PeersDigest = Peers.digest();
+  Heartbeat.Peers = Peers.updatesToSend(Fill ? MaxFill : MaxPeerUpdates, Fill);
   if (!Fill)
-    Beat.Views = hotViews();
-  addRecent(Beat.Views);
-  Beat.Duties = Hooks.Duties(true);
-  return Beat;
+    Heartbeat.Views = nextPendingViews();
+  addRecent(Heartbeat.Views);
+  Heartbeat.ShardLeases = Hooks.ShardLeases(true);
+  return Heartbeat;
 }
 
 void gossip::period() {
-  if (const auto Peer = Peers.nextToAsk(Timers.now()))
-    Hooks.Send(Peer->Control, makeBeat(true, PeersDiffer), urgency::Now);
+  if (const auto Peer = Peers.nextToProbe(Timers.now()))
+    Hooks.Send(Peer->Control, makeHeartbeat(true, PeersDiffer), urgency::Now);
   const bool Alone = Peers.living().size() < 2;
   if (Alone || Periods % PeriodsPerSeed == 0)
-    callSeed();
+    contactSeed();
   ++Periods;
 }
 
-void gossip::callSeed() {
+void gossip::contactSeed() {
   const std::size_t Count = Seeds.size() + Contacts.size();
   if (Count == 0)
     return;
-  const std::size_t At = SeedCalls++ % Count;
+  const std::size_t At = SeedContacts++ % Count;
   Hooks.Send(At < Seeds.size() ? Seeds[At] : Contacts[At - Seeds.size()],
-             makeBeat(true, false), urgency::Now);
+             makeHeartbeat(true, false), urgency::Now);
 }
 
 void gossip::addContact(const endpoint &Control) {
@@ -132,20 +132,21 @@
 void gossip::tick() {
   if (Peers.tick(Timers.now()))
     Hooks.OnPeersChanged();
-  if (Peers.hasNews() || !HotViews.empty())
-    spreadSoon();
-  requestAgain();
+  if (Peers.hasUpdates() || !PendingViews.empty())
+    scheduleSpread();
+  retryRequests();
 }
 
-void gossip::requestAgain() {
+void gossip::retryRequests() {
   view_request Request;
   for (auto At = Requested.begin(); At != Requested.end();) {
-    const bool Overdue = Timers.now() - At->second.AskedAt >= RequestAgain;
-    if (Overdue && At->second.Times >= MaxRequests) {
+    const bool Overdue =
+        Timers.now() - At->second.AskedAt >= RequestRetryInterval;
+    if (Overdue && At->second.Times >= MaxRequestAttempts) {
       At = Requested.erase(At);
       continue;
     }
-    if (Overdue && Request.Have.size() < MaxAsked) {
+    if (Overdue && Request.Have.size() < MaxRequestedViews) {
       At->second = {Timers.now(), At->second.Times + 1};
       Request.Have.push_back({At->first, Views.versionOf(At->first)});
     }
@@ -158,19 +159,19 @@
 
 void gossip::viewTaken(const std::string &Service) {
   Requested.erase(Service);
-  HotViews[Service] = TellTimes;
+  PendingViews[Service] = SendsPerView;
   std::erase_if(Recent,
                 [&](const auto &Change) { return Change.first == Service; });
   Recent.emplace_front(Service, Timers.now());
   if (Recent.size() > MaxRecent)
     Recent.pop_back();
-  spreadSoon();
+  scheduleSpread();
 }
 
-void gossip::spreadSoon() {
+void gossip::scheduleSpread() {
   if (SpreadTimer)
     return;
-  const duration Pause = SpreadPause - (Timers.now() - SpreadAt);
+  const duration Pause = SpreadInterval - (Timers.now() - SpreadAt);
   SpreadTimer = Timers.after(std::max(SpreadDelay, Pause), [this] {
     SpreadTimer.reset();
     spread();
@@ -181,43 +182,44 @@
   SpreadAt = Timers.now();
   for (int I = 0; I < SpreadFanout; ++I) {
     const auto Peer = Peers.random();
-    const bool Nothing = !Peers.hasNews() && HotViews.empty();
+    const bool Nothing = !Peers.hasUpdates() && PendingViews.empty();
     if (!Peer || (Nothing && I > 0))
       return;
-    if (!Hooks.Send(Peer->Control, makeNews(), urgency::Soon))
+    if (!Hooks.Send(Peer->Control, makeUpdate(), urgency::Soon))
       return;
   }
 }
 
-std::size_t gossip::takeNews(const endpoint &From, const news &News) {
+std::size_t gossip::takeUpdate(const endpoint &From,
+                               const gossip_update &Update) {
   std::size_t Unknown = 0;
-  for (const peer_news &Peer : News.Peers)
+  for (const peer_update &Peer : Update.Peers)
     Unknown += Peers.take(Peer, Timers.now()) ? 1 : 0;
   if (Unknown > 0)
     Hooks.OnPeersChanged();
-  for (const duty_news &Duty : News.Duties)
-    Hooks.OnDuty(Duty);
-  compare(From, News.Views);
+  for (const shard_lease_update &Lease : Update.ShardLeases)
+    Hooks.OnLease(Lease);
+  compare(From, Update.Views);
   return Unknown;
 }
 
-void gossip::take(const endpoint &From, const news &News) {
-  takeNews(From, News);
+void gossip::take(const endpoint &From, const gossip_update &Update) {
+  takeUpdate(From, Update);
 }
 
-void gossip::take(const endpoint &From, const beat &Beat) {
-  Met = true;
-  if (Peers.heard(Beat.From, Timers.now()))
+void gossip::take(const endpoint &From, const peer_heartbeat &Heartbeat) {
+  PeerSeen = true;
+  if (Peers.messageReceived(Heartbeat.From, Timers.now()))
     Hooks.OnPeersChanged();
-  const std::size_t Unknown =
-      takeNews(From, {Beat.Peers, Beat.Views, Beat.Duties});
-  PeersDiffer = Beat.PeersDigest != Peers.digest();
-  if (Beat.WantsAnswer)
-    Hooks.Send(From, makeBeat(false, PeersDiffer), urgency::Now);
+  const std::size_t Unknown = takeUpdate(
+      From, {Heartbeat.Peers, Heartbeat.Views, Heartbeat.ShardLeases});
+  PeersDiffer = Heartbeat.PeersDigest != Peers.digest();
+  if (Heartbeat.WantsAnswer)
+    Hooks.Send(From, makeHeartbeat(false, PeersDiffer), urgency::Now);
   else if (Unknown * 2 > MaxFill)
     // There is more where this came from: a new node learns the fleet fast.
-    Hooks.Send(From, makeBeat(true, true), urgency::Soon);
-  if (Beat.ViewsDigest != Views.digest() && digestsDue())
+    Hooks.Send(From, makeHeartbeat(true, true), urgency::Soon);
+  if (Heartbeat.ViewsDigest != Views.digest() && digestsDue())
     exchangeDigests(From);
 }
 
@@ -225,8 +227,9 @@
   if (DigestsAt == instant())
     return true;
   const bool Busy =
-      !Recent.empty() && Timers.now() - Recent.front().second < Quiet;
-  return Timers.now() - DigestsAt >= (Busy ? DigestsPauseBusy : DigestsPause);
+      !Recent.empty() && Timers.now() - Recent.front().second < QuietPeriod;
+  return Timers.now() - DigestsAt >=
+         (Busy ? BusyDigestsInterval : DigestsInterval);
 }
 
 void gossip::exchangeDigests(const endpoint &From) {
@@ -247,7 +250,7 @@
     Answer.Buckets.push_back(I);
     for (view_version &Version : Views.versionsIn(I))
       Answer.Views.push_back(std::move(Version));
-    if (Answer.Views.size() >= MaxListed)
+    if (Answer.Views.size() >= MaxListedVersions)
       break;
   }
   if (!Answer.Buckets.empty())
@@ -260,14 +263,14 @@
   std::map<std::string, std::uint64_t> Theirs;
   for (const view_version &Version : Versions.Views)
     Theirs[Version.Service] = Version.Version;
-  news News;
+  gossip_update Update;
   for (const std::uint32_t Bucket : Versions.Buckets)
     for (view_version &Mine : Views.versionsIn(Bucket))
       if (Theirs[Mine.Service] < Mine.Version &&
-          News.Views.size() < MaxVersions)
-        News.Views.push_back(std::move(Mine));
-  if (!News.Views.empty())
-    Hooks.Send(From, News, urgency::Soon);
+          Update.Views.size() < MaxVersions)
+        Update.Views.push_back(std::move(Mine));
+  if (!Update.Views.empty())
+    Hooks.Send(From, Update, urgency::Soon);
 }
 
 void gossip::compare(const endpoint &From,
@@ -275,11 +278,11 @@
   view_request Request;
   for (const view_version &Version : Theirs) {
     const std::uint64_t Mine = Views.versionOf(Version.Service);
-    if (Version.Version <= Mine || Request.Have.size() >= MaxAsked)
+    if (Version.Version <= Mine || Request.Have.size() >= MaxRequestedViews)
       continue;
     const auto Asked = Requested.find(Version.Service);
     if (Asked != Requested.end() &&
-        Timers.now() - Asked->second.AskedAt < RequestAgain)
+        Timers.now() - Asked->second.AskedAt < RequestRetryInterval)
       continue;
     Requested[Version.Service] = {Timers.now(), 1};
     Request.Have.push_back({Version.Service, Mine});
@@ -315,10 +318,11 @@
 }
 
 void gossip::leave() {
-  const news News{{peer_news{Peers.self(), peer_state::Dead}}, {}, {}};
-  for (int I = 0; I < TellTimes; ++I)
+  const gossip_update Update{
+      {peer_update{Peers.self(), peer_state::Dead}}, {}, {}};
+  for (int I = 0; I < SendsPerView; ++I)
     if (const auto Peer = Peers.random())
-      Hooks.Send(Peer->Control, News, urgency::Now);
+      Hooks.Send(Peer->Control, Update, urgency::Now);
 }
 
 } // namespace marjoramrail::internal
--- a/src/fleet/gossip.h
+++ b/src/fleet/gossip.h
@@ -27,9 +27,9 @@
     /// A view that a peer sent.
     std::function<void(const membership &)> OnView;
     /// A duty's holder as a peer knows it.
-    std::function<void(const duty_news &)> OnDuty;
+    std::function<void(const shard_lease_update &)> OnLease;
     /// The duties with news and, with \p Fill, one of the others in turn.
-    std::function<std::vector<duty_news>(bool Fill)> Duties;
+    std::function<std::vector<shard_lease_update>(bool Fill)> ShardLeases;
   };
 
   gossip(timer_service &Timers, peer_table &Peers, const view_store &Views,
@@ -43,8 +43,8 @@
   /// More often: overdue answers and news that wait.
   void tick();
 
-  void take(const endpoint &From, const beat &Beat);
-  void take(const endpoint &From, const news &News);
+  void take(const endpoint &From, const peer_heartbeat &Heartbeat);
+  void take(const endpoint &From, const gossip_update &Update);
   void take(const endpoint &From, const bucket_digests &Digests);
   void take(const endpoint &From, const bucket_versions &Versions);
   void take(const endpoint &From, const view_request &Request);
@@ -53,7 +53,7 @@
 
   /// News that should go out soon.
   void viewTaken(const std::string &Service);
-  void spreadSoon();
+  void scheduleSpread();
 
   /// A balancer that the platform names, e.g. as the holder of a lease: a node
   /// whose seeds have all been replaced finds the fleet by it.
@@ -63,7 +63,7 @@
   void leave();
 
   /// A peer has been heard since the start.
-  bool met() const { return Met; }
+  bool peerSeen() const { return PeerSeen; }
 
 private:
   struct request {
@@ -71,16 +71,16 @@
     int Times = 0;
   };
 
-  beat makeBeat(bool WantsAnswer, bool Fill);
-  news makeNews();
+  peer_heartbeat makeHeartbeat(bool WantsAnswer, bool Fill);
+  gossip_update makeUpdate();
   /// Returns how many of the peers were unknown.
-  std::size_t takeNews(const endpoint &From, const news &News);
-  std::vector<view_version> hotViews();
+  std::size_t takeUpdate(const endpoint &From, const gossip_update &Update);
+  std::vector<view_version> nextPendingViews();
   void addRecent(std::vector<view_version> &Versions);
   bool digestsDue() const;
   void spread();
-  void requestAgain();
-  void callSeed();
+  void retryRequests();
+  void contactSeed();
   void compare(const endpoint &From, const std::vector<view_version> &Theirs);
   void exchangeDigests(const endpoint &From);
 
@@ -90,7 +90,7 @@
   std::vector<endpoint> Seeds;
   std::vector<endpoint> Contacts;
   hooks Hooks;
-  std::map<std::string, int> HotViews;
+  std::map<std::string, int> PendingViews;
   /// The views that changed last, newest first.
   std::deque<std::pair<std::string, instant>> Recent;
   /// Views asked for and not yet received.
@@ -99,9 +99,9 @@
   instant SpreadAt;
   instant DigestsAt;
   bool PeersDiffer = false;
-  bool Met = false;
+  bool PeerSeen = false;
   std::uint64_t Periods = 0;
-  std::size_t SeedCalls = 0;
+  std::size_t SeedContacts = 0;
 };
 
 } // namespace marjoramrail::internal
--- a/src/fleet/hearing.cpp
+++ b/src/fleet/heartbeat_receiver.cpp
@@ -1,4 +1,4 @@
-#include "fleet/hearing.h"
+#include "fleet/heartbeat_receiver.h"
 
 #include "fleet/rendezvous.h"
 
@@ -10,18 +10,18 @@
 
 /// A silent host is asked this often before it counts as silent: one lost
 /// datagram must not do it.
-constexpr int PingsBeforeSilent = 3;
-constexpr duration PingPause = std::chrono::milliseconds(400);
+constexpr int PingsBeforeReport = 3;
+constexpr duration PingInterval = std::chrono::milliseconds(400);
 /// Reports are repeated this often until the view agrees.
-constexpr duration ReportPause = std::chrono::seconds(1);
-constexpr duration NeedsPause = std::chrono::seconds(5);
+constexpr duration ReportInterval = std::chrono::seconds(1);
+constexpr duration NeedsInterval = std::chrono::seconds(5);
 /// Between two pushes of a view to one agent that has not got it yet.
-constexpr duration PushPause = std::chrono::milliseconds(900);
+constexpr duration PushInterval = std::chrono::milliseconds(900);
 /// An agent needs an answer now and then, to know that it is heard.
-constexpr duration AnswerPause = std::chrono::milliseconds(2500);
-constexpr duration RandomAskPause = std::chrono::seconds(2);
+constexpr duration AnswerInterval = std::chrono::milliseconds(2500);
+constexpr duration RandomProbeInterval = std::chrono::seconds(2);
 /// Fewer hosts than this say nothing about the node's own link.
-constexpr std::size_t EnoughToDoubt = 3;
+constexpr std::size_t MinHostsForLinkCheck = 3;
 
 std::string keyOf(const std::string &Service, const std::string &Host) {
   return Service + "/" + Host;
@@ -40,38 +40,40 @@
 
 } // namespace
 
-hearing::hearing(timer_service &Timers, const view_store &Views,
-                 duration SilenceBound, endpoint Self, std::uint64_t Seed,
-                 hooks Hooks)
-    : Timers(Timers), Views(Views), SilenceBound(SilenceBound), Self(Self),
+heartbeat_receiver::heartbeat_receiver(timer_service &Timers,
+                                       const view_store &Views,
+                                       duration SilenceTimeout, endpoint Self,
+                                       std::uint64_t Seed, hooks Hooks)
+    : Timers(Timers), Views(Views), SilenceTimeout(SilenceTimeout), Self(Self),
       Random(Seed), Hooks(std::move(Hooks)) {}
 
-void hearing::announced(const endpoint &From,
-                        const announcement &Announcement) {
-  const auto Assigned = Hooks.Assigned(Announcement.Host);
-  const std::string Key = keyOf(Announcement.Service, Announcement.Host);
+void heartbeat_receiver::take(const endpoint &From,
+                              const host_heartbeat &Heartbeat) {
+  const auto Assigned = Hooks.Assigned(Heartbeat.Host);
+  const std::string Key = keyOf(Heartbeat.Service, Heartbeat.Host);
   const auto Found = Hosts.find(Key);
-  const bool WasAsked = Found != Hosts.end() && Found->second.Asked;
+  const bool WasProbeRequested =
+      Found != Hosts.end() && Found->second.ProbeRequested;
   if (Found != Hosts.end() &&
-      Found->second.Last.Incarnation > Announcement.Incarnation)
+      Found->second.Last.Incarnation > Heartbeat.Incarnation)
     return;
   host &Host = Hosts[Key];
-  Host.Last = Announcement;
+  Host.Last = Heartbeat;
   Host.From = From;
-  Host.HeardAt = Timers.now();
+  Host.ReceivedAt = Timers.now();
   Host.Pings = 0;
-  Host.Asked = false;
-  Host.Stranger = false;
+  Host.ProbeRequested = false;
+  Host.ProbeOnly = false;
   // What was pushed and is not in force got lost: the next push is whole.
   Host.PushedVersion = 0;
   Host.Primary = !Assigned.empty() && Assigned.front() == Self;
   answer(Host, Assigned);
-  if (WasAsked)
-    Hooks.Report(report_kind::Differs, Announcement);
+  if (WasProbeRequested)
+    Hooks.Report(report_kind::Differs, Heartbeat);
   report(Host);
-  const membership *Members = Views.find(Announcement.Service);
+  const membership *Members = Views.find(Heartbeat.Service);
   if (Members != nullptr &&
-      Announcement.Report.ViewVersion < Members->View.Version)
+      Heartbeat.Report.ViewVersion < Members->View.Version)
     push(Host, *Members);
   const bool Ours =
       std::find(Assigned.begin(), Assigned.end(), Self) != Assigned.end();
@@ -80,38 +82,40 @@
     Hosts.erase(Key);
 }
 
-void hearing::answer(host &Host, const std::vector<endpoint> &Assigned) {
+void heartbeat_receiver::answer(host &Host,
+                                const std::vector<endpoint> &Assigned) {
   assignment Answer;
   if (hashOfEndpoints(Assigned) != Host.Last.AssignedHash)
     Answer.Balancers = Assigned;
   else if (Host.AnsweredAt &&
            Timers.now() - *Host.AnsweredAt <
-               (Host.Primary ? 1 : PeriodsPerSecondary) * AnswerPause)
+               (Host.Primary ? 1 : PeriodsPerSecondary) * AnswerInterval)
     return;
   Host.AnsweredAt = Timers.now();
   Hooks.Send(Host.From, Answer);
 }
 
-duration hearing::boundFor(const host &Host) const {
-  return Host.Primary ? SilenceBound : PeriodsPerSecondary * SilenceBound;
+duration heartbeat_receiver::timeoutFor(const host &Host) const {
+  return Host.Primary ? SilenceTimeout : PeriodsPerSecondary * SilenceTimeout;
 }
 
-bool hearing::differs(const announcement &Heard,
-                      const membership *Members) const {
-  const auto Place = placeOf(Members, Heard.Host);
+bool heartbeat_receiver::differs(const host_heartbeat &Heartbeat,
+                                 const membership *Members) const {
+  const auto Place = placeOf(Members, Heartbeat.Host);
   if (!Place)
     return true;
   const target &Target = Members->View.Targets[*Place];
-  if (Heard.Incarnation != Target.Incarnation)
-    return Heard.Incarnation > Target.Incarnation;
+  if (Heartbeat.Incarnation != Target.Incarnation)
+    return Heartbeat.Incarnation > Target.Incarnation;
   return Target.State != target_state::Down &&
-         Heard.Report.Draining != Members->Info[*Place].DrainWish;
+         Heartbeat.Report.Draining != Members->Info[*Place].DrainRequested;
 }
 
-void hearing::report(host &Host) {
+void heartbeat_receiver::report(host &Host) {
   const instant Now = Timers.now();
   const membership *Members = Views.find(Host.Last.Service);
-  if (differs(Host.Last, Members) && Now - Host.ReportedAt >= ReportPause / 2) {
+  if (differs(Host.Last, Members) &&
+      Now - Host.ReportedAt >= ReportInterval / 2) {
     Host.ReportedAt = Now;
     Hooks.Report(report_kind::Differs, Host.Last);
   }
@@ -119,15 +123,15 @@
     return;
   const std::uint64_t Needs = Host.Last.Report.OldestGeneration;
   const bool New = Host.NeedsReported != Needs;
-  if (Needs == 0 || (!New && Now - Host.NeedsAt < NeedsPause))
+  if (Needs == 0 || (!New && Now - Host.NeedsAt < NeedsInterval))
     return;
   Host.NeedsReported = Needs;
   Host.NeedsAt = Now;
   Hooks.Report(report_kind::Needs, Host.Last);
 }
 
-void hearing::push(host &Host, const membership &Members) {
-  if (Timers.now() - Host.PushedAt < PushPause && Host.PushedAt != instant())
+void heartbeat_receiver::push(host &Host, const membership &Members) {
+  if (Timers.now() - Host.PushedAt < PushInterval && Host.PushedAt != instant())
     return;
   const std::uint64_t Base =
       std::max(Host.PushedVersion, Host.Last.Report.ViewVersion);
@@ -141,9 +145,9 @@
   Host.PushedVersion = Members.View.Version;
 }
 
-void hearing::viewTaken(const membership &Members) {
+void heartbeat_receiver::viewTaken(const membership &Members) {
   for (auto &[Key, Host] : Hosts) {
-    if (Host.Last.Service != Members.View.Name || Host.Stranger)
+    if (Host.Last.Service != Members.View.Name || Host.ProbeOnly)
       continue;
     Host.PushedAt = instant();
     // The others wait for the next announcement, which says whether the push
@@ -153,19 +157,19 @@
   }
 }
 
-void hearing::probe(const probe_request &Request) {
+void heartbeat_receiver::probe(const probe_request &Request) {
   const std::string Key = keyOf(Request.Service, Request.Host);
   const auto Found = Hosts.find(Key);
-  if (Found != Hosts.end() && !Found->second.Stranger &&
-      Timers.now() - Found->second.HeardAt < SilenceBound / 2) {
+  if (Found != Hosts.end() && !Found->second.ProbeOnly &&
+      Timers.now() - Found->second.ReceivedAt < SilenceTimeout / 2) {
     Hooks.Report(report_kind::Differs, Found->second.Last);
     return;
   }
   if (Found != Hosts.end()) {
     // It is asked now, not when its own silence is due.
-    Found->second.HeardAt =
-        std::min(Found->second.HeardAt, Timers.now() - boundFor(Found->second));
-    Found->second.Asked = true;
+    Found->second.ReceivedAt = std::min(
+        Found->second.ReceivedAt, Timers.now() - timeoutFor(Found->second));
+    Found->second.ProbeRequested = true;
     return;
   }
   host Host;
@@ -174,13 +178,13 @@
   Host.Last.Agent = Request.Agent;
   Host.Last.Incarnation = Request.Incarnation;
   Host.From = Request.Agent;
-  Host.HeardAt = Timers.now() - boundFor(Host);
-  Host.Asked = true;
-  Host.Stranger = true;
+  Host.ReceivedAt = Timers.now() - timeoutFor(Host);
+  Host.ProbeRequested = true;
+  Host.ProbeOnly = true;
   Hosts[Key] = Host;
 }
 
-bool hearing::stillSought(const host &Host) const {
+bool heartbeat_receiver::isInView(const host &Host) const {
   const membership *Members = Views.find(Host.Last.Service);
   const auto Place = placeOf(Members, Host.Last.Host);
   if (!Place)
@@ -190,47 +194,48 @@
          Target.Incarnation <= Host.Last.Incarnation;
 }
 
-bool hearing::mostAreSilent() const {
-  std::size_t Silent = 0;
+bool heartbeat_receiver::areMostUnresponsive() const {
+  std::size_t NotResponding = 0;
   for (const auto &[Key, Host] : Hosts)
-    Silent += Timers.now() - Host.HeardAt >= boundFor(Host) ? 1 : 0;
-  return Hosts.size() >= EnoughToDoubt && Silent * 2 > Hosts.size();
+    NotResponding += Timers.now() - Host.ReceivedAt >= timeoutFor(Host) ? 1 : 0;
+  return Hosts.size() >= MinHostsForLinkCheck &&
+         NotResponding * 2 > Hosts.size();
 }
 
-bool hearing::checkSilence(host &Host, bool Trusted) {
+bool heartbeat_receiver::checkTimeout(host &Host, bool Trusted) {
   const instant Now = Timers.now();
-  if (Now - Host.HeardAt < boundFor(Host))
+  if (Now - Host.ReceivedAt < timeoutFor(Host))
     return true;
-  if (!stillSought(Host))
+  if (!isInView(Host))
     return false;
-  if (Host.Pings < PingsBeforeSilent) {
-    if (Host.Pings == 0 || Now - Host.PingedAt >= PingPause) {
+  if (Host.Pings < PingsBeforeReport) {
+    if (Host.Pings == 0 || Now - Host.PingedAt >= PingInterval) {
       ++Host.Pings;
       Host.PingedAt = Now;
       Hooks.Send(Host.From, host_ping());
     }
     return true;
   }
-  if (Now - Host.PingedAt < PingPause)
+  if (Now - Host.PingedAt < PingInterval)
     return true;
-  if (Trusted && Now - Host.ReportedAt >= ReportPause) {
+  if (Trusted && Now - Host.ReportedAt >= ReportInterval) {
     Host.ReportedAt = Now;
-    Hooks.Report(report_kind::Silent, Host.Last);
+    Hooks.Report(report_kind::NotResponding, Host.Last);
   }
-  return !Host.Stranger;
+  return !Host.ProbeOnly;
 }
 
-void hearing::tick() {
-  const bool Trusted = !mostAreSilent() || Hooks.PeersAnswer();
+void heartbeat_receiver::tick() {
+  const bool Trusted = !areMostUnresponsive() || Hooks.PeersAnswer();
   for (auto At = Hosts.begin(); At != Hosts.end();)
-    At = checkSilence(At->second, Trusted) ? std::next(At) : Hosts.erase(At);
-  askRandomTarget();
+    At = checkTimeout(At->second, Trusted) ? std::next(At) : Hosts.erase(At);
+  probeRandomTarget();
 }
 
-void hearing::askRandomTarget() {
-  if (Timers.now() - AskedRandomAt < RandomAskPause || Views.size() == 0)
+void heartbeat_receiver::probeRandomTarget() {
+  if (Timers.now() - RandomProbeAt < RandomProbeInterval || Views.size() == 0)
     return;
-  AskedRandomAt = Timers.now();
+  RandomProbeAt = Timers.now();
   auto View = Views.all().begin();
   std::advance(View, static_cast<std::ptrdiff_t>(Random() % Views.size()));
   const membership &Members = View->second;
--- a/src/fleet/hearing.h
+++ b/src/fleet/heartbeat_receiver.h
@@ -12,8 +12,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef MARJORAMRAIL_FLEET_HEARING_H
-#define MARJORAMRAIL_FLEET_HEARING_H
+#ifndef MARJORAMRAIL_FLEET_HEARTBEAT_RECEIVER_H
+#define MARJORAMRAIL_FLEET_HEARTBEAT_RECEIVER_H
 
 #include "fleet/view_store.h"
 
@@ -21,23 +21,24 @@
 
 namespace marjoramrail::internal {
 
-class hearing {
+class heartbeat_receiver {
 public:
   struct hooks {
     /// Sends to an agent; false if the byte budget is spent (views only).
     std::function<bool(const endpoint &, const message &)> Send;
     /// To the holder of the service's shard.
-    std::function<void(report_kind, const announcement &)> Report;
+    std::function<void(report_kind, const host_heartbeat &)> Report;
     /// The control endpoints that a host should announce to, best first.
     std::function<std::vector<endpoint>(const std::string &Host)> Assigned;
     /// True if peers still answer this node.
     std::function<bool()> PeersAnswer;
   };
 
-  hearing(timer_service &Timers, const view_store &Views, duration SilenceBound,
-          endpoint Self, std::uint64_t Seed, hooks Hooks);
+  heartbeat_receiver(timer_service &Timers, const view_store &Views,
+                     duration SilenceTimeout, endpoint Self, std::uint64_t Seed,
+                     hooks Hooks);
 
-  void announced(const endpoint &From, const announcement &Announcement);
+  void take(const endpoint &From, const host_heartbeat &Heartbeat);
 
   /// Asks a host on behalf of a holder, and reports either way.
   void probe(const probe_request &Request);
@@ -51,13 +52,13 @@
 
 private:
   struct host {
-    announcement Last;
+    host_heartbeat Last;
     endpoint From;
-    instant HeardAt;
+    instant ReceivedAt;
     /// A holder waits for word of it, good or bad.
-    bool Asked = false;
+    bool ProbeRequested = false;
     /// It does not announce here: forgotten once the holder has its answer.
-    bool Stranger = false;
+    bool ProbeOnly = false;
     int Pings = 0;
     instant PingedAt;
     std::optional<instant> AnsweredAt;
@@ -72,25 +73,26 @@
 
   void answer(host &Host, const std::vector<endpoint> &Assigned);
   /// How long this host may be silent here.
-  duration boundFor(const host &Host) const;
+  duration timeoutFor(const host &Host) const;
   void report(host &Host);
-  bool differs(const announcement &Heard, const membership *Members) const;
+  bool differs(const host_heartbeat &Heartbeat,
+               const membership *Members) const;
   void push(host &Host, const membership &Members);
-  bool checkSilence(host &Host, bool Trusted);
-  bool stillSought(const host &Host) const;
-  bool mostAreSilent() const;
-  void askRandomTarget();
+  bool checkTimeout(host &Host, bool Trusted);
+  bool isInView(const host &Host) const;
+  bool areMostUnresponsive() const;
+  void probeRandomTarget();
 
   timer_service &Timers;
   const view_store &Views;
-  duration SilenceBound;
+  duration SilenceTimeout;
   endpoint Self;
   std::mt19937_64 Random;
   hooks Hooks;
   std::map<std::string, host> Hosts;
-  instant AskedRandomAt;
+  instant RandomProbeAt;
 };
 
 } // namespace marjoramrail::internal
 
-#endif // MARJORAMRAIL_FLEET_HEARING_H
+#endif // MARJORAMRAIL_FLEET_HEARTBEAT_RECEIVER_H
--- a/src/fleet/announcer.cpp
+++ b/src/fleet/heartbeat_sender.cpp
@@ -9,22 +9,24 @@
 
 using namespace internal;
 
-struct announcer::impl {
+struct heartbeat_sender::impl {
   timer_service &Timers;
-  announcer_settings Settings;
-  announcer_hooks Hooks;
+  heartbeat_settings Settings;
+  heartbeat_hooks Hooks;
   /// Where announcements go: what a balancer assigned, else seeds.
   std::vector<endpoint> Balancers;
   std::optional<instant> LastHeard;
   piece_joiner Joiner;
   std::uint32_t LastMessage = 0;
-  std::uint64_t Faults = 0;
+  std::uint64_t DecodeErrors = 0;
   membership View;
   std::uint64_t Rounds = 0;
   timer_id Timer{};
 
-  impl(timer_service &Service, announcer_settings Given, announcer_hooks Asked)
-      : Timers(Service), Settings(std::move(Given)), Hooks(std::move(Asked)) {}
+  impl(timer_service &Service, heartbeat_settings Given,
+       heartbeat_hooks GivenHooks)
+      : Timers(Service), Settings(std::move(Given)),
+        Hooks(std::move(GivenHooks)) {}
 
   void send(const endpoint &To, const message &Message) {
     const auto Bytes = encode(Message);
@@ -32,7 +34,7 @@
                  [&](fleet_bytes Piece) { Hooks.Send(To, Piece); });
   }
 
-  announcement describe() const {
+  host_heartbeat describe() const {
     return {Settings.Service, Settings.Host,    Settings.Zone,
             Settings.Agent,   Settings.Relay,   Settings.Incarnation,
             Settings.Slots,   Hooks.Describe(), hashOfEndpoints(Balancers)};
@@ -47,9 +49,9 @@
   }
 
   /// \p Urgent tells all its balancers.
-  void announce(bool Urgent) {
+  void sendHeartbeats(bool Urgent) {
     ++Rounds;
-    const announcement Mine = describe();
+    const host_heartbeat Mine = describe();
     for (std::size_t I = 0; I < Balancers.size(); ++I)
       if (I == 0 || Urgent || Rounds % PeriodsPerSecondary == 0)
         send(Balancers[I], Mine);
@@ -82,21 +84,21 @@
         Members.View.Version <= View.View.Version)
       return;
     View = Members;
-    const bool Dead = declaredDown(Members);
+    const bool Dead = declaredDead(Members);
     if (Dead)
       ++Settings.Incarnation;
     Hooks.OnView(Members);
     if (!Dead)
       return;
-    if (Hooks.OnDeclaredDown)
-      Hooks.OnDeclaredDown(Settings.Incarnation);
-    announce(true);
+    if (Hooks.OnDeclaredDead)
+      Hooks.OnDeclaredDead(Settings.Incarnation);
+    sendHeartbeats(true);
   }
 
   /// The fleet gave this very incarnation up: callers have been told that its
   /// flows are lost, so going on under the same number would bring back flows
   /// that others may have answered for.
-  bool declaredDown(const membership &Members) const {
+  bool declaredDead(const membership &Members) const {
     const auto Place = findTarget(Members, Settings.Agent);
     if (!Place)
       return false;
@@ -106,7 +108,7 @@
   }
 
   template <typename Other> void take(const endpoint &, const Other &) {
-    ++Faults;
+    ++DecodeErrors;
   }
 };
 
@@ -121,21 +123,22 @@
   return static_cast<std::size_t>(Found - Targets.begin());
 }
 
-announcer::announcer(timer_service &Timers, announcer_settings Settings,
-                     announcer_hooks Hooks)
+heartbeat_sender::heartbeat_sender(timer_service &Timers,
+                                   heartbeat_settings Settings,
+                                   heartbeat_hooks Hooks)
     : Impl(std::make_unique<impl>(Timers, std::move(Settings),
                                   std::move(Hooks))) {
   impl *Self = Impl.get();
-  Self->Timer =
-      Timers.every(Self->Settings.Period, [Self] { Self->announce(false); });
+  Self->Timer = Timers.every(Self->Settings.Period,
+                             [Self] { Self->sendHeartbeats(false); });
 }
 
-announcer::~announcer() { Impl->Timers.cancel(Impl->Timer); }
+heartbeat_sender::~heartbeat_sender() { Impl->Timers.cancel(Impl->Timer); }
 
-void announcer::input(const endpoint &From, fleet_bytes Bytes) {
+void heartbeat_sender::input(const endpoint &From, fleet_bytes Bytes) {
   bool Fault = false;
   const auto Whole = Impl->Joiner.add(From, Bytes, Fault);
-  Impl->Faults += Fault ? 1 : 0;
+  Impl->DecodeErrors += Fault ? 1 : 0;
   if (!Whole)
     return;
   const auto Failure = failureOf([&]() -> result<void> {
@@ -144,17 +147,21 @@
     std::visit([&](const auto &Value) { Impl->take(From, Value); }, Message);
     return {};
   });
-  Impl->Faults += Failure ? 1 : 0;
+  Impl->DecodeErrors += Failure ? 1 : 0;
 }
 
-void announcer::announceNow() { Impl->announce(true); }
+void heartbeat_sender::sendNow() { Impl->sendHeartbeats(true); }
 
-std::uint32_t announcer::incarnation() const {
+std::uint32_t heartbeat_sender::incarnation() const {
   return Impl->Settings.Incarnation;
 }
 
-std::optional<instant> announcer::lastHeard() const { return Impl->LastHeard; }
+std::optional<instant> heartbeat_sender::lastHeard() const {
+  return Impl->LastHeard;
+}
 
-std::uint64_t announcer::faults() const { return Impl->Faults; }
+std::uint64_t heartbeat_sender::decodeErrors() const {
+  return Impl->DecodeErrors;
+}
 
 } // namespace marjoramrail
--- a/src/fleet/membership_codec.cpp
+++ b/src/fleet/membership_codec.cpp
@@ -19,7 +19,7 @@
           Info.Relay.Address,
           Info.Relay.Port,
           Info.Slots,
-          Info.DrainWish ? 1 : 0};
+          Info.DrainRequested ? 1 : 0};
 }
 
 target_state stateOf(int Value) {
@@ -42,7 +42,7 @@
   Info.Relay = {From.at(7).get<std::uint32_t>(),
                 From.at(8).get<std::uint16_t>()};
   Info.Slots = From.at(9).get<std::uint32_t>();
-  Info.DrainWish = From.at(10).get<int>() != 0;
+  Info.DrainRequested = From.at(10).get<int>() != 0;
 }
 
 /// A generation as its number, its members and their weights; the usual case
--- a/src/fleet/membership_plan.cpp
+++ b/src/fleet/membership_plan.cpp
@@ -11,13 +11,13 @@
 
 /// At most this part of the serving targets leaves per step: one of the three
 /// zones that services run in.
-constexpr std::size_t LeavingPart = 3;
+constexpr std::size_t LeavingDivisor = 3;
 
 class planner {
 public:
   explicit planner(const plan_input &Given) : Input(Given) {
-    if (Input.Stands != nullptr)
-      Plan.Next = *Input.Stands;
+    if (Input.Current != nullptr)
+      Plan.Next = *Input.Current;
   }
 
   membership_plan make() {
@@ -27,9 +27,9 @@
       Plan.Next.Info.clear();
     } else {
       takeSpec();
-      takeAnnouncements();
-      takeLeavers();
-      forgetDown();
+      takeHeartbeats();
+      removeLeaving();
+      removeExpired();
       dropGenerations();
       addGeneration();
     }
@@ -65,22 +65,22 @@
     return Id;
   }
 
-  void fill(std::size_t Place, const announcement &Heard) {
+  void fill(std::size_t Place, const host_heartbeat &Heartbeat) {
     target &Target = targets()[Place];
-    Target.Agent = Heard.Agent;
-    Target.Incarnation = Heard.Incarnation;
-    const auto Zone = Input.Zones.find(Heard.Zone);
+    Target.Agent = Heartbeat.Agent;
+    Target.Incarnation = Heartbeat.Incarnation;
+    const auto Zone = Input.Zones.find(Heartbeat.Zone);
     Target.Zone = Zone == Input.Zones.end() ? zone_id{0} : Zone->second;
-    info()[Place].Relay = Heard.Relay;
-    info()[Place].Slots = Heard.Slots;
+    info()[Place].Relay = Heartbeat.Relay;
+    info()[Place].Slots = Heartbeat.Slots;
   }
 
-  void takeAnnouncements() {
+  void takeHeartbeats() {
     for (const auto &[Host, Evidence] : Input.Evidence) {
-      const announcement &Heard = Evidence.Heard;
+      const host_heartbeat &Heartbeat = Evidence.Heartbeat;
       const bool DeadNow =
-          Evidence.Dead && Evidence.DeadIncarnation >= Heard.Incarnation;
-      if (DeadNow || Heard.Host.empty())
+          Evidence.Dead && Evidence.DeadIncarnation >= Heartbeat.Incarnation;
+      if (DeadNow || Heartbeat.Host.empty())
         continue;
       auto Place = placeOf(Host);
       if (!Place) {
@@ -91,19 +91,19 @@
         Named.Host = Host;
         info().push_back(Named);
         Place = targets().size() - 1;
-        fill(*Place, Heard);
-      } else if (Heard.Incarnation > targets()[*Place].Incarnation) {
+        fill(*Place, Heartbeat);
+      } else if (Heartbeat.Incarnation > targets()[*Place].Incarnation) {
         targets()[*Place].State = target_state::Ready;
-        fill(*Place, Heard);
-      } else if (Heard.Incarnation < targets()[*Place].Incarnation) {
+        fill(*Place, Heartbeat);
+      } else if (Heartbeat.Incarnation < targets()[*Place].Incarnation) {
         continue;
       }
-      info()[*Place].DrainWish = Heard.Report.Draining;
+      info()[*Place].DrainRequested = Heartbeat.Report.Draining;
     }
   }
 
-  bool wantsDrain(std::size_t Place) {
-    return info()[Place].DrainWish ||
+  bool shouldDrain(std::size_t Place) {
+    return info()[Place].DrainRequested ||
            Input.Drained.contains(info()[Place].Host);
   }
 
@@ -123,18 +123,18 @@
   }
 
   /// The dead go first: a drain can wait, a dead target loses flows.
-  void takeLeavers() {
+  void removeLeaving() {
     for (std::size_t I = 0; I < targets().size(); ++I)
-      if (targets()[I].State == target_state::Draining && !wantsDrain(I) &&
+      if (targets()[I].State == target_state::Draining && !shouldDrain(I) &&
           !isDead(I))
         targets()[I].State = target_state::Ready;
-    std::size_t Allowance =
-        std::max<std::size_t>(1, (serving() + LeavingPart - 1) / LeavingPart);
+    std::size_t Allowance = std::max<std::size_t>(
+        1, (serving() + LeavingDivisor - 1) / LeavingDivisor);
     for (std::size_t I = 0; I < targets().size(); ++I)
       if (targets()[I].State != target_state::Down && isDead(I))
         leave(I, target_state::Down, Allowance);
     for (std::size_t I = 0; I < targets().size(); ++I)
-      if (serves(targets()[I]) && wantsDrain(I))
+      if (serves(targets()[I]) && shouldDrain(I))
         leave(I, target_state::Draining, Allowance);
   }
 
@@ -155,7 +155,7 @@
     }
     Target.State = State;
     if (Dies)
-      Plan.DeclaredDown.push_back(info()[Place].Host);
+      Plan.DeclaredDead.push_back(info()[Place].Host);
   }
 
   bool inAnyGeneration(host_id Host) {
@@ -167,12 +167,12 @@
   }
 
   /// Entries of hosts long gone.
-  void forgetDown() {
+  void removeExpired() {
     for (std::size_t I = targets().size(); I-- > 0;) {
       const auto Since = Input.DownSince.find(info()[I].Host);
       if (targets()[I].State != target_state::Down ||
           Since == Input.DownSince.end() ||
-          Input.Now - Since->second < KeepDown ||
+          Input.Now - Since->second < DownRetention ||
           inAnyGeneration(targets()[I].Id))
         continue;
       targets().erase(targets().begin() + static_cast<std::ptrdiff_t>(I));
@@ -191,7 +191,7 @@
         continue;
       const auto Found = Input.Evidence.find(info()[I].Host);
       if (Found == Input.Evidence.end() || !Found->second.Needs ||
-          Found->second.Heard.Incarnation != targets()[I].Incarnation)
+          Found->second.Heartbeat.Incarnation != targets()[I].Incarnation)
         return;
       Oldest = std::min(Oldest, *Found->second.Needs);
     }
@@ -220,7 +220,8 @@
       Plan.HeldBack.insert(held_back::GenerationsFull);
       return;
     }
-    if (!Known.empty() && Input.Now - Input.LastGeneration < GenerationPause) {
+    if (!Known.empty() &&
+        Input.Now - Input.LastGeneration < GenerationInterval) {
       Plan.HeldBack.insert(held_back::Coalesced);
       return;
     }
@@ -232,10 +233,10 @@
   void finish() {
     sortMembership(Plan.Next);
     // A raised term alone is no news to those that route by the view.
-    const bool New = Input.Stands == nullptr || Plan.Next != *Input.Stands;
+    const bool New = Input.Current == nullptr || Plan.Next != *Input.Current;
     Plan.Next.Term = Input.Term;
     Plan.Changed =
-        New || Input.PlatformBehind || Input.Stands->Term != Plan.Next.Term;
+        New || Input.PlatformBehind || Input.Current->Term != Plan.Next.Term;
     // Above whatever any node has seen: a platform that was set back to an
     // older state would else hand out a version twice, and nodes that hold
     // the first would never take the second.
--- a/src/fleet/membership_plan.h
+++ b/src/fleet/membership_plan.h
@@ -26,16 +26,16 @@
 namespace marjoramrail::internal {
 
 /// Between two new generations of one service.
-inline constexpr duration GenerationPause = std::chrono::seconds(1);
+inline constexpr duration GenerationInterval = std::chrono::seconds(1);
 
 /// How long a host that was declared down keeps its entry: an agent that wakes
 /// up within this learns that its flows were given up.
-inline constexpr duration KeepDown = std::chrono::minutes(10);
+inline constexpr duration DownRetention = std::chrono::minutes(10);
 
 /// What the holder heard of one host.
 struct host_evidence {
-  announcement Heard;
-  instant HeardAt;
+  host_heartbeat Heartbeat;
+  instant ReceivedAt;
   /// Confirmed by enough balancers.
   bool Dead = false;
   /// The incarnation that is dead.
@@ -45,7 +45,7 @@
 };
 
 struct plan_input {
-  const membership *Stands = nullptr;
+  const membership *Current = nullptr;
   /// The platform holds an older membership than Stands: it lost a write.
   bool PlatformBehind = false;
   /// Nothing if the operator removed the service.
@@ -95,7 +95,7 @@
   /// Something that must be written differs.
   bool Changed = false;
   bool NewGeneration = false;
-  std::vector<std::string> DeclaredDown;
+  std::vector<std::string> DeclaredDead;
   std::set<held_back> HeldBack;
 };
 
--- a/src/fleet/message.cpp
+++ b/src/fleet/message.cpp
@@ -24,14 +24,14 @@
 requires std::is_arithmetic_v<T> || std::is_same_v<T, std::string>
 void unpack(const json &From, T &To) { From.get_to(To); }
 
-json pack(const peer_news &Value);
+json pack(const peer_update &Value);
 json pack(const view_version &Value);
-json pack(const duty_news &Value);
-json pack(const force_entry &Value);
-void unpack(const json &From, peer_news &To);
+json pack(const shard_lease_update &Value);
+json pack(const applied_entry &Value);
+void unpack(const json &From, peer_update &To);
 void unpack(const json &From, view_version &To);
-void unpack(const json &From, duty_news &To);
-void unpack(const json &From, force_entry &To);
+void unpack(const json &From, shard_lease_update &To);
+void unpack(const json &From, applied_entry &To);
 
 template <typename T> json pack(const std::vector<T> &Values) {
   json Packed = json::array();
@@ -45,7 +45,7 @@
     unpack(Value, To.emplace_back());
 }
 
-json pack(const announcement &Value) {
+json pack(const host_heartbeat &Value) {
   return {Value.Service,
           Value.Host,
           Value.Zone,
@@ -61,7 +61,7 @@
           Value.AssignedHash};
 }
 
-void unpack(const json &From, announcement &To) {
+void unpack(const json &From, host_heartbeat &To) {
   From.at(0).get_to(To.Service);
   From.at(1).get_to(To.Host);
   From.at(2).get_to(To.Zone);
@@ -104,10 +104,10 @@
   From.at(3).get_to(To.Incarnation);
 }
 
-json pack(const peer_news &Value) {
+json pack(const peer_update &Value) {
   return {pack(Value.Info), static_cast<int>(Value.State)};
 }
-void unpack(const json &From, peer_news &To) {
+void unpack(const json &From, peer_update &To) {
   unpack(From.at(0), To.Info);
   const int State = From.at(1).get<int>();
   To.State = State == 0   ? peer_state::Alive
@@ -121,29 +121,29 @@
   From.at(1).get_to(To.Version);
 }
 
-json pack(const duty_news &Value) {
+json pack(const shard_lease_update &Value) {
   return {Value.Shard, Value.Term, Value.Holder, pack(Value.Control)};
 }
-void unpack(const json &From, duty_news &To) {
+void unpack(const json &From, shard_lease_update &To) {
   From.at(0).get_to(To.Shard);
   From.at(1).get_to(To.Term);
   From.at(2).get_to(To.Holder);
   unpack(From.at(3), To.Control);
 }
 
-json pack(const beat &Value) {
-  return {pack(Value.From),  Value.WantsAnswer ? 1 : 0, Value.ViewsDigest,
-          Value.PeersDigest, pack(Value.Peers),         pack(Value.Views),
-          pack(Value.Duties)};
+json pack(const peer_heartbeat &Value) {
+  return {pack(Value.From),       Value.WantsAnswer ? 1 : 0, Value.ViewsDigest,
+          Value.PeersDigest,      pack(Value.Peers),         pack(Value.Views),
+          pack(Value.ShardLeases)};
 }
-void unpack(const json &From, beat &To) {
+void unpack(const json &From, peer_heartbeat &To) {
   unpack(From.at(0), To.From);
   To.WantsAnswer = From.at(1).get<int>() != 0;
   From.at(2).get_to(To.ViewsDigest);
   From.at(3).get_to(To.PeersDigest);
   unpack(From.at(4), To.Peers);
   unpack(From.at(5), To.Views);
-  unpack(From.at(6), To.Duties);
+  unpack(From.at(6), To.ShardLeases);
 }
 
 json pack(const bucket_digests &Value) {
@@ -165,26 +165,26 @@
 void unpack(const json &From, view_request &To) { unpack(From.at(0), To.Have); }
 
 json pack(const view_delta &Value) {
-  return {Value.Base, packMembership(Value.Changed), pack(Value.GoneHosts),
-          pack(Value.GoneGenerations)};
+  return {Value.Base, packMembership(Value.Changed), pack(Value.RemovedHosts),
+          pack(Value.RemovedGenerations)};
 }
 void unpack(const json &From, view_delta &To) {
   From.at(0).get_to(To.Base);
   To.Changed = unpackMembership(From.at(1));
-  unpack(From.at(2), To.GoneHosts);
-  unpack(From.at(3), To.GoneGenerations);
+  unpack(From.at(2), To.RemovedHosts);
+  unpack(From.at(3), To.RemovedGenerations);
 }
 
 json pack(const host_report &Value) {
-  return {static_cast<int>(Value.Kind), Value.From, pack(Value.Heard)};
+  return {static_cast<int>(Value.Kind), Value.From, pack(Value.Heartbeat)};
 }
 void unpack(const json &From, host_report &To) {
   const int Kind = From.at(0).get<int>();
   To.Kind = Kind == 0   ? report_kind::Differs
-            : Kind == 1 ? report_kind::Silent
+            : Kind == 1 ? report_kind::NotResponding
                         : report_kind::Needs;
   From.at(1).get_to(To.From);
-  unpack(From.at(2), To.Heard);
+  unpack(From.at(2), To.Heartbeat);
 }
 
 json pack(const probe_request &Value) {
@@ -197,11 +197,11 @@
   From.at(3).get_to(To.Incarnation);
 }
 
-json pack(const force_entry &Value) {
+json pack(const applied_entry &Value) {
   return {Value.Service, Value.Version, Value.Nodes, Value.NamesDigest,
           pack(Value.Lagging)};
 }
-void unpack(const json &From, force_entry &To) {
+void unpack(const json &From, applied_entry &To) {
   From.at(0).get_to(To.Service);
   From.at(1).get_to(To.Version);
   From.at(2).get_to(To.Nodes);
@@ -209,26 +209,26 @@
   unpack(From.at(4), To.Lagging);
 }
 
-json pack(const force_report &Value) {
+json pack(const applied_report &Value) {
   return {Value.From, Value.Number, pack(Value.Entries)};
 }
-void unpack(const json &From, force_report &To) {
+void unpack(const json &From, applied_report &To) {
   From.at(0).get_to(To.From);
   From.at(1).get_to(To.Number);
   unpack(From.at(2), To.Entries);
 }
 
-json pack(const force_ack &Value) { return json::array({Value.Number}); }
-void unpack(const json &From, force_ack &To) { From.at(0).get_to(To.Number); }
+json pack(const applied_ack &Value) { return json::array({Value.Number}); }
+void unpack(const json &From, applied_ack &To) { From.at(0).get_to(To.Number); }
 
-json pack(const news &Value) {
+json pack(const gossip_update &Value) {
   return json::array(
-      {pack(Value.Peers), pack(Value.Views), pack(Value.Duties)});
+      {pack(Value.Peers), pack(Value.Views), pack(Value.ShardLeases)});
 }
-void unpack(const json &From, news &To) {
+void unpack(const json &From, gossip_update &To) {
   unpack(From.at(0), To.Peers);
   unpack(From.at(1), To.Views);
-  unpack(From.at(2), To.Duties);
+  unpack(From.at(2), To.ShardLeases);
 }
 
 /// Makes the alternative with index \p Kind and reads its fields.
--- a/src/fleet/message.h
+++ b/src/fleet/message.h
@@ -17,7 +17,7 @@
 namespace marjoramrail::internal {
 
 /// Agent to balancer: the heartbeat of a target host.
-struct announcement {
+struct host_heartbeat {
   std::string Service;
   std::string Host;
   std::string Zone;
@@ -47,7 +47,7 @@
 /// How a peer stands, as gossip tells it.
 enum class peer_state { Alive, Suspect, Dead };
 
-struct peer_news {
+struct peer_update {
   balancer_info Info;
   peer_state State = peer_state::Alive;
 };
@@ -59,7 +59,7 @@
 };
 
 /// Who holds a shard's lease.
-struct duty_news {
+struct shard_lease_update {
   std::uint32_t Shard = 0;
   std::uint64_t Term = 0;
   std::string Holder;
@@ -68,14 +68,14 @@
 
 /// Balancer to balancer, to a random peer each period: I am here, this is
 /// news, and this is the digest of all that I have.
-struct beat {
+struct peer_heartbeat {
   balancer_info From;
   bool WantsAnswer = false;
   std::uint64_t ViewsDigest = 0;
   std::uint64_t PeersDigest = 0;
-  std::vector<peer_news> Peers;
+  std::vector<peer_update> Peers;
   std::vector<view_version> Views;
-  std::vector<duty_news> Duties;
+  std::vector<shard_lease_update> ShardLeases;
 };
 
 /// The digests of all buckets of views, when the whole differs.
@@ -99,8 +99,8 @@
   std::uint64_t Base = 0;
   /// Of the new version; Targets and Generations hold only what is new.
   membership Changed;
-  std::vector<std::uint32_t> GoneHosts;
-  std::vector<std::uint64_t> GoneGenerations;
+  std::vector<std::uint32_t> RemovedHosts;
+  std::vector<std::uint64_t> RemovedGenerations;
 };
 
 /// Why a balancer writes to the holder of a service's shard.
@@ -108,7 +108,7 @@
   /// The announcement differs from what the view says of the host.
   Differs,
   /// The host has been silent and did not answer.
-  Silent,
+  NotResponding,
   /// The oldest generation that the host needs.
   Needs,
 };
@@ -118,7 +118,7 @@
 struct host_report {
   report_kind Kind = report_kind::Differs;
   std::string From;
-  announcement Heard;
+  host_heartbeat Heartbeat;
 };
 
 /// Holder to a balancer: ask this host yourself and report.
@@ -130,7 +130,7 @@
 };
 
 /// On how many nodes of a subtree a view is in force.
-struct force_entry {
+struct applied_entry {
   std::string Service;
   std::uint64_t Version = 0;
   std::uint32_t Nodes = 0;
@@ -139,32 +139,33 @@
   std::uint64_t NamesDigest = 0;
   std::vector<std::string> Lagging;
 
-  bool operator==(const force_entry &) const = default;
+  bool operator==(const applied_entry &) const = default;
 };
 
 /// Up the tree to a holder; several services at a time.
-struct force_report {
+struct applied_report {
   std::string From;
   std::uint32_t Number = 0;
-  std::vector<force_entry> Entries;
+  std::vector<applied_entry> Entries;
 };
 
 /// The report with this number has come.
-struct force_ack {
+struct applied_ack {
   std::uint32_t Number = 0;
 };
 
 /// What a beat says, without the sign of life: to spread what is new.
-struct news {
-  std::vector<peer_news> Peers;
+struct gossip_update {
+  std::vector<peer_update> Peers;
   std::vector<view_version> Views;
-  std::vector<duty_news> Duties;
+  std::vector<shard_lease_update> ShardLeases;
 };
 
 using message =
-    std::variant<announcement, assignment, host_ping, view_full, beat,
-                 bucket_digests, bucket_versions, view_request, view_delta,
-                 host_report, probe_request, force_report, force_ack, news>;
+    std::variant<host_heartbeat, assignment, host_ping, view_full,
+                 peer_heartbeat, bucket_digests, bucket_versions, view_request,
+                 view_delta, host_report, probe_request, applied_report,
+                 applied_ack, gossip_update>;
 
 static_assert(std::variant_size_v<message> == FleetMessageNames.size());
 
--- a/src/fleet/node_impl.cpp
+++ b/src/fleet/node_impl.cpp
@@ -10,14 +10,14 @@
 /// Nodes that compete for a shard's lease: the first of the ranking and one
 /// that is ready to take over.
 constexpr std::size_t Candidates = 2;
-constexpr std::size_t HearersPerHost = 3;
+constexpr std::size_t BalancersPerHost = 3;
 /// A node that has just started may not know its peers yet; competing for every
 /// duty would only make leases wander.
-constexpr duration SettleIn = std::chrono::milliseconds(1500);
+constexpr duration StartupDelay = std::chrono::milliseconds(1500);
 /// Ranking 12,000 nodes for 64 shards takes 4 ms; while a fleet starts, peers
 /// change all the time.
-constexpr duration ChoosePause = std::chrono::seconds(1);
-constexpr std::size_t DutiesPerBeat = 3;
+constexpr duration ChooseInterval = std::chrono::seconds(1);
+constexpr std::size_t LeasesPerMessage = 3;
 /// IPv4 and UDP headers; on the wire they count like the rest.
 constexpr std::size_t UdpOverhead = 28;
 
@@ -27,23 +27,23 @@
   if (Stopped)
     return;
   Gossip.tick();
-  chooseDuties();
+  chooseCandidates();
   for (const auto &Lease : Leases)
     Lease->tick();
-  Hearing.tick();
-  Force.tick();
+  HeartbeatReceiver.tick();
+  Applied.tick();
   const bool Holds =
       std::any_of(Leases.begin(), Leases.end(),
                   [](const auto &Lease) { return Lease->holds(); });
   if (!Holds)
     Feed.stop();
-  Holder.tick(Holds && Feed.synced());
+  Controller.tick(Holds && Feed.synced());
 }
 
 bool fleet_node::impl::send(const endpoint &To, const message &Message,
                             urgency Urgency) {
   if (!Budget.open(Timers.now(), Urgency)) {
-    ++Counters.PutOff;
+    ++Counters.Deferred;
     return false;
   }
   const auto Bytes = encode(Message);
@@ -65,7 +65,7 @@
   Counters.BytesReceived += Bytes.size() + UdpOverhead;
   bool Fault = false;
   const auto Whole = Joiner.add(From, Bytes, Fault);
-  Counters.Faults += Fault ? 1 : 0;
+  Counters.DecodeErrors += Fault ? 1 : 0;
   if (!Whole)
     return;
   const auto Failure = failureOf([&]() -> result<void> {
@@ -76,64 +76,65 @@
     std::visit([&](const auto &Value) { take(From, Value); }, *Message);
     return {};
   });
-  Counters.Faults += Failure ? 1 : 0;
+  Counters.DecodeErrors += Failure ? 1 : 0;
 }
 
 void fleet_node::impl::takeView(const membership &Members) {
   const offer Offer = Views.take(Members);
-  Counters.OlderIgnored += Offer == offer::Older ? 1 : 0;
+  Counters.StaleIgnored += Offer == offer::Older ? 1 : 0;
   if (Offer != offer::Newer)
     return;
   const std::string Name = Members.View.Name;
   if (Hooks.OnView)
     Hooks.OnView(*Views.find(Name));
   Gossip.viewTaken(Name);
-  Force.viewTaken(Name);
-  Hearing.viewTaken(*Views.find(Name));
+  Applied.viewTaken(Name);
+  HeartbeatReceiver.viewTaken(*Views.find(Name));
 }
 
-void fleet_node::impl::takeDuty(const duty_news &News) {
-  if (News.Shard >= Duties.size())
+void fleet_node::impl::takeLease(const shard_lease_update &Update) {
+  if (Update.Shard >= ShardLeases.size())
     return;
-  duty_news &Known = Duties[News.Shard];
-  const bool Released =
-      News.Term == Known.Term && News.Holder.empty() && !Known.Holder.empty();
-  if (News.Term <= Known.Term && !Released)
+  shard_lease_update &Known = ShardLeases[Update.Shard];
+  const bool Released = Update.Term == Known.Term && Update.Holder.empty() &&
+                        !Known.Holder.empty();
+  if (Update.Term <= Known.Term && !Released)
     return;
-  Known = News;
-  if (!News.Holder.empty())
-    Gossip.addContact(News.Control);
-  HotDuties[News.Shard] = 6;
-  Gossip.spreadSoon();
+  Known = Update;
+  if (!Update.Holder.empty())
+    Gossip.addContact(Update.Control);
+  PendingLeases[Update.Shard] = 6;
+  Gossip.scheduleSpread();
 }
 
-std::vector<duty_news> fleet_node::impl::dutiesToTell(bool Fill) {
-  std::vector<duty_news> News;
-  for (auto At = HotDuties.begin();
-       At != HotDuties.end() && News.size() < DutiesPerBeat;) {
-    News.push_back(Duties[At->first]);
-    At = --At->second <= 0 ? HotDuties.erase(At) : std::next(At);
+std::vector<shard_lease_update> fleet_node::impl::leasesToSend(bool Fill) {
+  std::vector<shard_lease_update> Update;
+  for (auto At = PendingLeases.begin();
+       At != PendingLeases.end() && Update.size() < LeasesPerMessage;) {
+    Update.push_back(ShardLeases[At->first]);
+    At = --At->second <= 0 ? PendingLeases.erase(At) : std::next(At);
   }
-  if (Fill && News.size() < DutiesPerBeat && !Duties.empty()) {
-    NextDuty = (NextDuty + 1) % static_cast<std::uint32_t>(Duties.size());
-    if (Duties[NextDuty].Term > 0)
-      News.push_back(Duties[NextDuty]);
+  if (Fill && Update.size() < LeasesPerMessage && !ShardLeases.empty()) {
+    NextShard =
+        (NextShard + 1) % static_cast<std::uint32_t>(ShardLeases.size());
+    if (ShardLeases[NextShard].Term > 0)
+      Update.push_back(ShardLeases[NextShard]);
   }
-  return News;
+  return Update;
 }
 
 void fleet_node::impl::peersChanged() {
   Assigned.clear();
-  if (!Hooks.OnBalancers || Told == Peers.living())
+  if (!Hooks.OnBalancers || Reported == Peers.living())
     return;
-  Told = Peers.living();
-  Hooks.OnBalancers(Told);
+  Reported = Peers.living();
+  Hooks.OnBalancers(Reported);
 }
 
-void fleet_node::impl::chooseDuties() {
+void fleet_node::impl::chooseCandidates() {
   if (CandidatesFor == Peers.answeringVersion() ||
-      Timers.now() - StartedAt < SettleIn ||
-      Timers.now() - ChosenAt < ChoosePause)
+      Timers.now() - StartedAt < StartupDelay ||
+      Timers.now() - ChosenAt < ChooseInterval)
     return;
   ChosenAt = Timers.now();
   CandidatesFor = Peers.answeringVersion();
@@ -141,11 +142,11 @@
   for (std::uint32_t Shard = 0; Shard < Leases.size(); ++Shard) {
     const auto Picked =
         pick("shard-" + std::to_string(Shard), Able, Candidates);
-    const bool Mine =
+    const bool HoldsShard =
         std::any_of(Picked.begin(), Picked.end(), [&](std::size_t At) {
           return Able[At].Name == Settings.Name;
         });
-    Leases[Shard]->setWanted(Mine);
+    Leases[Shard]->setCandidate(HoldsShard);
   }
 }
 
@@ -157,21 +158,23 @@
   return Lease->term();
 }
 
-const duty_news &fleet_node::impl::dutyFor(const std::string &Service) const {
-  return Duties[shardOf(Service, Settings.Shards)];
+const shard_lease_update &
+fleet_node::impl::leaseOf(const std::string &Service) const {
+  return ShardLeases[shardOf(Service, Settings.Shards)];
 }
 
-void fleet_node::impl::reportHost(report_kind Kind, const announcement &Heard) {
-  const host_report Report{Kind, Settings.Name, Heard};
-  const duty_news &Duty = dutyFor(Heard.Service);
-  if (Duty.Holder == Settings.Name)
-    Holder.take(Report);
-  else if (!Duty.Holder.empty())
-    send(Duty.Control, Report, urgency::Now);
+void fleet_node::impl::reportHost(report_kind Kind,
+                                  const host_heartbeat &Heartbeat) {
+  const host_report Report{Kind, Settings.Name, Heartbeat};
+  const shard_lease_update &Lease = leaseOf(Heartbeat.Service);
+  if (Lease.Holder == Settings.Name)
+    Controller.take(Report);
+  else if (!Lease.Holder.empty())
+    send(Lease.Control, Report, urgency::Now);
 }
 
 void fleet_node::impl::probeOthers(const probe_request &Request) {
-  Hearing.probe(Request);
+  HeartbeatReceiver.probe(Request);
   // Those that hear the host may have heard it a moment ago; one more that it
   // does not announce to may reach it where they all do not.
   std::vector<endpoint> Asked = assignedTo(Request.Host);
@@ -189,7 +192,7 @@
   if (Known != Assigned.end())
     return Known->second;
   std::vector<endpoint> Endpoints;
-  for (const std::size_t At : pick(Host, Peers.living(), HearersPerHost))
+  for (const std::size_t At : pick(Host, Peers.living(), BalancersPerHost))
     Endpoints.push_back(Peers.living()[At].Control);
   Assigned[Host] = Endpoints;
   return Endpoints;
--- a/src/fleet/node_impl.h
+++ b/src/fleet/node_impl.h
@@ -8,13 +8,13 @@
 #ifndef MARJORAMRAIL_FLEET_NODE_IMPL_H
 #define MARJORAMRAIL_FLEET_NODE_IMPL_H
 
+#include "fleet/applied_tree.h"
 #include "fleet/byte_budget.h"
 #include "fleet/datagrams.h"
-#include "fleet/force_tree.h"
 #include "fleet/gossip.h"
-#include "fleet/hearing.h"
-#include "fleet/lease_keeper.h"
+#include "fleet/heartbeat_receiver.h"
 #include "fleet/platform_feed.h"
+#include "fleet/shard_lease.h"
 
 namespace marjoramrail {
 
@@ -32,15 +32,15 @@
   piece_joiner Joiner;
   platform_writer Writer;
   platform_feed Feed;
-  std::vector<std::unique_ptr<lease_keeper>> Leases;
-  std::vector<duty_news> Duties;
+  std::vector<std::unique_ptr<shard_lease>> Leases;
+  std::vector<shard_lease_update> ShardLeases;
   /// Duties with news, and how often to tell them yet.
-  std::map<std::uint32_t, int> HotDuties;
-  std::uint32_t NextDuty = 0;
+  std::map<std::uint32_t, int> PendingLeases;
+  std::uint32_t NextShard = 0;
   gossip Gossip;
-  hearing Hearing;
-  force_tree Force;
-  duty_holder Holder;
+  heartbeat_receiver HeartbeatReceiver;
+  applied_tree Applied;
+  shard_controller Controller;
   /// The balancers that each host announces to, while the peers stay as are.
   std::map<std::string, std::vector<endpoint>> Assigned;
   std::optional<instant> LastHeard;
@@ -48,51 +48,51 @@
   std::uint32_t LastMessage = 0;
   instant ChosenAt;
   std::uint64_t CandidatesFor = ~std::uint64_t{0};
-  std::vector<balancer_info> Told;
+  std::vector<balancer_info> Reported;
   bool Stopped = false;
 
   impl(timer_service &Service, const platform_api &Platform,
-       fleet_settings Given, fleet_hooks Asked);
+       fleet_settings Given, fleet_hooks GivenHooks);
   ~impl();
 
   gossip::hooks gossipHooks();
-  hearing::hooks hearingHooks();
-  force_tree::hooks forceHooks();
-  duty_holder::hooks holderHooks();
+  heartbeat_receiver::hooks receiverHooks();
+  applied_tree::hooks appliedHooks();
+  shard_controller::hooks controllerHooks();
   void makeLeases();
 
   void tick();
   void input(const endpoint &From, fleet_bytes Bytes);
   bool send(const endpoint &To, const message &Message, urgency Urgency);
 
-  void take(const endpoint &From, const announcement &Announcement) {
-    Hearing.announced(From, Announcement);
+  void take(const endpoint &From, const host_heartbeat &Heartbeat) {
+    HeartbeatReceiver.take(From, Heartbeat);
   }
-  void take(const endpoint &, const assignment &) { ++Counters.Faults; }
-  void take(const endpoint &, const host_ping &) { ++Counters.Faults; }
+  void take(const endpoint &, const assignment &) { ++Counters.DecodeErrors; }
+  void take(const endpoint &, const host_ping &) { ++Counters.DecodeErrors; }
   void take(const endpoint &, const host_report &Report) {
-    Holder.take(Report);
+    Controller.take(Report);
   }
   void take(const endpoint &, const probe_request &Request) {
-    Hearing.probe(Request);
+    HeartbeatReceiver.probe(Request);
   }
-  void take(const endpoint &From, const force_report &Report) {
-    Force.take(From, Report);
+  void take(const endpoint &From, const applied_report &Report) {
+    Applied.take(From, Report);
   }
-  void take(const endpoint &, const force_ack &Ack) { Force.take(Ack); }
+  void take(const endpoint &, const applied_ack &Ack) { Applied.take(Ack); }
   template <typename Other>
   void take(const endpoint &From, const Other &Message) {
     Gossip.take(From, Message);
   }
 
   void takeView(const membership &Members);
-  void takeDuty(const duty_news &News);
-  std::vector<duty_news> dutiesToTell(bool Fill);
+  void takeLease(const shard_lease_update &Update);
+  std::vector<shard_lease_update> leasesToSend(bool Fill);
   void peersChanged();
-  void chooseDuties();
+  void chooseCandidates();
   std::optional<std::uint64_t> termFor(const std::string &Service) const;
-  const duty_news &dutyFor(const std::string &Service) const;
-  void reportHost(report_kind Kind, const announcement &Heard);
+  const shard_lease_update &leaseOf(const std::string &Service) const;
+  void reportHost(report_kind Kind, const host_heartbeat &Heartbeat);
   void probeOthers(const probe_request &Request);
   std::vector<endpoint> assignedTo(const std::string &Host);
   void note(const std::string &Text) const {
--- a/src/fleet/node_wiring.cpp
+++ b/src/fleet/node_wiring.cpp
@@ -9,7 +9,7 @@
 
 constexpr duration TickPeriod = std::chrono::milliseconds(200);
 /// Everything is looked at now and then, e.g. to forget hosts long gone.
-constexpr duration LookAtAllPeriod = std::chrono::seconds(60);
+constexpr duration RecheckAllInterval = std::chrono::seconds(60);
 
 std::string writerName(const fleet_settings &Settings) {
   return Settings.Name + ":" + std::to_string(Settings.Incarnation);
@@ -22,21 +22,22 @@
 } // namespace
 
 fleet_node::impl::impl(timer_service &Service, const platform_api &Platform,
-                       fleet_settings Given, fleet_hooks Asked)
-    : Timers(Service), Settings(std::move(Given)), Hooks(std::move(Asked)),
+                       fleet_settings Given, fleet_hooks GivenHooks)
+    : Timers(Service), Settings(std::move(Given)), Hooks(std::move(GivenHooks)),
       StartedAt(Timers.now()), Peers(infoOf(Settings), Settings.Seed),
       Budget(Settings.BytesPerSecond, StartedAt),
       Writer(Timers, Platform, writerName(Settings), Counters),
       Feed(Timers, Platform, Counters,
-           [this](const platform_object &Object) { Holder.take(Object); }),
-      Duties(Settings.Shards),
+           [this](const platform_object &Object) { Controller.take(Object); }),
+      ShardLeases(Settings.Shards),
       Gossip(Timers, Peers, Views, Settings.Seeds, gossipHooks()),
-      Hearing(Timers, Views, Settings.SilenceBound, Settings.Control,
-              Settings.Seed ^ hashOfName(Settings.Name), hearingHooks()),
-      Force(Timers, Peers, Views, forceHooks()),
-      Holder(Timers, Writer, Counters, holderHooks()) {
+      HeartbeatReceiver(
+          Timers, Views, Settings.SilenceTimeout, Settings.Control,
+          Settings.Seed ^ hashOfName(Settings.Name), receiverHooks()),
+      Applied(Timers, Peers, Views, appliedHooks()),
+      Controller(Timers, Writer, Counters, controllerHooks()) {
   for (std::uint32_t I = 0; I < Settings.Shards; ++I)
-    Duties[I].Shard = I;
+    ShardLeases[I].Shard = I;
   makeLeases();
   OwnTimers.push_back(Timers.every(TickPeriod, [this] { tick(); }));
   // Nodes that start together would else beat together for ever.
@@ -48,7 +49,7 @@
         Timers.every(Settings.GossipPeriod, [this] { Gossip.period(); }));
   }));
   OwnTimers.push_back(
-      Timers.every(LookAtAllPeriod, [this] { Holder.lookAtAll(); }));
+      Timers.every(RecheckAllInterval, [this] { Controller.recheckAll(); }));
 }
 
 fleet_node::impl::~impl() {
@@ -62,11 +63,12 @@
                      urgency Urgency) { return send(To, Message, Urgency); },
       .OnPeersChanged = [this] { peersChanged(); },
       .OnView = [this](const membership &Members) { takeView(Members); },
-      .OnDuty = [this](const duty_news &News) { takeDuty(News); },
-      .Duties = [this](bool Fill) { return dutiesToTell(Fill); }};
+      .OnLease =
+          [this](const shard_lease_update &Update) { takeLease(Update); },
+      .ShardLeases = [this](bool Fill) { return leasesToSend(Fill); }};
 }
 
-hearing::hooks fleet_node::impl::hearingHooks() {
+heartbeat_receiver::hooks fleet_node::impl::receiverHooks() {
   return {
       .Send =
           [this](const endpoint &To, const message &Message) {
@@ -74,64 +76,73 @@
                               std::holds_alternative<view_delta>(Message);
             return send(To, Message, View ? urgency::Soon : urgency::Now);
           },
-      .Report = [this](report_kind Kind,
-                       const announcement &Heard) { reportHost(Kind, Heard); },
+      .Report =
+          [this](report_kind Kind, const host_heartbeat &Heartbeat) {
+            reportHost(Kind, Heartbeat);
+          },
       .Assigned = [this](const std::string &Host) { return assignedTo(Host); },
       .PeersAnswer =
-          [this] { return Peers.living().size() > 1 && Peers.trustsItself(); }};
+          [this] {
+            return Peers.living().size() > 1 && Peers.isLinkTrusted();
+          }};
 }
 
-force_tree::hooks fleet_node::impl::forceHooks() {
+applied_tree::hooks fleet_node::impl::appliedHooks() {
   return {
       .Send =
           [this](const endpoint &To, const message &Message) {
             send(To, Message, urgency::Later);
           },
-      .Holder = [this](const std::string &Service) { return dutyFor(Service); },
+      .Holder = [this](const std::string &Service) { return leaseOf(Service); },
       .OnChange =
-          [this](const std::string &Service) { Holder.forceChanged(Service); }};
+          [this](const std::string &Service) {
+            Controller.appliedChanged(Service);
+          }};
 }
 
-duty_holder::hooks fleet_node::impl::holderHooks() {
+shard_controller::hooks fleet_node::impl::controllerHooks() {
   return {
       .Term = [this](const std::string &Service) { return termFor(Service); },
-      .Mine =
+      .HoldsShard =
           [this](const std::string &Service) {
             return Leases[shardOf(Service, Settings.Shards)]->holds();
           },
-      .Known =
+      .NewestView =
           [this](const std::string &Service) { return Views.find(Service); },
       .OnWritten = [this](const membership &Members) { takeView(Members); },
       .OnObject = [this](const platform_object &Object) { Feed.wrote(Object); },
       .Probe = [this](const probe_request &Request) { probeOthers(Request); },
       .Balancers = [this] { return Peers.living().size(); },
-      .TrustsItself = [this] { return Peers.trustsItself(); },
-      .InForce =
-          [this](const std::string &Service) { return Force.summary(Service); },
+      .IsLinkTrusted = [this] { return Peers.isLinkTrusted(); },
+      .Applied =
+          [this](const std::string &Service) {
+            return Applied.summary(Service);
+          },
       .WallClockMs = Hooks.WallClockMs,
       .Note = Hooks.Note};
 }
 
 void fleet_node::impl::makeLeases() {
   for (std::uint32_t Shard = 0; Shard < Settings.Shards; ++Shard) {
-    lease_keeper::hooks LeaseHooks;
+    shard_lease::hooks LeaseHooks;
     LeaseHooks.OnHeld = [this, Shard](std::uint64_t Term) {
       note("took duty " + std::to_string(Shard) + " in term " +
            std::to_string(Term));
       // The objects of this shard have been passed over until now.
-      Feed.require(Leases[Shard]->version());
+      Feed.requireVersion(Leases[Shard]->version());
       Feed.restart();
-      Holder.lookAtAll();
+      Controller.recheckAll();
     };
     LeaseHooks.OnLost = [this, Shard] {
       note("lost duty " + std::to_string(Shard));
     };
     LeaseHooks.OnSeen = [this, Shard](const lease_record &Record) {
-      takeDuty({Shard, Record.Term, Record.Holder, Record.Control});
+      takeLease({Shard, Record.Term, Record.Holder, Record.Control});
     };
-    Leases.push_back(std::make_unique<lease_keeper>(
+    Leases.push_back(std::make_unique<shard_lease>(
         Timers, Writer,
-        lease_settings{Shard, Settings.Name, Settings.Control, Settings.Lease},
+        shard_lease_settings{Shard, Settings.Name, Settings.Control,
+                             Settings.Lease},
         std::move(LeaseHooks)));
   }
 }
--- a/src/fleet/peer_table.cpp
+++ b/src/fleet/peer_table.cpp
@@ -11,14 +11,14 @@
 
 /// An answer takes one round trip; a second covers the slowest link and a
 /// pause of the asked VM.
-constexpr duration AnswerWithin = std::chrono::seconds(1);
+constexpr duration AnswerTimeout = std::chrono::seconds(1);
 /// Questions without an answer before a peer is suspected.
 constexpr int MissesBeforeSuspect = 2;
 /// Time for a suspect to hear of it and to object: some rounds of gossip.
-constexpr duration SuspectFor = std::chrono::seconds(4);
+constexpr duration SuspectTimeout = std::chrono::seconds(4);
 /// The dead are remembered for as long as old news of them may go round.
-constexpr duration RememberDead = std::chrono::seconds(60);
-/// The answers that trustsItself() looks at.
+constexpr duration DeadRetention = std::chrono::seconds(60);
+/// The answers that isLinkTrusted() looks at.
 constexpr std::size_t AnswersKept = 8;
 
 int timesToSpread(std::size_t Peers) {
@@ -32,28 +32,28 @@
   setLiving(Self.Name, &Self);
 }
 
-bool peer_table::isSilent(const entry &Entry) {
+bool peer_table::isUnresponsive(const entry &Entry) {
   return Entry.Missed >= MissesBeforeSuspect;
 }
 
 void peer_table::setMissed(entry &Entry, int Missed) {
-  const bool Before = isSilent(Entry);
+  const bool Before = isUnresponsive(Entry);
   Entry.Missed = Missed;
-  Silences += isSilent(Entry) != Before ? 1 : 0;
+  ResponsivenessChanges += isUnresponsive(Entry) != Before ? 1 : 0;
 }
 
 std::vector<balancer_info> peer_table::answering() const {
   std::vector<balancer_info> Answering;
   for (const balancer_info &Peer : Living) {
     const auto Found = Peers.find(Peer.Name);
-    if (Found == Peers.end() || !isSilent(Found->second))
+    if (Found == Peers.end() || !isUnresponsive(Found->second))
       Answering.push_back(Peer);
   }
   return Answering;
 }
 
 void peer_table::spread(const std::string &Name) {
-  Hot[Name] = timesToSpread(Peers.size());
+  PendingUpdates[Name] = timesToSpread(Peers.size());
 }
 
 /// Changes one entry only: with 12,000 peers, sorting all of them for each one
@@ -75,36 +75,36 @@
   ++Version;
 }
 
-bool peer_table::set(entry &Entry, const peer_news &News, instant Now) {
+bool peer_table::set(entry &Entry, const peer_update &Update, instant Now) {
   const bool Same =
-      Entry.News.State == News.State && Entry.News.Info == News.Info;
+      Entry.Update.State == Update.State && Entry.Update.Info == Update.Info;
   if (Same)
     return false;
-  const bool Lives = Entry.News.State != peer_state::Dead;
-  const bool LivesThen = News.State != peer_state::Dead;
-  const bool Moved = Entry.News.Info != News.Info || Lives != LivesThen;
-  Entry.News = News;
+  const bool Lives = Entry.Update.State != peer_state::Dead;
+  const bool LivesThen = Update.State != peer_state::Dead;
+  const bool Moved = Entry.Update.Info != Update.Info || Lives != LivesThen;
+  Entry.Update = Update;
   Entry.Since = Now;
-  if (News.State == peer_state::Alive)
+  if (Update.State == peer_state::Alive)
     setMissed(Entry, 0);
   // The silence of the dead is explained and says nothing about this node.
-  if (News.State == peer_state::Dead)
+  if (Update.State == peer_state::Dead)
     std::erase_if(Answers, [&](const answer &Answer) {
-      return Answer.Name == News.Info.Name;
+      return Answer.Name == Update.Info.Name;
     });
-  spread(News.Info.Name);
+  spread(Update.Info.Name);
   if (Moved)
-    setLiving(News.Info.Name, LivesThen ? &Entry.News.Info : nullptr);
+    setLiving(Update.Info.Name, LivesThen ? &Entry.Update.Info : nullptr);
   return Moved;
 }
 
-bool peer_table::take(const peer_news &News, instant Now) {
-  const std::string &Name = News.Info.Name;
+bool peer_table::take(const peer_update &Update, instant Now) {
+  const std::string &Name = Update.Info.Name;
   if (Name == Self.Name) {
-    const bool Objects =
-        News.State != peer_state::Alive || News.Info.Control != Self.Control;
-    if (News.Info.Incarnation >= Self.Incarnation && Objects) {
-      Self.Incarnation = News.Info.Incarnation + 1;
+    const bool Refutes = Update.State != peer_state::Alive ||
+                         Update.Info.Control != Self.Control;
+    if (Update.Info.Incarnation >= Self.Incarnation && Refutes) {
+      Self.Incarnation = Update.Info.Incarnation + 1;
       spread(Name);
       setLiving(Name, &Self);
     }
@@ -112,36 +112,36 @@
   }
   const auto Found = Peers.find(Name);
   if (Found == Peers.end()) {
-    if (News.State == peer_state::Dead)
+    if (Update.State == peer_state::Dead)
       return false;
-    Peers[Name] = {News, Now, std::nullopt, 0};
+    Peers[Name] = {Update, Now, std::nullopt, 0};
     spread(Name);
-    setLiving(Name, &News.Info);
+    setLiving(Name, &Update.Info);
     return true;
   }
   entry &Entry = Found->second;
-  const std::uint32_t Known = Entry.News.Info.Incarnation;
-  const std::uint32_t Told = News.Info.Incarnation;
+  const std::uint32_t Known = Entry.Update.Info.Incarnation;
+  const std::uint32_t Reported = Update.Info.Incarnation;
   // Within one incarnation the worse news wins: only the peer itself can
   // object, by a higher one.
-  const bool Worse = Told == Known && News.State > Entry.News.State;
-  if (Told > Known || Worse)
-    return set(Entry, News, Now);
+  const bool Worse = Reported == Known && Update.State > Entry.Update.State;
+  if (Reported > Known || Worse)
+    return set(Entry, Update, Now);
   return false;
 }
 
-bool peer_table::heard(const balancer_info &Peer, instant Now) {
+bool peer_table::messageReceived(const balancer_info &Peer, instant Now) {
   const auto Found = Peers.find(Peer.Name);
   if (Found != Peers.end()) {
     entry &Entry = Found->second;
-    if (Entry.AskedAt)
-      noteAnswer(Peer.Name, true);
-    Entry.AskedAt.reset();
+    if (Entry.ProbedAt)
+      recordAnswer(Peer.Name, true);
+    Entry.ProbedAt.reset();
     setMissed(Entry, 0);
     // Heard with our own ears: a suspicion of this incarnation that we hold
     // is void here, while the peer still has to object for the others.
-    if (Entry.News.State == peer_state::Suspect &&
-        Entry.News.Info.Incarnation == Peer.Incarnation)
+    if (Entry.Update.State == peer_state::Suspect &&
+        Entry.Update.Info.Incarnation == Peer.Incarnation)
       return set(Entry, {Peer, peer_state::Alive}, Now);
   }
   return take({Peer, peer_state::Alive}, Now);
@@ -149,26 +149,26 @@
 
 /// Each peer counts once: a silent one is asked more often, and counting its
 /// silence each time would make a node of a small fleet doubt itself for ever.
-void peer_table::noteAnswer(const std::string &Name, bool Came) {
+void peer_table::recordAnswer(const std::string &Name, bool Arrived) {
   std::erase_if(Answers,
                 [&](const answer &Answer) { return Answer.Name == Name; });
-  Answers.push_front({Name, Came});
+  Answers.push_front({Name, Arrived});
   if (Answers.size() > AnswersKept)
     Answers.pop_back();
 }
 
-bool peer_table::trustsItself() const {
-  const auto Came =
+bool peer_table::isLinkTrusted() const {
+  const auto Arrived =
       std::count_if(Answers.begin(), Answers.end(),
-                    [](const answer &Answer) { return Answer.Came; });
-  return static_cast<std::size_t>(Came) * 2 >= Answers.size();
+                    [](const answer &Answer) { return Answer.Arrived; });
+  return static_cast<std::size_t>(Arrived) * 2 >= Answers.size();
 }
 
-std::optional<balancer_info> peer_table::nextToAsk(instant Now) {
+std::optional<balancer_info> peer_table::nextToProbe(instant Now) {
   while (true) {
     if (Round.empty()) {
       for (const auto &[Name, Entry] : Peers)
-        if (Entry.News.State != peer_state::Dead)
+        if (Entry.Update.State != peer_state::Dead)
           Round.push_back(Name);
       std::shuffle(Round.begin(), Round.end(), Random);
     }
@@ -177,11 +177,11 @@
     const std::string Name = Round.back();
     Round.pop_back();
     const auto Found = Peers.find(Name);
-    if (Found == Peers.end() || Found->second.News.State == peer_state::Dead)
+    if (Found == Peers.end() || Found->second.Update.State == peer_state::Dead)
       continue;
-    if (!Found->second.AskedAt)
-      Found->second.AskedAt = Now;
-    return Found->second.News.Info;
+    if (!Found->second.ProbedAt)
+      Found->second.ProbedAt = Now;
+    return Found->second.Update.Info;
   }
 }
 
@@ -192,66 +192,68 @@
   return Picked.Name == Self.Name ? random() : std::optional(Picked);
 }
 
-bool peer_table::missAnswer(entry &Entry, instant Now) {
-  Entry.AskedAt.reset();
-  noteAnswer(Entry.News.Info.Name, false);
+bool peer_table::recordMiss(entry &Entry, instant Now) {
+  Entry.ProbedAt.reset();
+  recordAnswer(Entry.Update.Info.Name, false);
   // Asked again next, not after a whole round through the fleet.
-  Round.push_back(Entry.News.Info.Name);
+  Round.push_back(Entry.Update.Info.Name);
   setMissed(Entry, Entry.Missed + 1);
-  if (Entry.News.State != peer_state::Alive || !isSilent(Entry) ||
-      !trustsItself())
+  if (Entry.Update.State != peer_state::Alive || !isUnresponsive(Entry) ||
+      !isLinkTrusted())
     return false;
-  return set(Entry, {Entry.News.Info, peer_state::Suspect}, Now);
+  return set(Entry, {Entry.Update.Info, peer_state::Suspect}, Now);
 }
 
 bool peer_table::tick(instant Now) {
   const std::uint64_t Before = Version;
   std::vector<std::string> Forgotten;
   for (auto &[Name, Entry] : Peers) {
-    if (Entry.AskedAt && Now - *Entry.AskedAt >= AnswerWithin)
-      missAnswer(Entry, Now);
-    if (Entry.News.State == peer_state::Suspect &&
-        Now - Entry.Since >= SuspectFor && trustsItself())
-      set(Entry, {Entry.News.Info, peer_state::Dead}, Now);
-    if (Entry.News.State == peer_state::Dead &&
-        Now - Entry.Since >= RememberDead)
+    if (Entry.ProbedAt && Now - *Entry.ProbedAt >= AnswerTimeout)
+      recordMiss(Entry, Now);
+    if (Entry.Update.State == peer_state::Suspect &&
+        Now - Entry.Since >= SuspectTimeout && isLinkTrusted())
+      set(Entry, {Entry.Update.Info, peer_state::Dead}, Now);
+    if (Entry.Update.State == peer_state::Dead &&
+        Now - Entry.Since >= DeadRetention)
       Forgotten.push_back(Name);
   }
   for (const std::string &Name : Forgotten) {
     Peers.erase(Name);
-    Hot.erase(Name);
+    PendingUpdates.erase(Name);
   }
   return Version != Before;
 }
 
-std::vector<peer_news> peer_table::newsToSend(std::size_t Most, bool Fill) {
-  std::vector<peer_news> News;
-  for (auto At = Hot.begin(); At != Hot.end() && News.size() < Most;) {
+std::vector<peer_update> peer_table::updatesToSend(std::size_t Most,
+                                                   bool Fill) {
+  std::vector<peer_update> Update;
+  for (auto At = PendingUpdates.begin();
+       At != PendingUpdates.end() && Update.size() < Most;) {
     const auto Found = Peers.find(At->first);
     if (Found != Peers.end())
-      News.push_back(Found->second.News);
-    At = --At->second <= 0 ? Hot.erase(At) : std::next(At);
+      Update.push_back(Found->second.Update);
+    At = --At->second <= 0 ? PendingUpdates.erase(At) : std::next(At);
   }
   if (!Fill)
-    return News;
+    return Update;
   auto At = Peers.upper_bound(FillCursor);
-  for (std::size_t I = 0; I < Peers.size() && News.size() < Most; ++I) {
+  for (std::size_t I = 0; I < Peers.size() && Update.size() < Most; ++I) {
     if (At == Peers.end())
       At = Peers.begin();
-    News.push_back(At->second.News);
+    Update.push_back(At->second.Update);
     FillCursor = At->first;
     ++At;
   }
-  return News;
+  return Update;
 }
 
 const balancer_info *peer_table::find(const std::string &Name) const {
   if (Name == Self.Name)
     return &Self;
   const auto Found = Peers.find(Name);
-  if (Found == Peers.end() || Found->second.News.State == peer_state::Dead)
+  if (Found == Peers.end() || Found->second.Update.State == peer_state::Dead)
     return nullptr;
-  return &Found->second.News.Info;
+  return &Found->second.Update.Info;
 }
 
 } // namespace marjoramrail::internal
--- a/src/fleet/peer_table.h
+++ b/src/fleet/peer_table.h
@@ -28,13 +28,13 @@
   const balancer_info &self() const { return Self; }
 
   /// News from anyone. Returns true if they changed the table.
-  bool take(const peer_news &News, instant Now);
+  bool take(const peer_update &Update, instant Now);
 
   /// The peer itself sent a message.
-  bool heard(const balancer_info &Peer, instant Now);
+  bool messageReceived(const balancer_info &Peer, instant Now);
 
   /// The next peer to ask, each once per round in random order.
-  std::optional<balancer_info> nextToAsk(instant Now);
+  std::optional<balancer_info> nextToProbe(instant Now);
 
   /// Some live peer, for news that should spread at once.
   std::optional<balancer_info> random();
@@ -50,39 +50,41 @@
   /// nobody, and the dead would keep their places for ever.
   std::vector<balancer_info> answering() const;
   /// Grows with each change of answering().
-  std::uint64_t answeringVersion() const { return Version + Silences; }
+  std::uint64_t answeringVersion() const {
+    return Version + ResponsivenessChanges;
+  }
   /// Grows with each change of living().
   std::uint64_t version() const { return Version; }
   std::uint64_t digest() const { return Digest; }
 
   /// News to pass on with the next message: the newest first, then some of the
   /// others when \p Fill is set because the other's digest differs.
-  std::vector<peer_news> newsToSend(std::size_t Most, bool Fill);
-  bool hasNews() const { return !Hot.empty(); }
+  std::vector<peer_update> updatesToSend(std::size_t Most, bool Fill);
+  bool hasUpdates() const { return !PendingUpdates.empty(); }
 
   /// False when most of the peers asked lately did not answer: then silence
   /// says more about this node's link than about others.
-  bool trustsItself() const;
+  bool isLinkTrusted() const;
 
   const balancer_info *find(const std::string &Name) const;
 
 private:
   struct entry {
-    peer_news News;
+    peer_update Update;
     instant Since;
     /// Set while an answer is due.
-    std::optional<instant> AskedAt;
+    std::optional<instant> ProbedAt;
     int Missed = 0;
   };
 
-  bool set(entry &Entry, const peer_news &News, instant Now);
-  static bool isSilent(const entry &Entry);
+  bool set(entry &Entry, const peer_update &Update, instant Now);
+  static bool isUnresponsive(const entry &Entry);
   void setMissed(entry &Entry, int Missed);
   void spread(const std::string &Name);
   /// Puts \p Info into Living, or takes the name out if it is null.
   void setLiving(const std::string &Name, const balancer_info *Info);
-  void noteAnswer(const std::string &Name, bool Came);
-  bool missAnswer(entry &Entry, instant Now);
+  void recordAnswer(const std::string &Name, bool Arrived);
+  bool recordMiss(entry &Entry, instant Now);
 
   balancer_info Self;
   std::mt19937_64 Random;
@@ -90,15 +92,15 @@
   std::vector<balancer_info> Living;
   std::vector<std::string> Round;
   /// Names with news, and how often they are still to be sent.
-  std::map<std::string, int> Hot;
+  std::map<std::string, int> PendingUpdates;
   std::string FillCursor;
   std::uint64_t Version = 0;
   /// Changes of who is silent.
-  std::uint64_t Silences = 0;
+  std::uint64_t ResponsivenessChanges = 0;
   std::uint64_t Digest = 0;
   struct answer {
     std::string Name;
-    bool Came = false;
+    bool Arrived = false;
   };
   /// The last answers, or their lack, of different peers; newest first.
   std::deque<answer> Answers;
--- a/src/fleet/platform_feed.cpp
+++ b/src/fleet/platform_feed.cpp
@@ -11,10 +11,10 @@
                                                "membership"};
 constexpr duration WatchWait = std::chrono::seconds(20);
 /// Ten changes a second reach a watcher in five calls, not ten.
-constexpr duration WatchPause = std::chrono::milliseconds(200);
-constexpr duration FirstRetry = std::chrono::milliseconds(500);
+constexpr duration WatchInterval = std::chrono::milliseconds(200);
+constexpr duration MinRetryInterval = std::chrono::milliseconds(500);
 /// A platform that comes back from an outage is not met by a rush of calls.
-constexpr duration LastRetry = std::chrono::seconds(8);
+constexpr duration MaxRetryInterval = std::chrono::seconds(8);
 
 } // namespace
 
@@ -42,9 +42,9 @@
 }
 
 duration platform_feed::backOff() {
-  const duration Wait = FirstRetry * (1 << std::min(Failures, 4));
+  const duration Wait = MinRetryInterval * (1 << std::min(Failures, 4));
   ++Failures;
-  return std::min(Wait, LastRetry);
+  return std::min(Wait, MaxRetryInterval);
 }
 
 void platform_feed::start() {
@@ -77,7 +77,7 @@
 
 void platform_feed::listed(std::size_t Kind, const platform_reply &Reply) {
   if (Reply.Outcome != platform_outcome::Ok || Reply.StoreVersion < Highest) {
-    Counters.OlderIgnored += Reply.Outcome == platform_outcome::Ok ? 1 : 0;
+    Counters.StaleIgnored += Reply.Outcome == platform_outcome::Ok ? 1 : 0;
     later(backOff(), [this, Kind] { list(Kind); });
     return;
   }
@@ -131,20 +131,20 @@
   }
   Failures = 0;
   if (Reply.StoreVersion < Highest)
-    ++Counters.OlderIgnored;
+    ++Counters.StaleIgnored;
   for (const platform_object &Object : Reply.Objects)
     if (std::find(Kinds.begin(), Kinds.end(), Object.Key.Kind) != Kinds.end())
       offer(Object, false);
   Highest = std::max(Highest, Reply.StoreVersion);
   Since = std::max(Since, Reply.StoreVersion);
-  later(WatchPause, [this] { watch(); });
+  later(WatchInterval, [this] { watch(); });
 }
 
 void platform_feed::offer(const platform_object &Object, bool Again) {
   std::uint64_t &Known = Versions[Object.Key];
   const bool Repeated = Again && Object.Version == Known;
   if (Object.Version <= Known && !Repeated) {
-    Counters.OlderIgnored += Object.Version < Known ? 1 : 0;
+    Counters.StaleIgnored += Object.Version < Known ? 1 : 0;
     return;
   }
   Known = Object.Version;
@@ -155,12 +155,12 @@
     Versions.erase(Object.Key);
 }
 
-void platform_feed::require(std::uint64_t Version) {
+void platform_feed::requireVersion(std::uint64_t Version) {
   Highest = std::max(Highest, Version);
 }
 
 void platform_feed::wrote(const platform_object &Object) {
-  require(Object.Version);
+  requireVersion(Object.Version);
   std::uint64_t &Known = Versions[Object.Key];
   Known = std::max(Known, Object.Version);
 }
--- a/src/fleet/platform_feed.h
+++ b/src/fleet/platform_feed.h
@@ -39,7 +39,7 @@
   /// lease that was just taken tells the version at which the platform stands;
   /// a list from a replica that is behind it would bring back what was changed
   /// since.
-  void require(std::uint64_t Version);
+  void requireVersion(std::uint64_t Version);
 
   /// An object that a write of ours has just made, so that the watch does not
   /// bring it as news.
--- a/src/fleet/platform_writer.cpp
+++ b/src/fleet/platform_writer.cpp
@@ -7,7 +7,7 @@
 /// Read-backs before the write is given up as unavailable; with the pause
 /// below they span ten seconds, longer than any lease that such a write is for.
 constexpr int MaxReadBacks = 20;
-constexpr duration ReadBackPause = std::chrono::milliseconds(500);
+constexpr duration ReadBackInterval = std::chrono::milliseconds(500);
 
 } // namespace
 
@@ -101,23 +101,23 @@
       (Found && Reply.Object.Version < Attempt->Write.Expected) ||
       (Missing && Attempt->Write.Expected != 0);
   if ((!Found && !Missing) || Older) {
-    Counters.OlderIgnored += Older ? 1 : 0;
+    Counters.StaleIgnored += Older ? 1 : 0;
     retryReadBack(Attempt);
     return;
   }
   ++Counters.WritesResolved;
-  const platform_object &Stands = Reply.Object;
+  const platform_object &Current = Reply.Object;
   const platform_object &Ours = Attempt->Write.Object;
-  if (Missing || Stands.Version == Attempt->Write.Expected) {
+  if (Missing || Current.Version == Attempt->Write.Expected) {
     Attempt->Callback({write_outcome::Unavailable, {}, "not written"});
     return;
   }
-  if (wrote(Stands) && Stands.WriterSequence == Ours.WriterSequence) {
-    Attempt->Callback({write_outcome::Written, Stands, ""});
+  if (wrote(Current) && Current.WriterSequence == Ours.WriterSequence) {
+    Attempt->Callback({write_outcome::Written, Current, ""});
     return;
   }
   ++Counters.WritesFenced;
-  Attempt->Callback({write_outcome::Fenced, Stands, ""});
+  Attempt->Callback({write_outcome::Fenced, Current, ""});
 }
 
 void platform_writer::retryReadBack(const std::shared_ptr<attempt> &Attempt) {
@@ -125,7 +125,7 @@
     Attempt->Callback({write_outcome::Unavailable, {}, "outcome not known"});
     return;
   }
-  Timers.after(ReadBackPause, [this, Alive = Alive, Attempt] {
+  Timers.after(ReadBackInterval, [this, Alive = Alive, Attempt] {
     if (*Alive)
       readBack(Attempt);
   });
--- a/src/fleet/lease_keeper.cpp
+++ b/src/fleet/shard_lease.cpp
@@ -1,4 +1,4 @@
-#include "fleet/lease_keeper.h"
+#include "fleet/shard_lease.h"
 
 #include <nlohmann/json.hpp>
 
@@ -12,7 +12,7 @@
 constexpr int RenewalsPerLease = 3;
 /// Looks of an observer per lease. Each is a read at the platform, by one node
 /// per shard; more would find a lease that was given back a little sooner.
-constexpr int LooksPerLease = 6;
+constexpr int ObservationsPerLease = 6;
 
 object_key keyOf(std::uint32_t Shard) {
   return {"lease", "shard-" + std::to_string(Shard)};
@@ -45,48 +45,48 @@
   }
 }
 
-lease_keeper::lease_keeper(timer_service &Timers, platform_writer &Writer,
-                           lease_settings Settings, hooks Hooks)
+shard_lease::shard_lease(timer_service &Timers, platform_writer &Writer,
+                         shard_lease_settings Settings, hooks Hooks)
     : Timers(Timers), Writer(Writer), Settings(std::move(Settings)),
       Hooks(std::move(Hooks)) {}
 
-bool lease_keeper::holds() const { return Held && Timers.now() < Expiry; }
+bool shard_lease::holds() const { return Held && Timers.now() < Expiry; }
 
-void lease_keeper::lose() {
+void shard_lease::markLost() {
   Held = false;
   SeenVersion.reset();
   if (Hooks.OnLost)
     Hooks.OnLost();
 }
 
-void lease_keeper::tick() {
+void shard_lease::tick() {
   if (Held && Timers.now() >= Expiry)
-    lose();
+    markLost();
   if (Busy)
     return;
   if (!Held) {
     const bool Due = !ObservedAt || Timers.now() - *ObservedAt >=
-                                        Settings.Length / LooksPerLease;
-    if (WantedHere && Due)
+                                        Settings.Length / ObservationsPerLease;
+    if (Candidate && Due)
       observe();
     return;
   }
-  if (!WantedHere)
+  if (!Candidate)
     release();
   else if (Timers.now() - RenewedAt >= Settings.Length / RenewalsPerLease)
     renew();
 }
 
-void lease_keeper::observe() {
+void shard_lease::observe() {
   ObservedAt = Timers.now();
   Busy = true;
   Writer.read(keyOf(Settings.Shard), [this](const platform_reply &Reply) {
     Busy = false;
-    saw(Reply);
+    observed(Reply);
   });
 }
 
-void lease_keeper::saw(const platform_reply &Reply) {
+void shard_lease::observed(const platform_reply &Reply) {
   if (Reply.Outcome == platform_outcome::NotFound) {
     // An older state may lack an object that we have seen.
     if (!SeenVersion)
@@ -96,11 +96,11 @@
   if (Reply.Outcome != platform_outcome::Ok)
     return;
   auto Record = parseLease(Reply.Object.Body);
-  const std::uint64_t Stands = Reply.Object.Version;
-  if (SeenVersion && Stands < *SeenVersion)
+  const std::uint64_t Current = Reply.Object.Version;
+  if (SeenVersion && Current < *SeenVersion)
     return;
-  if (!SeenVersion || Stands != *SeenVersion) {
-    SeenVersion = Stands;
+  if (!SeenVersion || Current != *SeenVersion) {
+    SeenVersion = Current;
     SeenSince = Timers.now();
   }
   if (Record && Hooks.OnSeen)
@@ -108,32 +108,32 @@
   const bool Free = !Record || Record->Holder.empty();
   if (!Free && Timers.now() - SeenSince < Settings.Length)
     return;
-  claim((Record ? Record->Term : 0) + 1, Stands);
+  claim((Record ? Record->Term : 0) + 1, Current);
 }
 
-void lease_keeper::claim(std::uint64_t Term, std::uint64_t Expected) {
+void shard_lease::claim(std::uint64_t Term, std::uint64_t Expected) {
   send({Settings.Name, Term, 0, Settings.Control}, Expected);
 }
 
-void lease_keeper::renew() {
-  lease_record Next = Mine;
+void shard_lease::renew() {
+  lease_record Next = OwnRecord;
   ++Next.Renewals;
   send(std::move(Next), Version);
 }
 
-void lease_keeper::release() {
+void shard_lease::release() {
   if (!holds())
     return;
-  lease_record Free = Mine;
+  lease_record Free = OwnRecord;
   Free.Holder.clear();
   const std::uint64_t Expected = Version;
-  lose();
+  markLost();
   Busy = true;
   Writer.write(keyOf(Settings.Shard), toBody(Free), Expected,
                [this](const write_result &) { Busy = false; });
 }
 
-void lease_keeper::send(lease_record Record, std::uint64_t Expected) {
+void shard_lease::send(lease_record Record, std::uint64_t Expected) {
   Busy = true;
   const instant SentAt = Timers.now();
   const std::string Body = toBody(Record);
@@ -141,38 +141,38 @@
       keyOf(Settings.Shard), Body, Expected,
       [this, Record = std::move(Record), SentAt](const write_result &Result) {
         Busy = false;
-        sent(Record, SentAt, Result);
+        writeFinished(Record, SentAt, Result);
       });
 }
 
-void lease_keeper::sent(const lease_record &Record, instant SentAt,
-                        const write_result &Result) {
+void shard_lease::writeFinished(const lease_record &Record, instant SentAt,
+                                const write_result &Result) {
   if (Result.Outcome == write_outcome::Written) {
     const bool New = !Held;
     Version = Result.Object.Version;
     // The answer may be late: a lease that has run out meanwhile is not held.
     Expiry = SentAt + Settings.Length;
     RenewedAt = SentAt;
-    Mine = Record;
+    OwnRecord = Record;
     if (New && Timers.now() >= Expiry)
       return;
     Held = true;
     if (Hooks.OnSeen)
-      Hooks.OnSeen(Mine);
+      Hooks.OnSeen(OwnRecord);
     if (New && Hooks.OnHeld)
-      Hooks.OnHeld(Mine.Term);
+      Hooks.OnHeld(OwnRecord.Term);
     return;
   }
   if (Result.Outcome != write_outcome::Fenced || !Held)
     return;
   // Our own late copy of an earlier renewal: the lease is still ours.
-  auto Stands = parseLease(Result.Object.Body);
-  if (Stands && Writer.wrote(Result.Object) && Stands->Term == Mine.Term &&
-      Stands->Holder == Mine.Holder) {
+  auto Current = parseLease(Result.Object.Body);
+  if (Current && Writer.wrote(Result.Object) &&
+      Current->Term == OwnRecord.Term && Current->Holder == OwnRecord.Holder) {
     Version = Result.Object.Version;
     return;
   }
-  lose();
+  markLost();
 }
 
 } // namespace marjoramrail::internal
--- a/src/fleet/lease_keeper.h
+++ b/src/fleet/shard_lease.h
@@ -1,4 +1,4 @@
-//===- lease_keeper.h - One duty, one holder --------------------*- C++ -*-===//
+//===- shard_lease.h - One duty, one holder --------------------*- C++ -*-===//
 ///
 /// \file
 /// The lease of one shard, an object `lease/shard-N` in the platform.
@@ -12,14 +12,14 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef MARJORAMRAIL_FLEET_LEASE_KEEPER_H
-#define MARJORAMRAIL_FLEET_LEASE_KEEPER_H
+#ifndef MARJORAMRAIL_FLEET_SHARD_LEASE_H
+#define MARJORAMRAIL_FLEET_SHARD_LEASE_H
 
 #include "fleet/platform_writer.h"
 
 namespace marjoramrail::internal {
 
-struct lease_settings {
+struct shard_lease_settings {
   std::uint32_t Shard = 0;
   std::string Name;
   endpoint Control = {};
@@ -38,7 +38,7 @@
 std::string toBody(const lease_record &Record);
 result<lease_record> parseLease(const std::string &Body);
 
-class lease_keeper {
+class shard_lease {
 public:
   struct hooks {
     std::function<void(std::uint64_t Term)> OnHeld = nullptr;
@@ -47,18 +47,18 @@
     std::function<void(const lease_record &)> OnSeen = nullptr;
   };
 
-  lease_keeper(timer_service &Timers, platform_writer &Writer,
-               lease_settings Settings, hooks Hooks);
+  shard_lease(timer_service &Timers, platform_writer &Writer,
+              shard_lease_settings Settings, hooks Hooks);
 
   /// Whether this node is among those that should compete for the lease.
-  void setWanted(bool Wanted) { WantedHere = Wanted; }
+  void setCandidate(bool Wanted) { Candidate = Wanted; }
 
   /// Renews, observes or takes over; call it a few times per lease.
   void tick();
 
   /// True only while the lease runs by this node's own clock.
   bool holds() const;
-  std::uint64_t term() const { return Mine.Term; }
+  std::uint64_t term() const { return OwnRecord.Term; }
   /// The store version at which the lease was last written.
   std::uint64_t version() const { return Version; }
 
@@ -67,22 +67,22 @@
 
 private:
   void observe();
-  void saw(const platform_reply &Reply);
+  void observed(const platform_reply &Reply);
   void claim(std::uint64_t Term, std::uint64_t Expected);
   void renew();
   void send(lease_record Record, std::uint64_t Expected);
-  void sent(const lease_record &Record, instant SentAt,
-            const write_result &Result);
-  void lose();
+  void writeFinished(const lease_record &Record, instant SentAt,
+                     const write_result &Result);
+  void markLost();
 
   timer_service &Timers;
   platform_writer &Writer;
-  lease_settings Settings;
+  shard_lease_settings Settings;
   hooks Hooks;
-  bool WantedHere = false;
+  bool Candidate = false;
   bool Busy = false;
   bool Held = false;
-  lease_record Mine;
+  lease_record OwnRecord;
   instant Expiry;
   instant RenewedAt;
   std::optional<instant> ObservedAt;
@@ -94,4 +94,4 @@
 
 } // namespace marjoramrail::internal
 
-#endif // MARJORAMRAIL_FLEET_LEASE_KEEPER_H
+#endif // MARJORAMRAIL_FLEET_SHARD_LEASE_H
--- a/src/fleet/view_delta.cpp
+++ b/src/fleet/view_delta.cpp
@@ -68,7 +68,7 @@
   for (const auto &[Id, Entry] : Before) {
     const auto Found = After.find(Id);
     if (Found == After.end())
-      Delta.GoneHosts.push_back(static_cast<std::uint32_t>(Id));
+      Delta.RemovedHosts.push_back(static_cast<std::uint32_t>(Id));
     else if (Found->second == Entry)
       After.erase(Found);
   }
@@ -77,7 +77,7 @@
   const auto NewGenerations = generationsOf(To);
   for (const auto &[Number, Generation] : OldGenerations)
     if (!NewGenerations.contains(Number))
-      Delta.GoneGenerations.push_back(Number);
+      Delta.RemovedGenerations.push_back(Number);
   for (const auto &[Number, Generation] : NewGenerations) {
     const auto Found = OldGenerations.find(Number);
     if (Found == OldGenerations.end() || Found->second != Generation)
@@ -93,13 +93,13 @@
     return std::nullopt;
   membership To = headOf(Delta.Changed);
   auto Hosts = hostsOf(From);
-  for (const std::uint32_t Gone : Delta.GoneHosts)
+  for (const std::uint32_t Gone : Delta.RemovedHosts)
     Hosts.erase(host_id{Gone});
   for (const auto &[Id, Entry] : hostsOf(Delta.Changed))
     Hosts[Id] = Entry;
   setHosts(To, Hosts);
   auto Generations = generationsOf(From);
-  for (const std::uint64_t Gone : Delta.GoneGenerations)
+  for (const std::uint64_t Gone : Delta.RemovedGenerations)
     Generations.erase(Gone);
   for (const auto &[Number, Generation] : generationsOf(Delta.Changed))
     Generations[Number] = Generation;
--- a/src/fleet/view_store.cpp
+++ b/src/fleet/view_store.cpp
@@ -20,14 +20,14 @@
 
 offer view_store::take(const membership &Members) {
   const std::string &Name = Members.View.Name;
-  const std::uint64_t Stands = versionOf(Name);
-  if (Members.View.Version == Stands)
+  const std::uint64_t Current = versionOf(Name);
+  if (Members.View.Version == Current)
     return offer::Same;
-  if (Members.View.Version < Stands)
+  if (Members.View.Version < Current)
     return offer::Older;
   std::uint64_t &Digest = Digests[bucketOf(Name)];
-  if (Stands != 0) {
-    Digest ^= hashOfVersion(Name, Stands);
+  if (Current != 0) {
+    Digest ^= hashOfVersion(Name, Current);
     Deltas.push_back(makeDelta(Views[Name], Members));
     if (Deltas.size() > MaxDeltas)
       Deltas.pop_front();
--- a/test/fleet/drain_reporter_test.cpp
+++ b/test/fleet/drain_reporter_test.cpp
@@ -12,11 +12,11 @@
 struct draining_host {
   timer_service Timers;
   fake_platform Platform{Timers};
-  std::optional<drain_status> Truth;
+  std::optional<drain_status> Status;
   drain_reporter Reporter{Timers, Platform.api(), "ledger-2",
-                          [this] { return Truth; }};
+                          [this] { return Status; }};
 
-  void pass(std::int64_t Seconds) {
+  void runFor(std::int64_t Seconds) {
     Timers.advance(Timers.now() + seconds(Seconds));
   }
   std::string stored() const {
@@ -32,23 +32,23 @@
 } // namespace
 
 TEST_CASE_FIXTURE(draining_host, "drain_reporter follows a drain to its end") {
-  Truth = statusOf(12);
-  pass(2);
+  Status = statusOf(12);
+  runFor(2);
   CHECK(stored() == toJson(statusOf(12)));
 
-  Truth = statusOf(0);
-  pass(2);
+  Status = statusOf(0);
+  runFor(2);
 
   CHECK(stored() == toJson(statusOf(0)));
 }
 
 TEST_CASE_FIXTURE(draining_host,
                   "drain_reporter writes nothing while nothing changes") {
-  Truth = statusOf(12);
-  pass(2);
+  Status = statusOf(12);
+  runFor(2);
   const std::uint64_t Before = Platform.Writes;
 
-  pass(60);
+  runFor(60);
 
   CHECK(Platform.Writes == Before);
 }
@@ -59,7 +59,7 @@
   // finds the old "safe to stop" stops a VM that holds two thousand flows.
   Platform.put("drain-status", "ledger-2", toJson(statusOf(0)));
 
-  pass(3);
+  runFor(3);
 
   CHECK(stored().empty());
 }
@@ -69,25 +69,25 @@
   // A write takes effect and its answer is lost: the next one meets a version
   // that the host has not seen, and the operator would wait for ever.
   Platform.LoseAnswers = 1;
-  Truth = statusOf(12);
-  pass(2);
-  Truth = statusOf(0);
+  Status = statusOf(12);
+  runFor(2);
+  Status = statusOf(0);
 
-  pass(5);
+  runFor(5);
 
   CHECK(stored() == toJson(statusOf(0)));
 }
 
 TEST_CASE_FIXTURE(draining_host,
                   "drain_reporter tells the end after a platform outage") {
-  Truth = statusOf(12);
-  pass(2);
+  Status = statusOf(12);
+  runFor(2);
   Platform.Down = true;
-  Truth = statusOf(0);
-  pass(30);
+  Status = statusOf(0);
+  runFor(30);
   Platform.Down = false;
 
-  pass(3);
+  runFor(3);
 
   CHECK(stored() == toJson(statusOf(0)));
 }
--- a/test/fleet/fake_platform.h
+++ b/test/fleet/fake_platform.h
@@ -22,9 +22,9 @@
   /// What it sends is lost.
   bool Cut = false;
   /// How long a call travels before it takes effect.
-  duration Travel = duration::zero();
+  duration RequestDelay = duration::zero();
   /// How much longer an answer takes than for others.
-  duration Back = duration::zero();
+  duration ReplyDelay = duration::zero();
 };
 
 class fake_platform {
@@ -100,7 +100,7 @@
 
   instant now() const { return Timers.now(); }
 
-  void remember() {
+  void saveOlder() {
     Older = Objects;
     OlderVersion = StoreVersion;
   }
@@ -150,18 +150,18 @@
     }
     platform_reply Reply;
     const auto Found = Objects.find(Write.Object.Key);
-    const std::uint64_t Stands = Found == Objects.end() || Found->second.Deleted
-                                     ? 0
-                                     : Found->second.Version;
+    const std::uint64_t Current =
+        Found == Objects.end() || Found->second.Deleted ? 0
+                                                        : Found->second.Version;
     if (LoseWrites > 0) {
       --LoseWrites;
       Reply.Outcome = platform_outcome::Unknown;
       return Reply;
     }
-    if (Stands != Write.Expected) {
-      Reply.Outcome =
-          Stands == 0 ? platform_outcome::NotFound : platform_outcome::Conflict;
-      if (Stands != 0)
+    if (Current != Write.Expected) {
+      Reply.Outcome = Current == 0 ? platform_outcome::NotFound
+                                   : platform_outcome::Conflict;
+      if (Current != 0)
         Reply.Object = Found->second;
       return Reply;
     }
@@ -197,16 +197,18 @@
               platform_callback Callback) {
     ++Calls;
     const bool Lost = Link != nullptr && Link->Cut;
-    const duration Back = Link != nullptr ? Link->Back : duration::zero();
-    const duration Travel = Link != nullptr ? Link->Travel : duration::zero();
-    Timers.after(Travel, [this, Lost, Back, Act = std::move(Act),
-                          Callback = std::move(Callback)] {
+    const duration ReplyDelay =
+        Link != nullptr ? Link->ReplyDelay : duration::zero();
+    const duration RequestDelay =
+        Link != nullptr ? Link->RequestDelay : duration::zero();
+    Timers.after(RequestDelay, [this, Lost, ReplyDelay, Act = std::move(Act),
+                                Callback = std::move(Callback)] {
       platform_reply Reply;
       Reply.Outcome = platform_outcome::Unavailable;
       Reply.RetryAfter = std::chrono::seconds(1);
       if (!Down && !Lost)
         Reply = Act();
-      Timers.after(Delay + Back, [Reply, Callback] { Callback(Reply); });
+      Timers.after(Delay + ReplyDelay, [Reply, Callback] { Callback(Reply); });
     });
   }
 
--- a/test/fleet/fleet_node_test.cpp
+++ b/test/fleet/fleet_node_test.cpp
@@ -42,7 +42,7 @@
   Site.run(2s);
   const membership *View = Site.Balancers[0]->Node->find("ledger");
   CHECK(View->View.Generations.front().Members.size() == 6);
-  CHECK(Site.declaredDown() == 1);
+  CHECK(Site.declaredDead() == 1);
 }
 
 TEST_CASE("a restarted agent comes back under its new incarnation") {
@@ -80,7 +80,7 @@
 
   Site.run(40s);
 
-  CHECK(Site.declaredDown() == 0);
+  CHECK(Site.declaredDead() == 0);
   CHECK(Site.seenByAll("ledger-3", target_state::Ready));
 }
 
@@ -89,16 +89,16 @@
   for (int Which = 0; Which < 3; ++Which) {
     site Site;
     REQUIRE(Site.settle());
-    const process *Lonely = Site.Balancers[Which].get();
+    const process *Isolated = Site.Balancers[Which].get();
     Site.Cut = [&](const process &From, const process &To) {
-      return &From == Lonely || &To == Lonely;
+      return &From == Isolated || &To == Isolated;
     };
 
     Site.run(60s);
     Site.Cut = nullptr;
     Site.run(20s);
 
-    CHECK(Site.declaredDown() == 0);
+    CHECK(Site.declaredDead() == 0);
     CHECK(Site.agreed("ledger", 7));
   }
 }
@@ -116,7 +116,7 @@
 
     Site.run(60s);
 
-    CHECK(Site.declaredDown() == 0);
+    CHECK(Site.declaredDead() == 0);
   }
 }
 
@@ -126,11 +126,11 @@
   test_agent &Agent = Site.agent("ledger-3");
   Agent.Frozen = true;
   Site.run(3s);
-  Agent.thaw(Site.Net.now());
+  Agent.resume(Site.Net.now());
   Site.run(10s);
 
-  CHECK(Site.declaredDown() == 0);
-  CHECK(Agent.TimesDeclaredDown == 0);
+  CHECK(Site.declaredDead() == 0);
+  CHECK(Agent.TimesDeclaredDead == 0);
 }
 
 TEST_CASE("a host frozen for long learns that it was given up") {
@@ -144,13 +144,13 @@
   Site.run(30s);
   REQUIRE(Site.seenByAll("ledger-3", target_state::Down));
 
-  Agent.thaw(Site.Net.now());
+  Agent.resume(Site.Net.now());
   const auto Took = Site.runUntil(
       [&] { return Site.seenByAll("ledger-3", target_state::Ready); }, 10s);
 
   CHECK(Took);
-  CHECK(Agent.TimesDeclaredDown == 1);
-  CHECK(Agent.Announcer->incarnation() == 2);
+  CHECK(Agent.TimesDeclaredDead == 1);
+  CHECK(Agent.HeartbeatSender->incarnation() == 2);
 }
 
 TEST_CASE("a zone that goes at once, balancer and hosts") {
@@ -187,7 +187,7 @@
     Site.run(15s);
     REQUIRE(Site.agreed("ledger", 7));
   }
-  CHECK(Site.declaredDown() == 0);
+  CHECK(Site.declaredDead() == 0);
   CHECK(Site.versionsOnlyGrew());
 }
 
@@ -195,7 +195,7 @@
   site Site;
   REQUIRE(Site.settle());
   std::mt19937_64 Random(7);
-  const std::uint64_t Before = Site.Balancers[0]->Node->counters().Faults;
+  const std::uint64_t Before = Site.Balancers[0]->Node->counters().DecodeErrors;
   for (int I = 0; I < 2000; ++I) {
     std::vector<std::uint8_t> Bytes(Random() % 100);
     for (std::uint8_t &Byte : Bytes)
@@ -211,9 +211,9 @@
                0x81,    Bytes[0],
                Bytes[1]};
     Site.Balancers[0]->Node->input({1, 1}, Bytes);
-    Site.agent("ledger-1").Announcer->input({1, 1}, Bytes);
+    Site.agent("ledger-1").HeartbeatSender->input({1, 1}, Bytes);
   }
-  CHECK(Site.Balancers[0]->Node->counters().Faults > Before + 1000);
+  CHECK(Site.Balancers[0]->Node->counters().DecodeErrors > Before + 1000);
   Site.run(10s);
   CHECK(Site.agreed("ledger", 7));
 }
--- a/test/fleet/spread_test.cpp
+++ b/test/fleet/gossip_test.cpp
@@ -1,8 +1,8 @@
 #include "fleet/small_fleet.h"
 
+#include "fleet/applied_tree.h"
 #include "fleet/byte_budget.h"
 #include "fleet/datagrams.h"
-#include "fleet/force_tree.h"
 #include "fleet/message.h"
 #include "fleet/peer_table.h"
 
@@ -18,8 +18,8 @@
 namespace {
 
 /// Many balancers before a few services.
-struct wide : small_fleet {
-  explicit wide(int Nodes) {
+struct wide_fleet : small_fleet {
+  explicit wide_fleet(int Nodes) {
     for (int I = 0; I < Nodes; ++I)
       addBalancer("balancer-" + std::to_string(I), "zone");
     for (int I = 0; I < 6; ++I)
@@ -37,7 +37,7 @@
     Platform.put("service", name(Service), toJson(*Spec));
   }
 
-  bool everywhere(int Service) {
+  bool isAppliedEverywhere(int Service) {
     const std::uint64_t Version =
         Platform.get("service", name(Service)).Version;
     return std::all_of(
@@ -70,12 +70,13 @@
 } // namespace
 
 TEST_CASE("a change is in force on forty balancers within seconds") {
-  wide Fleet(40);
+  wide_fleet Fleet(40);
   REQUIRE(Fleet.settle());
   Fleet.run(10s);
   Fleet.change(0);
 
-  const auto Took = Fleet.runUntil([&] { return Fleet.everywhere(0); }, 19s);
+  const auto Took =
+      Fleet.runUntil([&] { return Fleet.isAppliedEverywhere(0); }, 19s);
 
   REQUIRE(Took);
   CHECK(*Took < 5s);
@@ -88,12 +89,12 @@
 TEST_CASE("the status names a balancer that lags") {
   // One balancer is cut off when a change is accepted: operators must see that
   // it is not in force everywhere, and where it is missing.
-  wide Fleet(12);
+  wide_fleet Fleet(12);
   REQUIRE(Fleet.settle());
   Fleet.run(10s);
-  const process *Lonely = Fleet.Balancers[7].get();
+  const process *Isolated = Fleet.Balancers[7].get();
   Fleet.Cut = [&](const process &From, const process &To) {
-    return &From == Lonely || &To == Lonely;
+    return &From == Isolated || &To == Isolated;
   };
   Fleet.change(0);
   // Long enough for a report, too short for the balancer to be given up.
@@ -110,30 +111,30 @@
 
   Fleet.Cut = nullptr;
   Fleet.run(30s);
-  CHECK(Fleet.everywhere(0));
+  CHECK(Fleet.isAppliedEverywhere(0));
 }
 
 TEST_CASE("a third of all datagrams lost: changes still arrive everywhere") {
-  wide Fleet(20);
+  wide_fleet Fleet(20);
   REQUIRE(Fleet.settle());
   Fleet.Loss = 0.33;
   for (int I = 0; I < 6; ++I) {
     Fleet.change(I);
-    CHECK(Fleet.runUntil([&] { return Fleet.everywhere(I); }, 19s));
+    CHECK(Fleet.runUntil([&] { return Fleet.isAppliedEverywhere(I); }, 19s));
   }
 }
 
 TEST_CASE("a fifth of all datagrams lost: nobody is taken for dead") {
   // A congested link between zones drops packets. Taking that for deaths would
   // move flows for nothing, on the day when links are scarce.
-  wide Fleet(20);
+  wide_fleet Fleet(20);
   REQUIRE(Fleet.settle());
   Fleet.Loss = 0.2;
   Fleet.run(180s);
 
   std::uint64_t Down = 0;
   for (auto &Balancer : Fleet.Balancers) {
-    Down += Balancer->Node->counters().HostsDeclaredDown;
+    Down += Balancer->Node->counters().HostsDeclaredDead;
     CHECK(Balancer->Node->balancers().size() == 20);
   }
   CHECK(Down == 0);
@@ -143,7 +144,7 @@
   // A script changes every service ten times a second for half a minute. The
   // versions in between need not arrive; the last must, and the links must not
   // be taken from the callers.
-  wide Fleet(20);
+  wide_fleet Fleet(20);
   REQUIRE(Fleet.settle());
   Fleet.run(10s);
   std::vector<std::uint64_t> Before;
@@ -163,13 +164,14 @@
     CHECK(Rate < 4096 + 4 * 4096 / 30.0 + 1500);
   }
   for (int Service = 0; Service < 6; ++Service)
-    CHECK(Fleet.runUntil([&] { return Fleet.everywhere(Service); }, 19s));
+    CHECK(Fleet.runUntil([&] { return Fleet.isAppliedEverywhere(Service); },
+                         19s));
 }
 
 TEST_CASE("balancers that were cut in two find each other again") {
   // Two regions lose each other for minutes, longer than the dead are
   // remembered.
-  wide Fleet(10);
+  wide_fleet Fleet(10);
   REQUIRE(Fleet.settle());
   Fleet.Cut = [&](const process &From, const process &To) {
     const auto Left = [&](const process &Process) {
@@ -183,7 +185,7 @@
 
   CHECK(Fleet.runUntil(
       [&] {
-        return Fleet.everywhere(2) &&
+        return Fleet.isAppliedEverywhere(2) &&
                std::all_of(Fleet.Balancers.begin(), Fleet.Balancers.end(),
                            [](const auto &Balancer) {
                              return Balancer->Node->balancers().size() == 10;
@@ -195,7 +197,7 @@
 TEST_CASE("a view never goes back, whoever offers an older one") {
   // A peer that was frozen for an hour wakes up and sends what it had. Taken,
   // it would bring back targets that are long gone.
-  wide Fleet(3);
+  wide_fleet Fleet(3);
   REQUIRE(Fleet.settle());
   membership Old = *Fleet.Balancers[0]->Node->find("service0");
   Fleet.change(0);
@@ -205,7 +207,7 @@
   REQUIRE(Version > Old.View.Version);
   sendInPieces(encode(view_full{Old}), 1, [&](fleet_bytes Piece) {
     Fleet.Balancers[0]->Node->input({1, 1}, Piece);
-    Fleet.Agents[0]->Announcer->input({1, 1}, Piece);
+    Fleet.Agents[0]->HeartbeatSender->input({1, 1}, Piece);
   });
 
   CHECK(Fleet.Balancers[0]->Node->find("service0")->View.Version == Version);
@@ -233,13 +235,13 @@
   Peers.take({{"b", "zone", {2, 2}, 1}, peer_state::Alive}, instant());
   Peers.take({{"c", "zone", {3, 3}, 1}, peer_state::Alive}, instant());
   const view_store Views;
-  force_tree Tree(Timers, Peers, Views,
-                  {.Send = [](const endpoint &, const message &) {},
-                   .Holder =
-                       [](const std::string &) {
-                         return duty_news{0, 1, "a", {1, 1}};
-                       },
-                   .OnChange = [](const std::string &) {}});
+  applied_tree Tree(Timers, Peers, Views,
+                    {.Send = [](const endpoint &, const message &) {},
+                     .Holder =
+                         [](const std::string &) {
+                           return shard_lease_update{0, 1, "a", {1, 1}};
+                         },
+                     .OnChange = [](const std::string &) {}});
   const std::uint64_t Self = hashOfName("a");
   const std::uint64_t Other = hashOfName("b");
 
@@ -259,11 +261,11 @@
   for (const char *Name : {"b", "c", "d", "e"})
     Peers.take({{Name, "zone", {2, 2}, 1}, peer_state::Alive}, instant());
   for (int Second = 1; Second < 60; ++Second) {
-    Peers.nextToAsk(instant(std::chrono::seconds(Second)));
+    Peers.nextToProbe(instant(std::chrono::seconds(Second)));
     Peers.tick(instant(std::chrono::seconds(Second)));
   }
 
-  CHECK_FALSE(Peers.trustsItself());
+  CHECK_FALSE(Peers.isLinkTrusted());
   CHECK(Peers.living().size() == 5);
 }
 
--- a/test/fleet/membership_plan_test.cpp
+++ b/test/fleet/membership_plan_test.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 /// A service with hosts h1 to hN that announce themselves.
-struct planned {
-  explicit planned(int Hosts) {
+struct plan_fixture {
+  explicit plan_fixture(int Hosts) {
     service_spec Spec;
     Spec.Name = "ledger";
     Spec.Number = service_id{1};
@@ -22,28 +22,28 @@
     Input.Term = 1;
     Input.Now = instant(100s);
     for (int I = 1; I <= Hosts; ++I)
-      hear(I, 1);
+      addHeartbeat(I, 1);
     step();
   }
 
   static std::string name(int Host) { return "h" + std::to_string(Host); }
 
-  void hear(int Host, std::uint32_t Incarnation) {
+  void addHeartbeat(int Host, std::uint32_t Incarnation) {
     host_evidence &Evidence = Input.Evidence[name(Host)];
-    Evidence.Heard.Service = "ledger";
-    Evidence.Heard.Host = name(Host);
-    Evidence.Heard.Agent = {static_cast<std::uint32_t>(Host), 4000};
-    Evidence.Heard.Incarnation = Incarnation;
+    Evidence.Heartbeat.Service = "ledger";
+    Evidence.Heartbeat.Host = name(Host);
+    Evidence.Heartbeat.Agent = {static_cast<std::uint32_t>(Host), 4000};
+    Evidence.Heartbeat.Incarnation = Incarnation;
   }
 
-  void die(int Host) {
+  void markDead(int Host) {
     Input.Evidence[name(Host)].Dead = true;
     Input.Evidence[name(Host)].DeadIncarnation = 1;
   }
 
   /// Plans, takes the plan as written and lets a second pass.
   membership_plan step() {
-    Input.Stands = Now ? &*Now : nullptr;
+    Input.Current = Now ? &*Now : nullptr;
     membership_plan Plan = planMembership(Input);
     Now = Plan.Next;
     if (Plan.NewGeneration)
@@ -65,19 +65,19 @@
 } // namespace
 
 TEST_CASE("hosts that come together are one generation") {
-  const planned Plan(7);
+  const plan_fixture Plan(7);
 
   REQUIRE(Plan.Now->View.Generations.size() == 1);
   CHECK(Plan.Now->View.Generations[0].Members.size() == 7);
 }
 
 TEST_CASE("nothing new is nothing to write") {
-  planned Plan(7);
+  plan_fixture Plan(7);
   CHECK_FALSE(Plan.step().Changed);
 }
 
 TEST_CASE("a raised term is written but is no new version of the view") {
-  planned Plan(7);
+  plan_fixture Plan(7);
   const std::uint64_t Version = Plan.Now->View.Version;
   Plan.Input.Term = 2;
 
@@ -91,9 +91,9 @@
 TEST_CASE("a version is above all that any node has seen") {
   // The platform was set back to a state before version 40 was written. Nodes
   // that hold 40 would ignore another 40 for ever.
-  planned Plan(7);
+  plan_fixture Plan(7);
   Plan.Input.KnownVersion = 40;
-  Plan.hear(8, 1);
+  Plan.addHeartbeat(8, 1);
 
   CHECK(Plan.step().Next.View.Version == 41);
 }
@@ -101,9 +101,9 @@
 TEST_CASE("at most a third of the targets leave per step") {
   // A mistaken belief about many hosts, or a zone that goes: the rest has to
   // take their flows.
-  planned Plan(9);
+  plan_fixture Plan(9);
   for (int I = 1; I <= 6; ++I)
-    Plan.die(I);
+    Plan.markDead(I);
 
   CHECK(Plan.step().HeldBack.contains(held_back::Paced));
   CHECK(Plan.count(target_state::Down) == 3);
@@ -114,9 +114,9 @@
 }
 
 TEST_CASE("when all targets seem dead the last one stays") {
-  planned Plan(3);
+  plan_fixture Plan(3);
   for (int I = 1; I <= 3; ++I)
-    Plan.die(I);
+    Plan.markDead(I);
   for (int I = 0; I < 5; ++I)
     Plan.step();
 
@@ -125,28 +125,28 @@
 }
 
 TEST_CASE("changes within a second are one generation") {
-  planned Plan(3);
+  plan_fixture Plan(3);
   Plan.Input.Now -= 500ms;
-  Plan.hear(4, 1);
+  Plan.addHeartbeat(4, 1);
   CHECK(Plan.step().HeldBack.contains(held_back::Coalesced));
-  Plan.hear(5, 1);
+  Plan.addHeartbeat(5, 1);
   CHECK(Plan.step().NewGeneration);
   CHECK(Plan.Now->View.Generations.size() == 2);
 }
 
 TEST_CASE("with all generations in use joins wait and leaves do not") {
-  planned Plan(3);
+  plan_fixture Plan(3);
   for (int I = 4; I <= 12; ++I) {
-    Plan.hear(I, 1);
+    Plan.addHeartbeat(I, 1);
     Plan.step();
   }
   CHECK(Plan.Now->View.Generations.size() == MaxGenerations);
-  Plan.die(1);
+  Plan.markDead(1);
   CHECK(Plan.step().HeldBack.contains(held_back::GenerationsFull));
   CHECK(Plan.count(target_state::Down) == 1);
 
   for (int I = 2; I <= 12; ++I)
-    Plan.Input.Evidence[planned::name(I)].Needs =
+    Plan.Input.Evidence[plan_fixture::name(I)].Needs =
         Plan.Now->View.Generations.front().Number;
   Plan.step();
   CHECK(Plan.Now->View.Generations.size() == 2);
@@ -155,57 +155,57 @@
 TEST_CASE("a generation stays while one living agent has said nothing") {
   // An agent that a holder has not heard of yet may have flows of the old
   // generation; dropped, their packets would be reset.
-  planned Plan(3);
-  Plan.hear(4, 1);
+  plan_fixture Plan(3);
+  Plan.addHeartbeat(4, 1);
   Plan.step();
   for (int I = 1; I <= 3; ++I)
-    Plan.Input.Evidence[planned::name(I)].Needs = 2;
+    Plan.Input.Evidence[plan_fixture::name(I)].Needs = 2;
   Plan.step();
   CHECK(Plan.Now->View.Generations.size() == 2);
 
-  Plan.die(4);
+  Plan.markDead(4);
   Plan.step();
   CHECK(Plan.Now->View.Generations.back().Number >= 2);
 }
 
 TEST_CASE("a host declared down comes back only under a new incarnation") {
-  planned Plan(3);
-  Plan.die(1);
+  plan_fixture Plan(3);
+  Plan.markDead(1);
   Plan.step();
   Plan.Input.Evidence["h1"].Dead = false;
   Plan.step();
   CHECK(Plan.count(target_state::Down) == 1);
 
-  Plan.hear(1, 2);
+  Plan.addHeartbeat(1, 2);
   Plan.step();
   CHECK(Plan.count(target_state::Ready) == 3);
 }
 
 TEST_CASE("an announcement of a former incarnation changes nothing") {
   // A datagram of the agent before its restart arrives late.
-  planned Plan(3);
-  Plan.hear(1, 5);
+  plan_fixture Plan(3);
+  Plan.addHeartbeat(1, 5);
   Plan.step();
-  Plan.hear(1, 2);
+  Plan.addHeartbeat(1, 2);
   CHECK_FALSE(Plan.step().Changed);
 }
 
 TEST_CASE("deltas give what sending the whole view gives") {
   // The naive version sends every view whole.
   std::mt19937_64 Random(5);
-  planned Plan(6);
+  plan_fixture Plan(6);
   membership Replica = *Plan.Now;
   for (int Round = 0; Round < 300; ++Round) {
     const int Host = 1 + static_cast<int>(Random() % 12);
     switch (Random() % 4) {
     case 0:
-      Plan.hear(Host, 1 + static_cast<std::uint32_t>(Random() % 5));
+      Plan.addHeartbeat(Host, 1 + static_cast<std::uint32_t>(Random() % 5));
       break;
     case 1:
-      Plan.die(Host);
+      Plan.markDead(Host);
       break;
     case 2:
-      Plan.Input.Drained.insert(planned::name(Host));
+      Plan.Input.Drained.insert(plan_fixture::name(Host));
       break;
     default:
       Plan.Input.Drained.clear();
@@ -222,12 +222,12 @@
 }
 
 TEST_CASE("a delta on another base is refused") {
-  planned Plan(3);
+  plan_fixture Plan(3);
   const membership Old = *Plan.Now;
-  Plan.hear(4, 1);
+  Plan.addHeartbeat(4, 1);
   Plan.step();
   const membership Middle = *Plan.Now;
-  Plan.hear(5, 1);
+  Plan.addHeartbeat(5, 1);
   Plan.step();
 
   CHECK_FALSE(applyDelta(Old, makeDelta(Middle, *Plan.Now)));
--- a/test/fleet/duty_test.cpp
+++ b/test/fleet/shard_controller_test.cpp
@@ -53,7 +53,7 @@
   Site.run(5s);
   test_agent &Agent = Site.agent("ledger-3");
   Agent.Report.Draining = true;
-  Agent.Announcer->announceNow();
+  Agent.HeartbeatSender->sendNow();
 
   Site.run(3s);
 
@@ -164,7 +164,7 @@
                  Site.seenByAll("archive-2", target_state::Draining);
         },
         40s));
-    CHECK(Site.declaredDown() == 0);
+    CHECK(Site.declaredDead() == 0);
   }
 }
 
@@ -184,9 +184,9 @@
   };
   const std::uint64_t Term = TermOf();
   // It hears of a drain; its write is held up on the way for 20 s.
-  Holder->Link.Travel = 20s;
+  Holder->Link.RequestDelay = 20s;
   Site.agent("ledger-5").Report.Draining = true;
-  Site.agent("ledger-5").Announcer->announceNow();
+  Site.agent("ledger-5").HeartbeatSender->sendNow();
   Site.run(1s);
   Holder->Frozen = true;
   Site.agent("ledger-5").Report.Draining = false;
@@ -198,8 +198,8 @@
   // The late write arrives.
   Site.run(5s);
   CHECK(Site.Platform.get("membership", "ledger").Body == Before);
-  Holder->thaw(Site.Net.now());
-  Holder->Link.Travel = 0s;
+  Holder->resume(Site.Net.now());
+  Holder->Link.RequestDelay = 0s;
   Site.run(10s);
 
   CHECK(Holder->Node->counters().WritesFenced > 0);
@@ -260,7 +260,7 @@
   site Site;
   REQUIRE(Site.settle());
   Site.run(5s);
-  Site.Platform.remember();
+  Site.Platform.saveOlder();
   Site.Platform.put("drain", "ledger-3", toJson(drain_spec{"ledger-3", "x"}));
   Site.run(5s);
   REQUIRE(Site.seenByAll("ledger-3", target_state::Draining));
@@ -284,7 +284,7 @@
   site Site;
   REQUIRE(Site.settle());
   Site.run(5s);
-  Site.Platform.remember();
+  Site.Platform.saveOlder();
   Site.Platform.put("drain", "ledger-3", toJson(drain_spec{"ledger-3", "x"}));
   Site.run(5s);
   REQUIRE(Site.seenByAll("ledger-3", target_state::Draining));
@@ -326,15 +326,15 @@
   // platform; the fleet must carry out the one that was accepted.
   site Site;
   REQUIRE(Site.settle());
-  const platform_object Stands = Site.Platform.get("service", "ledger");
+  const platform_object Current = Site.Platform.get("service", "ledger");
   std::vector<platform_outcome> Outcomes;
   for (const std::uint16_t Port : {8443, 9443}) {
-    auto Spec = parseService(Stands.Body, "ledger");
+    auto Spec = parseService(Current.Body, "ledger");
     REQUIRE(Spec);
     Spec->Address.Port = Port;
-    platform_object Next = Stands;
+    platform_object Next = Current;
     Next.Body = toJson(*Spec);
-    Site.Platform.api().Write({Next, Stands.Version},
+    Site.Platform.api().Write({Next, Current.Version},
                               [&](const platform_reply &Reply) {
                                 Outcomes.push_back(Reply.Outcome);
                               });
@@ -346,7 +346,7 @@
   CHECK(Outcomes[1] == platform_outcome::Conflict);
   for (auto &Balancer : Site.Balancers)
     CHECK(Balancer->Node->find("ledger")->View.Address.Port == 8443);
-  CHECK(statusOf(Site, "ledger").AcceptedVersion > Stands.Version);
+  CHECK(statusOf(Site, "ledger").AcceptedVersion > Current.Version);
 }
 
 TEST_CASE("a spec that is wrong leaves the last good one in force") {
@@ -371,17 +371,17 @@
     site Site(Seed, 5);
     std::mt19937_64 Random(Seed);
     REQUIRE(Site.settle());
-    const process *Lonely = nullptr;
+    const process *Isolated = nullptr;
     Site.Cut = [&](const process &From, const process &To) {
-      return &From == Lonely || &To == Lonely;
+      return &From == Isolated || &To == Isolated;
     };
     for (int Round = 0; Round < 12; ++Round) {
       Site.Loss = Random() % 3 == 0 ? 0.2 : 0;
       Site.Platform.Down = Random() % 4 == 0;
       Site.Platform.LoseAnswers = static_cast<int>(Random() % 3);
-      Lonely = Random() % 2 == 0
-                   ? Site.Balancers[Random() % Site.Balancers.size()].get()
-                   : nullptr;
+      Isolated = Random() % 2 == 0
+                     ? Site.Balancers[Random() % Site.Balancers.size()].get()
+                     : nullptr;
       const std::string Host = "ledger-" + std::to_string(1 + Random() % 7);
       if (Random() % 2 == 0)
         Site.Platform.put("drain", Host, toJson(drain_spec{Host, "x"}));
@@ -390,9 +390,9 @@
       test_agent &Agent = *Site.Agents[Random() % Site.Agents.size()];
       Agent.Frozen = true;
       Site.run(std::chrono::milliseconds(Random() % 12000));
-      Agent.thaw(Site.Net.now());
+      Agent.resume(Site.Net.now());
     }
-    Lonely = nullptr;
+    Isolated = nullptr;
     Site.Loss = 0;
     Site.Platform.Down = false;
     for (int I = 1; I <= 7; ++I)
@@ -405,11 +405,11 @@
     CHECK(Site.versionsOnlyGrew());
     for (auto &Balancer : Site.Balancers)
       for (const char *Service : {"ledger", "archive"}) {
-        const auto Stands = internal::parseBody(
+        const auto Current = internal::parseBody(
             Site.Platform.get("membership", Service).Body, Service);
         // A raised term alone is not spread.
-        CHECK(Balancer->Node->find(Service)->View == Stands->View);
-        CHECK(Balancer->Node->find(Service)->Info == Stands->Info);
+        CHECK(Balancer->Node->find(Service)->View == Current->View);
+        CHECK(Balancer->Node->find(Service)->Info == Current->Info);
       }
   }
 }
--- a/test/fleet/lease_keeper_test.cpp
+++ b/test/fleet/shard_lease_test.cpp
@@ -1,5 +1,5 @@
 #include "fleet/fake_platform.h"
-#include "fleet/lease_keeper.h"
+#include "fleet/shard_lease.h"
 
 #include <doctest/doctest.h>
 
@@ -18,7 +18,7 @@
         Lease(Timers, Writer, {.Shard = 0, .Name = Name, .Length = 6s},
               {.OnHeld = [this](std::uint64_t) { ++TimesHeld; },
                .OnLost = [this] { ++TimesLost; }}) {
-    Lease.setWanted(true);
+    Lease.setCandidate(true);
     Timers.every(500ms, [this] {
       if (!Paused)
         Lease.tick();
@@ -31,10 +31,10 @@
   int TimesLost = 0;
   fleet_counters Counters;
   platform_writer Writer;
-  lease_keeper Lease;
+  shard_lease Lease;
 };
 
-struct bench {
+struct lease_fixture {
   timer_service Timers;
   fake_platform Platform{Timers};
 
@@ -44,12 +44,12 @@
 } // namespace
 
 TEST_CASE("two contenders that start at once: one holds") {
-  bench Bench;
-  contender First(Bench.Timers, Bench.Platform, "a");
-  contender Second(Bench.Timers, Bench.Platform, "b");
+  lease_fixture Fixture;
+  contender First(Fixture.Timers, Fixture.Platform, "a");
+  contender Second(Fixture.Timers, Fixture.Platform, "b");
 
   for (int I = 0; I < 300; ++I) {
-    Bench.run(100ms);
+    Fixture.run(100ms);
     CHECK_FALSE((First.Lease.holds() && Second.Lease.holds()));
   }
 
@@ -59,18 +59,18 @@
 TEST_CASE("a lease is taken over after its holder died, not before") {
   // The holder's VM dies. Until another node takes the duty, no change of
   // membership is written; if one took it too early, two would write.
-  bench Bench;
-  contender First(Bench.Timers, Bench.Platform, "a");
-  Bench.run(2s);
+  lease_fixture Fixture;
+  contender First(Fixture.Timers, Fixture.Platform, "a");
+  Fixture.run(2s);
   REQUIRE(First.Lease.holds());
-  contender Second(Bench.Timers, Bench.Platform, "b");
-  Bench.run(10s);
+  contender Second(Fixture.Timers, Fixture.Platform, "b");
+  Fixture.run(10s);
   REQUIRE_FALSE(Second.Lease.holds());
 
   First.Paused = true;
-  Bench.run(4s);
+  Fixture.run(4s);
   CHECK_FALSE(Second.Lease.holds());
-  Bench.run(6s);
+  Fixture.run(6s);
   CHECK(Second.Lease.holds());
   CHECK_FALSE(First.Lease.holds());
 }
@@ -78,17 +78,17 @@
 TEST_CASE("a holder that was paused cannot renew under its old term") {
   // A hypervisor pauses the VM of the holder for longer than the lease. It
   // wakes up in the belief that nothing has happened and goes on at once.
-  bench Bench;
-  contender First(Bench.Timers, Bench.Platform, "a");
-  Bench.run(2s);
-  contender Second(Bench.Timers, Bench.Platform, "b");
-  Bench.run(1s);
+  lease_fixture Fixture;
+  contender First(Fixture.Timers, Fixture.Platform, "a");
+  Fixture.run(2s);
+  contender Second(Fixture.Timers, Fixture.Platform, "b");
+  Fixture.run(1s);
   First.Paused = true;
-  Bench.run(15s);
+  Fixture.run(15s);
   REQUIRE(Second.Lease.holds());
 
   First.Paused = false;
-  Bench.run(3s);
+  Fixture.run(3s);
   CHECK(Second.Lease.holds());
   CHECK_FALSE(First.Lease.holds());
   CHECK(First.TimesLost == 1);
@@ -99,17 +99,17 @@
   // Each write takes effect at once but its answer needs 2.5 s, and then
   // the holder's way to the platform fails. Counting from the answer, it would
   // believe in a lease that the second has rightly taken over meanwhile.
-  bench Bench;
-  contender First(Bench.Timers, Bench.Platform, "a");
-  First.Link.Back = 2500ms;
-  Bench.run(6s);
+  lease_fixture Fixture;
+  contender First(Fixture.Timers, Fixture.Platform, "a");
+  First.Link.ReplyDelay = 2500ms;
+  Fixture.run(6s);
   REQUIRE(First.Lease.holds());
   First.Link.Cut = true;
-  contender Second(Bench.Timers, Bench.Platform, "b");
+  contender Second(Fixture.Timers, Fixture.Platform, "b");
 
   bool Both = false;
   for (int I = 0; I < 200; ++I) {
-    Bench.run(100ms);
+    Fixture.run(100ms);
     Both = Both || (First.Lease.holds() && Second.Lease.holds());
   }
   CHECK_FALSE(Both);
@@ -119,11 +119,11 @@
 TEST_CASE("a claim whose answer was lost is found by reading back") {
   // The write took effect, the connection broke before the answer came. A node
   // that took this for a failure would wait out its own lease.
-  bench Bench;
-  contender First(Bench.Timers, Bench.Platform, "a");
-  Bench.Platform.LoseAnswers = 1;
+  lease_fixture Fixture;
+  contender First(Fixture.Timers, Fixture.Platform, "a");
+  Fixture.Platform.LoseAnswers = 1;
 
-  Bench.run(2s);
+  Fixture.run(2s);
 
   CHECK(First.Lease.holds());
   CHECK(First.Lease.term() == 1);
@@ -131,11 +131,11 @@
 }
 
 TEST_CASE("a claim that got lost on its way is made again") {
-  bench Bench;
-  contender First(Bench.Timers, Bench.Platform, "a");
-  Bench.Platform.LoseWrites = 1;
+  lease_fixture Fixture;
+  contender First(Fixture.Timers, Fixture.Platform, "a");
+  Fixture.Platform.LoseWrites = 1;
 
-  Bench.run(2s);
+  Fixture.run(2s);
 
   CHECK(First.Lease.holds());
   CHECK(First.Lease.term() == 1);
@@ -144,16 +144,16 @@
 TEST_CASE("an outage of the platform ends the lease by the holder's clock") {
   // The platform is down for a minute. The holder cannot renew; it must stop
   // acting before anyone could take over, and one takes over afterwards.
-  bench Bench;
-  contender First(Bench.Timers, Bench.Platform, "a");
-  Bench.run(2s);
-  Bench.Platform.Down = true;
-  Bench.run(7s);
+  lease_fixture Fixture;
+  contender First(Fixture.Timers, Fixture.Platform, "a");
+  Fixture.run(2s);
+  Fixture.Platform.Down = true;
+  Fixture.run(7s);
   CHECK_FALSE(First.Lease.holds());
 
-  Bench.run(60s);
-  Bench.Platform.Down = false;
-  Bench.run(10s);
+  Fixture.run(60s);
+  Fixture.Platform.Down = false;
+  Fixture.run(10s);
   CHECK(First.Lease.holds());
   CHECK(First.Lease.term() == 2);
 }
@@ -162,15 +162,15 @@
   // After an outage a replica of the platform answers from before the lease
   // was taken. An observer that believed it would claim a lease that is held;
   // the write is conditional, so the claim fails too.
-  bench Bench;
-  Bench.Platform.remember();
-  contender First(Bench.Timers, Bench.Platform, "a");
-  Bench.run(2s);
+  lease_fixture Fixture;
+  Fixture.Platform.saveOlder();
+  contender First(Fixture.Timers, Fixture.Platform, "a");
+  Fixture.run(2s);
   REQUIRE(First.Lease.holds());
 
-  contender Second(Bench.Timers, Bench.Platform, "b");
-  Bench.Platform.ServeOlder = true;
-  Bench.run(20s);
+  contender Second(Fixture.Timers, Fixture.Platform, "b");
+  Fixture.Platform.ServeOlder = true;
+  Fixture.run(20s);
 
   CHECK(First.Lease.holds());
   CHECK(First.TimesLost == 0);
@@ -178,15 +178,15 @@
 }
 
 TEST_CASE("a released lease is taken at once") {
-  bench Bench;
-  contender First(Bench.Timers, Bench.Platform, "a");
-  Bench.run(2s);
-  contender Second(Bench.Timers, Bench.Platform, "b");
-  Bench.run(1s);
+  lease_fixture Fixture;
+  contender First(Fixture.Timers, Fixture.Platform, "a");
+  Fixture.run(2s);
+  contender Second(Fixture.Timers, Fixture.Platform, "b");
+  Fixture.run(1s);
 
-  First.Lease.setWanted(false);
+  First.Lease.setCandidate(false);
   // Half a second to give it back, one second until the next look.
-  Bench.run(2s);
+  Fixture.run(2s);
 
   CHECK(Second.Lease.holds());
   CHECK(Second.Lease.term() == 2);
--- a/test/fleet/site.h
+++ b/test/fleet/site.h
@@ -60,17 +60,17 @@
         });
   }
 
-  std::uint64_t declaredDown() const {
+  std::uint64_t declaredDead() const {
     std::uint64_t Count = 0;
     for (const auto &Balancer : Balancers)
-      Count += Balancer->Node->counters().HostsDeclaredDown;
+      Count += Balancer->Node->counters().HostsDeclaredDead;
     return Count;
   }
 
   /// No balancer ever took an older view into force.
   bool versionsOnlyGrew() const {
     for (const auto &Balancer : Balancers)
-      for (const auto &[Service, Versions] : Balancer->InForce)
+      for (const auto &[Service, Versions] : Balancer->AppliedVersions)
         if (!std::is_sorted(Versions.begin(), Versions.end()))
           return false;
     return true;
--- a/test/fleet/small_fleet.h
+++ b/test/fleet/small_fleet.h
@@ -47,7 +47,7 @@
       Task();
   }
 
-  void thaw(instant Now) {
+  void resume(instant Now) {
     Frozen = false;
     // Its timers run first, as on a loop whose thread wakes up.
     Timers.advance(Now);
@@ -63,16 +63,16 @@
   std::string Name;
   std::unique_ptr<fleet_node> Node;
   /// Views in the order in which they came into force.
-  std::map<std::string, std::vector<std::uint64_t>> InForce;
+  std::map<std::string, std::vector<std::uint64_t>> AppliedVersions;
   std::vector<std::string> Notes;
 };
 
 struct test_agent : process {
   std::string Host;
-  std::unique_ptr<announcer> Announcer;
+  std::unique_ptr<heartbeat_sender> HeartbeatSender;
   agent_report Report;
   std::optional<membership> View;
-  int TimesDeclaredDown = 0;
+  int TimesDeclaredDead = 0;
   bool NeedsOld = false;
 };
 
@@ -110,7 +110,7 @@
         fleet_hooks{.Send = sender(Balancer),
                     .OnView =
                         [&Balancer](const membership &Members) {
-                          Balancer.InForce[Members.View.Name].push_back(
+                          Balancer.AppliedVersions[Members.View.Name].push_back(
                               Members.View.Version);
                         },
                     .WallClockMs = [this] { return millis(); },
@@ -131,9 +131,9 @@
     test_agent &Agent = *Fresh;
     Agent.Host = Host;
     start(Agent, Zone, 0x0b000000U + ++LastAddress);
-    Agent.Announcer = std::make_unique<announcer>(
+    Agent.HeartbeatSender = std::make_unique<heartbeat_sender>(
         Agent.Timers,
-        announcer_settings{.Host = Host,
+        heartbeat_settings{.Host = Host,
                            .Service = Service,
                            .Zone = Zone,
                            .Agent = Agent.At,
@@ -141,15 +141,15 @@
                            .Seeds = seeds(),
                            .Slots = 4,
                            .Incarnation = Incarnation},
-        announcer_hooks{
+        heartbeat_hooks{
             .Send = sender(Agent),
             .Describe = [&Agent] { return describe(Agent); },
             .OnView =
                 [&Agent](const membership &Members) { Agent.View = Members; },
-            .OnDeclaredDown =
-                [&Agent](std::uint32_t) { ++Agent.TimesDeclaredDown; }});
+            .OnDeclaredDead =
+                [&Agent](std::uint32_t) { ++Agent.TimesDeclaredDead; }});
     Agent.Input = [&Agent](const endpoint &From, fleet_bytes Bytes) {
-      Agent.Announcer->input(From, Bytes);
+      Agent.HeartbeatSender->input(From, Bytes);
     };
     Agents.push_back(std::move(Fresh));
     return Agent;
@@ -195,8 +195,8 @@
 
   test_balancer *holderOf(const std::string &Service) {
     for (auto &Balancer : Balancers)
-      if (Balancer->runs() && Balancer->Node->duties().size() > 0)
-        for (const std::uint32_t Shard : Balancer->Node->duties())
+      if (Balancer->runs() && Balancer->Node->heldShards().size() > 0)
+        for (const std::uint32_t Shard : Balancer->Node->heldShards())
           if (Shard == shard(Service))
             return Balancer.get();
     return nullptr;
--- a/test/path/path_world.cpp
+++ b/test/path/path_world.cpp
@@ -361,7 +361,7 @@
 void path_world::plan() {
   LastPlan = Now;
   plan_input Input;
-  Input.Stands = Newest.View.Version == 0 ? nullptr : &Newest;
+  Input.Current = Newest.View.Version == 0 ? nullptr : &Newest;
   service_spec Spec;
   Spec.Name = "ledger";
   Spec.Number = service_id(1);
@@ -378,13 +378,14 @@
     if (!Host.Alive && Host.Known && Now >= Host.NextView)
       Host.Known = false;
     host_evidence &Evidence = Input.Evidence[Host.Name];
-    Evidence.Heard.Host = Host.Name;
-    Evidence.Heard.Service = Spec.Name;
-    Evidence.Heard.Agent = Host.Agent;
-    Evidence.Heard.Zone = std::next(Input.Zones.begin(), Place++ % 3)->first;
-    Evidence.Heard.Incarnation = Host.Incarnation;
-    Evidence.Heard.Report.Draining = Host.Draining;
-    Evidence.HeardAt = Now;
+    Evidence.Heartbeat.Host = Host.Name;
+    Evidence.Heartbeat.Service = Spec.Name;
+    Evidence.Heartbeat.Agent = Host.Agent;
+    Evidence.Heartbeat.Zone =
+        std::next(Input.Zones.begin(), Place++ % 3)->first;
+    Evidence.Heartbeat.Incarnation = Host.Incarnation;
+    Evidence.Heartbeat.Report.Draining = Host.Draining;
+    Evidence.ReceivedAt = Now;
     Evidence.Dead = !Host.Known;
     Evidence.DeadIncarnation = Host.Incarnation;
     if (Host.Core && Host.Core->oldestNeededGeneration() > 0)
