--- a/bench/fleet/main.cpp
+++ b/bench/fleet/main.cpp
@@ -1,13 +1,13 @@
-//===- main.cpp - What the fleet's control costs ----------------*- C++ -*-===//
+//===- main.cpp - Cost of the fleet's control traffic -----------*- C++ -*-===//
 ///
 /// \file
-/// Runs the real cores of N balancers and their agents in one process on a
-/// hand-turned clock, at several N, and prints what one node spends, how long a
-/// change and a death take to be known everywhere, and the slopes. Latency of
-/// a link is 5 ms, of a platform call 4 ms.
+/// Runs the cores of N balancers and their agents in one process on a simulated
+/// clock, for several N, and prints what one node spends, how long a change and
+/// a host's death take to be known everywhere, and the slopes. The latency of a
+/// link is 5 ms, that of a platform call 4 ms.
 ///
 /// Usage: fleet_bench [NODES...]; 8 and 32 by default, since 128 takes more
-/// than a minute. Then the state of one node at the target size.
+/// than a minute. Also measures the state of one node at the target size.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -30,7 +30,7 @@
 const std::vector<std::string> Zones = {"zone-a", "zone-b", "zone-c"};
 
 /// Hosts per balancer and hosts per service at the target size: 130,000 hosts
-/// before 12,000 nodes and behind 46,000 addresses.
+/// behind 12,000 balancers and 46,000 addresses.
 constexpr int HostsPerNode = 11;
 constexpr int HostsPerService = 3;
 
@@ -131,7 +131,8 @@
     instant Looked;
     const auto Took = Fleet.runUntil(
         [&] {
-          // A look costs as much as the fleet itself.
+          // A check costs as much as running the fleet, so it runs only every
+          // 500 ms.
           if (Fleet.Net.now() - Looked < 500ms)
             return false;
           Looked = Fleet.Net.now();
@@ -168,8 +169,8 @@
           "1/s");
   }
 
-  /// Operators' changes of random services; how long until the last balancer
-  /// has each in force.
+  /// Makes operators' changes of random services; returns the time until the
+  /// last balancer has applied them.
   double changes(int Count, duration Apart, measured &Measured, bool Alone) {
     const spent Start = total();
     const instant Began = Fleet.Net.now();
@@ -233,7 +234,8 @@
     return Took[Took.size() / 2];
   }
 
-  /// Ten hosts die, one after the other.
+  /// Kills ten hosts one after the other; returns the time until all balancers
+  /// know.
   double deaths() {
     constexpr int Count = 10;
     double Sum = 0;
--- a/bench/fleet/measure.h
+++ b/bench/fleet/measure.h
@@ -1,7 +1,7 @@
-//===- measure.h - Memory, processor time and output ------------*- C++ -*-===//
+//===- measure.h - Memory, CPU time and output ------------------*- C++ -*-===//
 ///
 /// \file
-/// What both parts of the bench use.
+/// Helpers shared by the parts of the fleet benchmark.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,7 +22,7 @@
          static_cast<double>(Spent.tv_nsec) * 1e-9;
 }
 
-/// Bytes that the allocator has given out and not got back.
+/// Returns the bytes that are allocated on the heap.
 inline double heapBytes() {
   const struct mallinfo2 Heap = mallinfo2();
   return static_cast<double>(Heap.uordblks) + static_cast<double>(Heap.hblkhd);
--- a/bench/fleet/target_size.h
+++ b/bench/fleet/target_size.h
@@ -1,8 +1,8 @@
 //===- target_size.h - State at the target size -----------------*- C++ -*-===//
 ///
 /// \file
-/// Fills one node's structures as they are at the target size and prints their
-/// memory and the time of the work that grows with them.
+/// Fills one node's data structures as they are at the target size and prints
+/// their memory and the time of the operations that grow with them.
 ///
 //===----------------------------------------------------------------------===//
 
--- a/include/marjoramrail/fleet.h
+++ b/include/marjoramrail/fleet.h
@@ -1,33 +1,34 @@
-//===- fleet.h - Who is there, and what is in force -------------*- C++ -*-===//
+//===- fleet.h - Membership and views of the fleet --------------*- C++ -*-===//
 ///
 /// \file
-/// The state that the whole fleet has to agree on. Agents announce themselves
-/// to a few balancers; balancers hold duties as leases in the platform, write
-/// the membership of services there and spread it among each other; every
-/// balancer and the agents of a service learn its view. Cores only: time comes
-/// from the timer_service, datagrams leave through a hook.
+/// The state that the whole fleet has to agree on. Agents send heartbeats to a
+/// few balancers. Balancers hold shard leases in the platform; the lease holder
+/// of a shard writes the membership of its services to the platform and spreads
+/// it to the other balancers. Every balancer learns all views, and the agents
+/// of a service learn its view. These classes do no I/O: time comes from the
+/// timer_service, datagrams are sent through a hook.
 ///
 /// Fleet messages are datagrams of at most MaxFleetDatagram bytes. They may
-/// share a socket with routed packets: isFleetMessage() tells them apart.
+/// share a socket with routed packets; isFleetMessage() distinguishes them.
 ///
 /// Usage, in an agent (the socket is the one bound to routed_listen):
 /// \code
-///   announcer Announcer(Loop.timers(),
-///                       {.Host = "ledger-1", .Service = "ledger",
-///                        .Zone = "brugge", .Agent = RoutedListen,
-///                        .Relay = RelayListen, .Seeds = Balancers,
-///                        .Slots = 4, .Incarnation = Incarnation},
-///                       {.Send = [&](const endpoint &To, auto Bytes) {
-///                          Socket.send(To, Bytes); },
-///                        .Describe = [&] { return describe(Core); },
-///                        .OnView = [&](const membership &Members) {
-///                          Core.takeView(Members.View); },
-///                        .OnDeclaredDead = [&](std::uint32_t Incarnation) {
-///                          Core.forgetFlows(Incarnation); }});
+///   heartbeat_sender Heartbeats(
+///       Loop.timers(),
+///       {.Host = "ledger-1", .Service = "ledger", .Zone = "brugge",
+///        .Agent = RoutedListen, .Relay = RelayListen, .Seeds = Balancers,
+///        .Slots = 4, .Incarnation = Incarnation},
+///       {.Send = [&](const endpoint &To, auto Bytes) {
+///          Socket.send(To, Bytes); },
+///        .Describe = [&] { return describe(Core); },
+///        .OnView = [&](const membership &Members) {
+///          Core.takeView(Members.View); },
+///        .OnDeclaredDead = [&](std::uint32_t Incarnation) {
+///          Core.forgetFlows(Incarnation); }});
 ///   // for each datagram:
-///   if (isFleetMessage(Bytes)) { Announcer.input(From, Bytes); return; }
+///   if (isFleetMessage(Bytes)) { Heartbeats.input(From, Bytes); return; }
 ///   // after a batch of timers: Socket.flush()
-///   // on SIGTERM: Describe says Draining; Announcer.sendNow();
+///   // on SIGTERM: Describe returns Draining; Heartbeats.sendNow();
 /// \endcode
 ///
 /// Usage, in a balancer (UDP socket bound to control_listen):
@@ -39,7 +40,7 @@
 ///                      Core.takeView(Members.View); },
 ///                    .WallClockMs = ...});
 ///   Node.input(From, Bytes);             // each datagram of control_listen
-///   Node.stop();                         // SIGTERM: give the duties back
+///   Node.stop();                         // SIGTERM: release the leases
 /// \endcode
 ///
 //===----------------------------------------------------------------------===//
@@ -65,11 +66,11 @@
 
 using fleet_bytes = std::span<const std::uint8_t>;
 
-/// No datagram of the fleet is longer: it must pass a path of usual MTU whole,
-/// since a lost fragment would lose it all.
+/// Upper bound of a datagram, so that it fits a path with the usual MTU without
+/// fragmentation: one lost fragment would lose the whole datagram.
 inline constexpr std::size_t MaxFleetDatagram = 1400;
 
-/// True if \p Bytes starts as a fleet message does; routed packets never do.
+/// True if \p Bytes starts like a fleet message; routed packets never do.
 bool isFleetMessage(fleet_bytes Bytes);
 
 using fleet_send = std::function<void(const endpoint &To, fleet_bytes Bytes)>;
@@ -78,30 +79,31 @@
 // Membership
 //===----------------------------------------------------------------------===//
 
-/// What the fleet knows of a target beyond what routing needs.
+/// Data on a target that is not needed for routing.
 struct target_info {
   std::string Host = {};
-  /// Where its agent takes relayed requests (TCP).
+  /// Where the target's agent accepts relayed requests (TCP).
   endpoint Relay = {};
-  /// Requests that the target runs at a time.
+  /// Requests that the target runs concurrently.
   std::uint32_t Slots = 0;
-  /// The agent itself wishes to take no new work.
+  /// The agent itself requested to get no new work.
   bool DrainRequested = false;
 
   bool operator==(const target_info &) const = default;
 };
 
-/// The view of one service with the names behind it. The platform keeps it as
-/// the object `membership/SERVICE`.
+/// The view of one service with the names of its hosts. The platform stores it
+/// as the object `membership/SERVICE`.
 struct membership {
   service_view View;
   /// In the order of View.Targets.
   std::vector<target_info> Info;
   /// The term of the lease under which it was written. It only grows: a new
-  /// holder raises it before anything else, so that a late write of the former
-  /// holder meets another version and fails.
+  /// lease holder raises it before any other write, so that a late write of the
+  /// previous holder meets another version and fails.
   std::uint64_t Term = 0;
-  /// The platform version of the service's spec that this carries out.
+  /// The platform version of the service's spec that this membership
+  /// implements.
   std::uint64_t SpecVersion = 0;
 
   bool operator==(const membership &) const = default;
@@ -116,50 +118,52 @@
 //===----------------------------------------------------------------------===//
 
 struct heartbeat_settings {
-  /// The name of the target host; it outlives restarts.
+  /// The name of the target host; unchanged by restarts.
   std::string Host;
   std::string Service;
   std::string Zone;
-  /// Where the agent takes routed packets; announcements leave from there.
+  /// Where the agent receives routed packets; heartbeats are sent from it.
   endpoint Agent = {};
   endpoint Relay = {};
-  /// Balancers' control endpoints to begin with.
+  /// Control endpoints of the balancers to contact first.
   std::vector<endpoint> Seeds = {};
   std::uint32_t Slots = 1;
-  /// Must be larger after each restart; seconds since 1970 will do.
+  /// Must be larger after each restart, e.g. seconds since 1970.
   std::uint32_t Incarnation = 1;
   duration Period = std::chrono::seconds(1);
-  /// Balancers that it announces to: one may be cut from it and one may just
-  /// have died, and the host is still heard.
+  /// Number of balancers that receive heartbeats. With three, the host stays
+  /// known when one of them is cut off from it and another has just died.
   std::size_t Fanout = 3;
 };
 
-/// What an agent says of itself in each announcement.
+/// State of an agent, sent in each heartbeat.
 struct agent_report {
-  /// The wish to take no new work.
+  /// The agent requests to get no new work.
   bool Draining = false;
   std::uint32_t Flows = 0;
-  /// Requests that are running.
+  /// Number of running requests.
   std::uint32_t Busy = 0;
-  /// The oldest generation that one of its flows needs; all older ones may be
-  /// dropped as far as it goes.
+  /// The oldest generation that one of the agent's flows needs; this agent
+  /// needs none of the older ones.
   std::uint64_t OldestGeneration = 0;
-  /// The version of the view that it has in force.
+  /// The version of the view that the agent has applied.
   std::uint64_t ViewVersion = 0;
 };
 
 struct heartbeat_hooks {
   fleet_send Send = nullptr;
   std::function<agent_report()> Describe = nullptr;
-  /// A newer view of its service. Versions only grow.
+  /// Called with a newer view of the agent's service. Versions only grow.
   std::function<void(const membership &)> OnView = nullptr;
-  /// The fleet held this agent for dead (it was frozen or cut off): its flows
-  /// have been given up, others may have answered for it. It goes on under the
-  /// new incarnation and must forget all flows of the former.
+  /// Called when the fleet declared this agent dead while it was frozen or cut
+  /// off. Its flows were given up and other targets may have answered for it,
+  /// so the agent continues under the new incarnation and must drop all flows
+  /// of the previous one.
   std::function<void(std::uint32_t Incarnation)> OnDeclaredDead = nullptr;
 };
 
-/// Announces one agent to a few balancers and receives its service's view.
+/// Sends the heartbeats of one agent to a few balancers and receives the view
+/// of its service.
 class heartbeat_sender {
 public:
   heartbeat_sender(timer_service &Timers, heartbeat_settings Settings,
@@ -168,16 +172,17 @@
   heartbeat_sender(const heartbeat_sender &) = delete;
   heartbeat_sender &operator=(const heartbeat_sender &) = delete;
 
-  /// A fleet message that came to the agent's socket.
+  /// Handles a fleet message received on the agent's socket.
   void input(const endpoint &From, fleet_bytes Bytes);
 
-  /// Announces without waiting for the period, e.g. when draining begins.
+  /// Sends a heartbeat at once, without waiting for the period, e.g. when
+  /// draining begins.
   void sendNow();
 
   std::uint32_t incarnation() const;
-  /// When a balancer last answered; lets an agent judge whether it is cut off.
+  /// When a balancer last replied; lets an agent detect that it is cut off.
   std::optional<instant> lastHeard() const;
-  /// Messages that could not be read.
+  /// Number of messages that could not be decoded.
   std::uint64_t decodeErrors() const;
 
 private:
@@ -193,29 +198,31 @@
   /// The balancer's name, unique in the fleet.
   std::string Name;
   std::string Zone;
-  /// control_listen, as others reach it.
+  /// The address of control_listen as other processes reach it.
   endpoint Control = {};
   std::vector<endpoint> Seeds = {};
-  /// Duties: services are spread over this many leases. The same everywhere.
+  /// Services are spread over this many shards, each with a lease of its own.
+  /// The lease holder of a shard writes the membership of its services. Must be
+  /// the same on all balancers.
   std::uint32_t Shards = 8;
-  /// Makes the random choices (peers to talk to) repeatable.
+  /// Makes random choices, such as which peers to contact, repeatable.
   std::uint64_t Seed = 1;
-  /// Larger after each restart, as for agents.
+  /// Must be larger after each restart, as for agents.
   std::uint32_t Incarnation = 1;
-  /// A duty whose lease was not renewed for this long is taken over. Longer
-  /// than a usual pause of a VM, or duties would wander at each of them.
+  /// A shard whose lease was not renewed for this long is taken over. Longer
+  /// than a usual pause of a VM, so that shards don't move at each pause.
   duration Lease = std::chrono::seconds(6);
-  /// Between two messages to random peers.
+  /// Interval between two messages to random peers.
   duration GossipPeriod = std::chrono::seconds(1);
-  /// A host that is silent for this long is asked, three times: two
-  /// announcements were lost, or it is dead.
+  /// A host that sent no heartbeat for this long is pinged three times: either
+  /// two heartbeats were lost or the host is dead.
   duration SilenceTimeout = std::chrono::milliseconds(2200);
-  /// Bytes a second that this node sends for control at most; bursts of up to
-  /// four seconds' worth are allowed.
+  /// Upper bound of the bytes per second that this node sends for control;
+  /// bursts of up to four seconds' worth are allowed.
   std::uint32_t BytesPerSecond = 4096;
 };
 
-/// Another balancer, as this node knows it.
+/// Another balancer as this node knows it.
 struct balancer_info {
   std::string Name;
   std::string Zone;
@@ -227,13 +234,14 @@
 
 struct fleet_hooks {
   fleet_send Send = nullptr;
-  /// A newer view of any service. Versions only grow.
+  /// Called with a newer view of any service. Versions only grow.
   std::function<void(const membership &)> OnView = nullptr;
-  /// The balancers held for alive, this one among them, in order of name.
+  /// Called with the balancers considered alive, including this one, ordered by
+  /// name.
   std::function<void(const std::vector<balancer_info> &)> OnBalancers = nullptr;
   /// Wall clock for status conditions.
   std::function<std::int64_t()> WallClockMs = nullptr;
-  /// One short sentence per decision, for the log and the time line.
+  /// Receives one short sentence per decision, for the log and the timeline.
   std::function<void(const std::string &)> Note = nullptr;
 };
 
@@ -273,33 +281,35 @@
 }};
 
 struct fleet_counters {
-  /// Bytes count with their IPv4 and UDP headers.
+  /// Bytes, including IPv4 and UDP headers.
   std::array<std::uint64_t, FleetMessageNames.size()> BytesByKind{};
   std::uint64_t DatagramsSent = 0;
   std::uint64_t BytesSent = 0;
   std::uint64_t DatagramsReceived = 0;
   std::uint64_t BytesReceived = 0;
-  /// Datagrams that could not be read.
+  /// Datagrams that could not be decoded.
   std::uint64_t DecodeErrors = 0;
-  /// Messages put off because the byte budget was spent.
+  /// Messages deferred because the byte budget was spent.
   std::uint64_t Deferred = 0;
   std::uint64_t PlatformCalls = 0;
   std::uint64_t PlatformWrites = 0;
-  /// Conditional writes that met another version: someone else's won.
+  /// Conditional writes that failed because another writer's version was
+  /// stored.
   std::uint64_t WritesFenced = 0;
-  /// Times that a write's lost answer was resolved by reading back.
+  /// Writes whose lost answer was resolved by reading the object back.
   std::uint64_t WritesResolved = 0;
   std::uint64_t HostsDeclaredDead = 0;
-  /// Older states that the platform or a peer offered and that were ignored.
+  /// Older states offered by the platform or a peer and ignored.
   std::uint64_t StaleIgnored = 0;
 };
 
-/// Tells operators how far a drain has come, as the object drain-status/HOST.
-/// Written by the host's own agent, which alone knows what it still holds, and
-/// only while it drains: each write is one of the platform's few hundred.
+/// Publishes the progress of a drain for operators as the object
+/// drain-status/HOST. The host's own agent writes it, since only that knows
+/// what the host still holds, and only while the host drains, since the
+/// platform allows only a few hundred writes a second.
 class drain_reporter {
 public:
-  /// \p Describe: nothing while the host is not draining.
+  /// \p Describe returns nothing while the host is not draining.
   using describe = std::function<std::optional<drain_status>()>;
 
   static constexpr duration Period = std::chrono::seconds(1);
@@ -310,7 +320,7 @@
   drain_reporter(const drain_reporter &) = delete;
   drain_reporter &operator=(const drain_reporter &) = delete;
 
-  /// Looks now instead of at the next period.
+  /// Checks the status now instead of at the next period.
   void checkNow();
 
 private:
@@ -323,7 +333,7 @@
   std::string Host;
   describe Describe;
   timer_id Ticker;
-  /// What the platform holds, as far as it is known.
+  /// The status stored in the platform, if known.
   std::optional<drain_status> Written;
   std::uint64_t Version = 0;
   std::uint64_t Sequence = 0;
@@ -333,7 +343,7 @@
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
 };
 
-/// A balancer's part in the fleet.
+/// A balancer's membership in the fleet.
 class fleet_node {
 public:
   fleet_node(timer_service &Timers, platform_api Platform,
@@ -342,25 +352,25 @@
   fleet_node(const fleet_node &) = delete;
   fleet_node &operator=(const fleet_node &) = delete;
 
-  /// A datagram that came to control_listen.
+  /// Handles a datagram received on control_listen.
   void input(const endpoint &From, fleet_bytes Bytes);
 
-  /// Graceful shutdown: gives the duties back, so that others take them at
-  /// once instead of after the lease, and tells the peers.
+  /// Graceful shutdown: releases the shard leases, so that other balancers take
+  /// them at once instead of after they expire, and notifies peers.
   void stop();
 
-  /// The newest view of a service, if any.
+  /// Returns the newest view of a service, or null.
   const membership *find(const std::string &Service) const;
   std::vector<std::string> services() const;
   std::vector<balancer_info> balancers() const;
   /// Shards whose lease this node holds now.
   std::vector<std::uint32_t> heldShards() const;
-  /// True once a peer or the platform has told it the fleet's state.
+  /// True once a peer or the platform has provided the state of the fleet.
   bool ready() const;
-  /// When anything of the fleet was last heard, for routed_flag::Stale.
+  /// When a fleet message was last received, for routed_flag::Stale.
   std::optional<instant> lastHeard() const;
   const fleet_counters &counters() const;
-  /// What it knows, as JSON for a status page.
+  /// The node's state as JSON for a status page.
   std::string statusJson() const;
 
 private:
--- a/src/fleet/applied_tree.cpp
+++ b/src/fleet/applied_tree.cpp
@@ -8,19 +8,21 @@
 
 namespace {
 
-/// A report that was not acknowledged is sent again after this.
+/// A report that was not acknowledged is sent again after this time.
 constexpr duration ResendInterval = std::chrono::seconds(3);
 constexpr int MaxTries = 5;
-/// What comes within this goes up in one report. Five levels take five
-/// seconds; a status is for people, and bytes are for views.
+/// Changes within this time go up in one report. Five levels take five seconds,
+/// which is fast enough for a status read by people and leaves the bytes for
+/// views.
 constexpr duration SettleTime = std::chrono::milliseconds(800);
 /// Entries that fit one datagram.
 constexpr std::size_t MaxEntries = 20;
-/// After a change of the tree, only what changed lately is reported again.
+/// After a change of the tree, only services that changed within this time are
+/// reported again.
 constexpr duration RecentWindow = std::chrono::minutes(1);
-/// Names in a status; an operator needs a few to look at, not thousands.
+/// Names in a status; operators need a few nodes to check, not thousands.
 constexpr std::size_t MaxLagging = 3;
-/// Makes the order of the tree another than that of other picks.
+/// Makes the order of the tree differ from the other uses of hashOfName().
 constexpr std::uint64_t TreeSeed = 0x74726565;
 
 } // namespace
@@ -84,8 +86,9 @@
   Hooks.Send(From, applied_ack{Report.Number});
 }
 
-/// Also taken when this node does not know the same root yet: the digest of
-/// names is what makes a sum complete, not who sent it.
+/// Reports from a node other than the root known here are accepted too, since
+/// this node may know another set of peers for a moment: a total is complete by
+/// the digest of its names, whoever sent it.
 void applied_tree::takeFromRoot(const applied_report &Report,
                                 const applied_entry &Entry) {
   if (Hooks.Holder(Entry.Service).Holder != Peers.self().Name)
@@ -109,8 +112,8 @@
   });
 }
 
-/// Keeps nothing of a service that everyone below has confirmed: the reports
-/// on 46,000 services would not fit a node's memory.
+/// Drops the details of a service that all nodes below have confirmed: the
+/// reports on 46,000 services would not fit a node's memory.
 void applied_tree::releaseIfComplete(const std::string &Service,
                                      applied_progress &Progress) {
   const applied_entry Sum = sum(Service, Progress);
@@ -151,7 +154,8 @@
          Timers.now() - Progress.SentAt >= ResendInterval;
 }
 
-/// In another tree, children that reported elsewhere have to report here.
+/// After a change of the tree, children that reported to another parent have to
+/// report to the new one.
 void applied_tree::scheduleReports() {
   PeersVersion = Peers.version();
   for (auto &[Service, Progress] : Services) {
@@ -221,7 +225,7 @@
   const applied_entry &Sum = Services[Service].FromRoot;
   Summary.Version = Sum.Version;
   if (Sum.Version < Views.versionOf(Service)) {
-    // No word from the root yet; this node itself has it in force.
+    // No report from the root yet; only this node is known to apply the view.
     Summary.Nodes = 1;
     Summary.All = Summary.Of == 1;
     return Summary;
@@ -231,7 +235,7 @@
     Everyone ^= hashOfName(Peer.Name);
   Summary.All = Sum.NamesDigest == Everyone && Sum.Nodes == Summary.Of;
   Summary.Nodes = std::min(Sum.Nodes, Summary.Of);
-  // The count alone may hide one node counted twice and another missing.
+  // The count alone could hide one node counted twice and another missing.
   if (!Summary.All && Summary.Nodes == Summary.Of)
     --Summary.Nodes;
   Summary.Lagging = Sum.Lagging;
--- a/src/fleet/applied_tree.h
+++ b/src/fleet/applied_tree.h
@@ -1,12 +1,13 @@
-//===- applied_tree.h - On how many nodes a view is in force ------*- C++
-//-*-===//
+//===- applied_tree.h - Counts nodes that apply a view ----------*- C++ -*-===//
 ///
 /// \file
-/// Sums up confirmations along one tree over all balancers; its root tells each
-/// service's holder. So no node receives more than Width reports a second,
-/// however many services change, and the platform sees one status, not one
-/// write per node. The tree follows from the names that all nodes know; while
-/// they differ, sums are too small for a moment, never complete by mistake.
+/// Aggregates, over one tree of all balancers, the confirmations that a view is
+/// in effect; the root reports the total to the lease holder of each service's
+/// shard. No node receives more than Width reports a second, however many
+/// services change, and the platform gets one status write instead of one per
+/// node. Every node derives the tree from the set of names it knows. While
+/// these sets differ between nodes, a total can be too small for a moment, but
+/// is never reported complete by mistake.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,11 +23,12 @@
 class applied_tree {
 public:
   struct hooks {
-    /// May not send if the byte budget is spent.
+    /// Skips sending if the byte budget is spent.
     std::function<void(const endpoint &, const message &)> Send;
-    /// The holder of the service's shard; its name is empty if not known.
+    /// Returns the lease holder of the service's shard; its name is empty if
+    /// unknown.
     std::function<shard_lease_update(const std::string &Service)> Holder;
-    /// At the holder: the sum has changed.
+    /// Called at the lease holder when the total has changed.
     std::function<void(const std::string &Service)> OnChange;
   };
 
@@ -41,19 +43,20 @@
   void take(const applied_ack &Ack);
   void tick();
 
-  /// What this node knows as the holder.
+  /// Returns the total known to this node as lease holder.
   applied_summary summary(const std::string &Service);
 
 private:
   struct applied_progress {
     std::map<std::string, applied_entry> Children;
-    /// What the root told this node as the holder.
+    /// The total that the root reported to this node as lease holder.
     applied_entry FromRoot;
-    /// Everyone below has confirmed up to here: nothing more is kept.
+    /// All nodes below have confirmed up to this version; no details are kept.
     std::uint64_t Completed = 0;
     bool Complete = false;
     instant ChangedAt;
-    /// The report that carried it last, until it is acknowledged.
+    /// Number of the last report that carried this service; reset when the
+    /// state changes, so that it is reported again.
     std::uint32_t Report = 0;
     instant SentAt;
     int Tries = 0;
@@ -75,7 +78,7 @@
   void takeFromRoot(const applied_report &Report, const applied_entry &Entry);
   bool due(const applied_progress &Progress) const;
   void scheduleReports();
-  /// Where the sum of a service goes from here.
+  /// Returns where this node sends its total for a service.
   std::optional<endpoint> receiverOf(const std::string &Service);
   void send(const endpoint &To, const std::vector<std::string> &Names);
   void releaseIfComplete(const std::string &Service,
@@ -86,7 +89,7 @@
   const view_store &Views;
   hooks Hooks;
   std::map<std::string, applied_progress> Services;
-  /// Those with something left to say; the others cost nothing.
+  /// Services with an unconfirmed report; only these are visited in tick().
   std::set<std::string> Active;
   place Place;
   std::uint64_t PeersVersion = 0;
--- a/src/fleet/byte_budget.h
+++ b/src/fleet/byte_budget.h
@@ -1,11 +1,11 @@
-//===- byte_budget.h - What a node may send for control ---------*- C++ -*-===//
+//===- byte_budget.h - Byte budget for control traffic ----------*- C++ -*-===//
 ///
 /// \file
-/// Answers a storm of changes: without a bound every node would send each
-/// version of each view to its peers and take the links from the callers. What
-/// does not fit is put off, and by the time it is sent the versions in between
-/// have been passed over. The burst of four seconds' worth lets a single change
-/// go out at once.
+/// Limits the bytes that a node sends for control. Without a limit, a storm of
+/// changes would make every node send each version of each view to its peers
+/// and take bandwidth from the callers. What does not fit is deferred, and
+/// versions superseded meanwhile are never sent. A burst of four seconds' worth
+/// lets a single change go out at once.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -18,15 +18,16 @@
 
 namespace marjoramrail::internal {
 
-/// Who waits when the budget runs low.
+/// Order in which messages are deferred when the budget runs low.
 enum class urgency {
-  /// Signs of life and reports on hosts: small, bounded by themselves, and a
-  /// fleet that stops them for lack of budget would take its nodes for dead.
+  /// Heartbeats and reports on hosts: small and limited in number by
+  /// themselves. If they were deferred for lack of budget, live nodes would be
+  /// taken for dead.
   Now,
-  /// Views and the news of them.
+  /// Views and updates about them.
   Soon,
-  /// Confirmations and digests; only while half of the burst is left, so that
-  /// they never hold up a view.
+  /// Confirmations and digests; sent only while half of the burst is left, so
+  /// that they never delay a view.
   Later,
 };
 
@@ -35,9 +36,9 @@
   byte_budget(std::uint32_t BytesPerSecond, instant Now)
       : Rate(BytesPerSecond), Left(BurstSeconds * Rate), Last(Now) {}
 
-  /// True if anything may be sent now. A message may overdraw the budget, so
-  /// that one larger than the burst is sent at all; then it takes as much
-  /// longer until the next.
+  /// True if a message may be sent now. A message may overdraw the budget, so
+  /// that one larger than the burst can be sent at all; the next one then waits
+  /// accordingly longer.
   bool open(instant Now, urgency Urgency) {
     refill(Now);
     if (Urgency == urgency::Later)
--- a/src/fleet/datagrams.cpp
+++ b/src/fleet/datagrams.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-/// 64 pieces: the view of a service with about 1,500 hosts.
+/// 64 pieces hold the view of a service with about 1,500 hosts.
 constexpr std::size_t MaxPieces = 64;
 
 void put(std::vector<std::uint8_t> &To, std::uint32_t Value, int Bytes) {
--- a/src/fleet/datagrams.h
+++ b/src/fleet/datagrams.h
@@ -1,12 +1,12 @@
-//===- datagrams.h - Messages in numbered pieces ----------------*- C++ -*-===//
+//===- datagrams.h - Splits messages into datagrams -------------*- C++ -*-===//
 ///
 /// \file
 /// Splits a message over datagrams of at most MaxFleetDatagram bytes and joins
 /// them again. Header: u8 'M', u8 'F', u8 format 1, u8 zero, u32 message
 /// number, u16 index, u16 count; network byte order.
 ///
-/// A lost piece loses its message; every message here is repeated or asked for
-/// again, so nothing is resent at this level.
+/// If a piece is lost, its message is lost. Nothing is resent at this level,
+/// since every message is repeated or requested again by its protocol.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -27,12 +27,13 @@
 std::size_t sendInPieces(fleet_bytes Message, std::uint32_t Number,
                          const std::function<void(fleet_bytes)> &Send);
 
-/// Joins pieces. Holds a bounded number of unfinished messages and bytes and
-/// forgets the oldest: a sender that never finishes must not fill the memory.
+/// Joins pieces to messages. It holds a bounded number of incomplete messages
+/// and drops the oldest, so that a sender that never completes its messages
+/// cannot exhaust the memory.
 class piece_joiner {
 public:
   /// Returns the whole message when \p Datagram was its last missing piece.
-  /// \p Fault is set when the datagram cannot be read.
+  /// Sets \p Fault if the datagram cannot be decoded.
   std::optional<std::vector<std::uint8_t>>
   add(const endpoint &From, fleet_bytes Datagram, bool &Fault);
 
--- a/src/fleet/drain_reporter.cpp
+++ b/src/fleet/drain_reporter.cpp
@@ -18,8 +18,8 @@
     return;
   const std::optional<drain_status> Now = Describe();
   if (!Now) {
-    // The last drain's status would tell an operator of the next one that the
-    // VM may be stopped before anything was drained.
+    // A status left over from an earlier drain would show the operator of the
+    // next drain that the VM may be stopped before anything was drained.
     if (!Cleared)
       clear();
     return;
@@ -66,9 +66,9 @@
                      Version = Reply.Object.Version;
                      return;
                    }
-                   // Lost answers and conflicts alike: the next look reads what
-                   // stands and writes what is true then. Nobody else writes
-                   // this object.
+                   // After a lost answer or a conflict, the next check reads
+                   // the stored object and writes the status of that time. No
+                   // other process writes this object.
                    if (Reply.Outcome != platform_outcome::Unavailable)
                      VersionKnown = false;
                  });
--- a/src/fleet/gossip.cpp
+++ b/src/fleet/gossip.cpp
@@ -8,38 +8,41 @@
 
 namespace {
 
-/// News that come within this go out as one beat.
+/// Updates that arrive within this time go out in one message.
 constexpr duration SpreadDelay = std::chrono::milliseconds(60);
-/// Between two rounds of news: when many changes come, each datagram carries
-/// several of them instead of its headers for one.
+/// Minimum interval between two rounds of updates: when many changes come, each
+/// datagram carries several of them instead of one.
 constexpr duration SpreadInterval = std::chrono::milliseconds(300);
-/// Peers that a node tells its news to at once; each then does the same.
+/// Peers that a node sends its updates to at once; each of them does the same.
 constexpr int SpreadFanout = 2;
-/// Peers that a node tells each new version to at once. With four, rumour
-/// alone misses about one node in fifty; the periodic beats reach those.
+/// Number of peers that a node sends each new version to at once. With four,
+/// these updates alone miss about one node in fifty; the periodic heartbeats
+/// reach the others.
 constexpr int SendsPerView = 4;
-/// Periodic beats repeat the last changes, so that what rumour missed is found
-/// without an exchange of digests while changes keep coming.
+/// Periodic heartbeats repeat the last changes, so that nodes missed by the
+/// first updates catch up without an exchange of digests while changes keep
+/// coming.
 constexpr std::size_t MaxRecent = 12;
 constexpr duration RecentWindow = std::chrono::seconds(5);
-/// A requested view that did not come is asked for again, of another peer: the
-/// first may have spent its byte budget.
+/// A requested view that did not arrive is requested again from another peer,
+/// since the first may have spent its byte budget.
 constexpr duration RequestRetryInterval = std::chrono::milliseconds(600);
 constexpr int MaxRequestAttempts = 4;
 constexpr duration DigestsInterval = std::chrono::seconds(2);
-/// Digests differ all the time while changes come; then they are compared
-/// only this often.
+/// While changes come, digests differ all the time; then they are compared only
+/// this often.
 constexpr duration BusyDigestsInterval = std::chrono::seconds(5);
 constexpr duration QuietPeriod = std::chrono::seconds(2);
-/// So that a beat with all of them fits one datagram.
+/// Bounds of the lists in a heartbeat, so that one with full lists fits one
+/// datagram.
 constexpr std::size_t MaxPeerUpdates = 8;
 constexpr std::size_t MaxFill = 16;
 constexpr std::size_t MaxVersions = 24;
 /// Versions in an answer to digests: three datagrams.
 constexpr std::size_t MaxListedVersions = 150;
 constexpr std::size_t MaxRequestedViews = 40;
-/// A fleet that was cut in two for longer than the dead are remembered finds
-/// itself again through the seeds.
+/// Heartbeats are sent to a seed once in this many periods, so that a fleet
+/// that was partitioned for longer than dead peers are remembered joins again.
 constexpr std::uint64_t PeriodsPerSeed = 10;
 constexpr std::size_t MaxContacts = 8;
 
@@ -217,7 +220,8 @@
   if (Heartbeat.WantsAnswer)
     Hooks.Send(From, makeHeartbeat(false, PeersDiffer), urgency::Now);
   else if (Unknown * 2 > MaxFill)
-    // There is more where this came from: a new node learns the fleet fast.
+    // The sender probably has more updates: requesting them lets a new node
+    // learn the fleet quickly.
     Hooks.Send(From, makeHeartbeat(true, true), urgency::Soon);
   if (Heartbeat.ViewsDigest != Views.digest() && digestsDue())
     exchangeDigests(From);
@@ -259,7 +263,8 @@
 
 void gossip::take(const endpoint &From, const bucket_versions &Versions) {
   compare(From, Versions.Views);
-  // What the other lacks or has older: it is told, and asks.
+  // Lists the versions that the sender lacks or has older; it then requests
+  // them.
   std::map<std::string, std::uint64_t> Theirs;
   for (const view_version &Version : Versions.Views)
     Theirs[Version.Service] = Version.Version;
--- a/src/fleet/gossip.h
+++ b/src/fleet/gossip.h
@@ -1,11 +1,11 @@
-//===- gossip.h - What balancers tell each other ----------------*- C++ -*-===//
+//===- gossip.h - Gossip among balancers ------------------------*- C++ -*-===//
 ///
 /// \file
-/// Spreads views, peers and duties. News travels as versions in small beats to
-/// random peers, and whoever lacks a version asks for it, so a view crosses a
-/// link once; deltas before full views. Digests in each beat find what was
-/// missed. The load per node does not grow with the fleet, the time to reach
-/// all grows with its logarithm.
+/// Spreads views, the set of peers and shard leases. Updates travel as version
+/// numbers in small messages to random peers; a node that lacks a version
+/// requests it, so a view crosses a link once, as a delta where possible.
+/// Digests in each heartbeat reveal what was missed. The load per node does not
+/// grow with the fleet; the time to reach all nodes grows with its logarithm.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,14 +21,15 @@
 class gossip {
 public:
   struct hooks {
-    /// Returns false if the byte budget does not allow it now.
+    /// Returns false if the byte budget does not allow sending now.
     std::function<bool(const endpoint &, const message &, urgency)> Send;
     std::function<void()> OnPeersChanged;
-    /// A view that a peer sent.
+    /// Called with a view received from a peer.
     std::function<void(const membership &)> OnView;
-    /// A duty's holder as a peer knows it.
+    /// Called with a shard's lease holder as reported by a peer.
     std::function<void(const shard_lease_update &)> OnLease;
-    /// The duties with news and, with \p Fill, one of the others in turn.
+    /// Returns the changed shard leases and, with \p Fill, one of the others in
+    /// turn.
     std::function<std::vector<shard_lease_update>(bool Fill)> ShardLeases;
   };
 
@@ -38,9 +39,10 @@
   gossip(const gossip &) = delete;
   gossip &operator=(const gossip &) = delete;
 
-  /// One period: asks one peer for a sign of life.
+  /// Runs once per gossip period: sends a heartbeat that requests an answer to
+  /// one peer.
   void period();
-  /// More often: overdue answers and news that wait.
+  /// Runs more often: handles overdue answers and pending updates.
   void tick();
 
   void take(const endpoint &From, const peer_heartbeat &Heartbeat);
@@ -51,18 +53,18 @@
   void take(const endpoint &From, const view_full &Full);
   void take(const endpoint &From, const view_delta &Delta);
 
-  /// News that should go out soon.
+  /// Schedules the sending of a changed view.
   void viewTaken(const std::string &Service);
   void scheduleSpread();
 
-  /// A balancer that the platform names, e.g. as the holder of a lease: a node
-  /// whose seeds have all been replaced finds the fleet by it.
+  /// Adds a balancer named by the platform, e.g. as lease holder, so that a
+  /// node whose seeds have all been replaced can still find the fleet.
   void addContact(const endpoint &Control);
 
-  /// Tells some peers that this node leaves.
+  /// Notifies some peers that this node leaves.
   void leave();
 
-  /// A peer has been heard since the start.
+  /// True if a heartbeat of a peer was received since the start.
   bool peerSeen() const { return PeerSeen; }
 
 private:
@@ -93,7 +95,7 @@
   std::map<std::string, int> PendingViews;
   /// The views that changed last, newest first.
   std::deque<std::pair<std::string, instant>> Recent;
-  /// Views asked for and not yet received.
+  /// Views requested and not yet received.
   std::map<std::string, request> Requested;
   std::optional<timer_id> SpreadTimer;
   instant SpreadAt;
--- a/src/fleet/heartbeat_receiver.cpp
+++ b/src/fleet/heartbeat_receiver.cpp
@@ -8,26 +8,27 @@
 
 namespace {
 
-/// A silent host is asked this often before it counts as silent: one lost
-/// datagram must not do it.
+/// Pings to a host without heartbeats before it is reported: one lost datagram
+/// must not be enough.
 constexpr int PingsBeforeReport = 3;
 constexpr duration PingInterval = std::chrono::milliseconds(400);
-/// Reports are repeated this often until the view agrees.
+/// Reports are repeated at this interval until the view agrees.
 constexpr duration ReportInterval = std::chrono::seconds(1);
 constexpr duration NeedsInterval = std::chrono::seconds(5);
-/// Between two pushes of a view to one agent that has not got it yet.
+/// Between two pushes of a view to one agent that has not applied it yet.
 constexpr duration PushInterval = std::chrono::milliseconds(900);
-/// An agent needs an answer now and then, to know that it is heard.
+/// An agent needs an occasional answer to know that its heartbeats arrive.
 constexpr duration AnswerInterval = std::chrono::milliseconds(2500);
 constexpr duration RandomProbeInterval = std::chrono::seconds(2);
-/// Fewer hosts than this say nothing about the node's own link.
+/// With fewer hosts than this, missing heartbeats do not show that this node's
+/// own link has failed.
 constexpr std::size_t MinHostsForLinkCheck = 3;
 
 std::string keyOf(const std::string &Service, const std::string &Host) {
   return Service + "/" + Host;
 }
 
-/// The host's entry in the view, if any.
+/// The position of the host's entry in the view, if any.
 std::optional<std::size_t> placeOf(const membership *Members,
                                    const std::string &Host) {
   if (Members == nullptr)
@@ -64,7 +65,9 @@
   Host.Pings = 0;
   Host.ProbeRequested = false;
   Host.ProbeOnly = false;
-  // What was pushed and is not in force got lost: the next push is whole.
+  // The heartbeat shows which version the agent has applied; a view that was
+  // pushed since may be lost, so the next push starts from the reported
+  // version.
   Host.PushedVersion = 0;
   Host.Primary = !Assigned.empty() && Assigned.front() == Self;
   answer(Host, Assigned);
@@ -77,7 +80,8 @@
     push(Host, *Members);
   const bool Ours =
       std::find(Assigned.begin(), Assigned.end(), Self) != Assigned.end();
-  // Others hear it from now on; its silence here will mean nothing.
+  // The host now sends its heartbeats to other balancers; missing ones here
+  // will mean nothing.
   if (!Ours)
     Hosts.erase(Key);
 }
@@ -150,8 +154,8 @@
     if (Host.Last.Service != Members.View.Name || Host.ProbeOnly)
       continue;
     Host.PushedAt = instant();
-    // The others wait for the next announcement, which says whether the push
-    // of the first one came through.
+    // Non-primary balancers wait for the next heartbeat, which shows whether
+    // the push by the primary arrived.
     if (Host.Primary)
       push(Host, Members);
   }
@@ -166,7 +170,7 @@
     return;
   }
   if (Found != Hosts.end()) {
-    // It is asked now, not when its own silence is due.
+    // The host is pinged now, not when its own timeout is reached.
     Found->second.ReceivedAt = std::min(
         Found->second.ReceivedAt, Timers.now() - timeoutFor(Found->second));
     Found->second.ProbeRequested = true;
--- a/src/fleet/heartbeat_receiver.h
+++ b/src/fleet/heartbeat_receiver.h
@@ -1,14 +1,16 @@
-//===- hearing.h - The hosts that announce to this balancer -----*- C++ -*-===//
+//===- heartbeat_receiver.h - Heartbeats of target hosts --------*- C++ -*-===//
 ///
 /// \file
-/// Takes announcements, answers them with the balancers that the host should
-/// announce to, pushes views to agents, and tells the holder of the service's
-/// shard where the view disagrees with what is heard. Nothing is written to the
-/// platform here: a fleet of 130,000 hosts sends as many heartbeats a second.
+/// Receives heartbeats of target hosts, replies with the balancers that the
+/// host should send heartbeats to, pushes views to agents, and reports
+/// differences between heartbeats and the view to the lease holder of the
+/// service's shard. It writes nothing to the platform: a fleet of 130,000 hosts
+/// sends as many heartbeats a second.
 ///
-/// Every so often it asks a random target of a random view whether it lives.
-/// That finds hosts that no balancer hears, e.g. when all that heard a host
-/// went with its zone, at a cost that does not grow with the fleet.
+/// At a fixed interval it also probes a random target of a random view. This
+/// finds hosts whose heartbeats no balancer receives, e.g. when a host failed
+/// together with all balancers of its zone that received them, at a cost that
+/// does not grow with the fleet.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -24,13 +26,15 @@
 class heartbeat_receiver {
 public:
   struct hooks {
-    /// Sends to an agent; false if the byte budget is spent (views only).
+    /// Sends to an agent; returns false if the byte budget is spent (views
+    /// only).
     std::function<bool(const endpoint &, const message &)> Send;
-    /// To the holder of the service's shard.
+    /// Reports to the lease holder of the service's shard.
     std::function<void(report_kind, const host_heartbeat &)> Report;
-    /// The control endpoints that a host should announce to, best first.
+    /// Returns the control endpoints that a host should send heartbeats to,
+    /// best first.
     std::function<std::vector<endpoint>(const std::string &Host)> Assigned;
-    /// True if peers still answer this node.
+    /// True if other balancers still respond to this node.
     std::function<bool()> PeersAnswer;
   };
 
@@ -40,10 +44,12 @@
 
   void take(const endpoint &From, const host_heartbeat &Heartbeat);
 
-  /// Asks a host on behalf of a holder, and reports either way.
+  /// Pings a host on behalf of a lease holder and reports the result either
+  /// way.
   void probe(const probe_request &Request);
 
-  /// Sends the view to the agents of the service that this node hears first.
+  /// Sends the view to those agents of the service whose primary balancer is
+  /// this node.
   void viewTaken(const membership &Members);
 
   void tick();
@@ -55,9 +61,11 @@
     host_heartbeat Last;
     endpoint From;
     instant ReceivedAt;
-    /// A holder waits for word of it, good or bad.
+    /// A lease holder waits for a report on this host, whether it responds or
+    /// not.
     bool ProbeRequested = false;
-    /// It does not announce here: forgotten once the holder has its answer.
+    /// The host sends no heartbeats here; its entry is removed once the lease
+    /// holder has been answered.
     bool ProbeOnly = false;
     int Pings = 0;
     instant PingedAt;
@@ -67,12 +75,13 @@
     instant NeedsAt;
     instant PushedAt;
     std::uint64_t PushedVersion = 0;
-    /// This node is the first of those that the host announces to.
+    /// This node is the first of the balancers that the host sends heartbeats
+    /// to.
     bool Primary = false;
   };
 
   void answer(host &Host, const std::vector<endpoint> &Assigned);
-  /// How long this host may be silent here.
+  /// Returns how long this host may send no heartbeat here before it is pinged.
   duration timeoutFor(const host &Host) const;
   void report(host &Host);
   bool differs(const host_heartbeat &Heartbeat,
--- a/src/fleet/heartbeat_sender.cpp
+++ b/src/fleet/heartbeat_sender.cpp
@@ -13,7 +13,8 @@
   timer_service &Timers;
   heartbeat_settings Settings;
   heartbeat_hooks Hooks;
-  /// Where announcements go: what a balancer assigned, else seeds.
+  /// The destinations of heartbeats, as assigned by a balancer; empty until the
+  /// first assignment.
   std::vector<endpoint> Balancers;
   std::optional<instant> LastHeard;
   piece_joiner Joiner;
@@ -40,15 +41,16 @@
             Settings.Slots,   Hooks.Describe(), hashOfEndpoints(Balancers)};
   }
 
-  /// Assigned balancers that all stopped answering would leave the host
-  /// unheard for ever, so the seeds are asked again, in turn.
+  /// True if no balancer has replied for four periods. Then the seeds are
+  /// contacted again in turn: if all assigned balancers stopped responding, the
+  /// host would otherwise stay unknown for ever.
   bool cutOff() const {
     constexpr int SilentPeriods = 4;
     return !LastHeard ||
            Timers.now() - *LastHeard > SilentPeriods * Settings.Period;
   }
 
-  /// \p Urgent tells all its balancers.
+  /// \p Urgent: sends to all assigned balancers, not only to the first.
   void sendHeartbeats(bool Urgent) {
     ++Rounds;
     const host_heartbeat Mine = describe();
@@ -95,9 +97,9 @@
     sendHeartbeats(true);
   }
 
-  /// The fleet gave this very incarnation up: callers have been told that its
-  /// flows are lost, so going on under the same number would bring back flows
-  /// that others may have answered for.
+  /// True if the fleet declared exactly this incarnation dead. Callers have
+  /// been told that its flows are lost, so continuing under the same number
+  /// would revive flows that other targets may have answered for.
   bool declaredDead(const membership &Members) const {
     const auto Place = findTarget(Members, Settings.Agent);
     if (!Place)
--- a/src/fleet/membership_codec.cpp
+++ b/src/fleet/membership_codec.cpp
@@ -45,8 +45,8 @@
   Info.DrainRequested = From.at(10).get<int>() != 0;
 }
 
-/// A generation as its number, its members and their weights; the usual case
-/// of equal weights is one number.
+/// Encodes a generation as its number, its members and their weights; if all
+/// weights are equal, as usual, as one number.
 json packGeneration(const generation &Generation) {
   json Hosts = json::array();
   json Weights = json::array();
--- a/src/fleet/membership_codec.h
+++ b/src/fleet/membership_codec.h
@@ -1,7 +1,7 @@
-//===- membership_codec.h - Forms of the membership object ------*- C++ -*-===//
+//===- membership_codec.h - Encodings of a membership -----------*- C++ -*-===//
 ///
 /// \file
-/// A membership as arrays, for datagrams, and as a JSON object, for the
+/// Encodes a membership as arrays, for datagrams, and as a JSON object, for the
 /// platform, where operators and tools read it.
 ///
 //===----------------------------------------------------------------------===//
@@ -17,10 +17,10 @@
 
 nlohmann::json packMembership(const membership &Members);
 
-/// Throws nlohmann's exceptions on wrong types; callers stand in decode().
+/// Throws nlohmann's exceptions on wrong types; decode() catches them.
 membership unpackMembership(const nlohmann::json &Packed);
 
-/// The body of the platform object.
+/// Returns the body of the platform object.
 std::string toBody(const membership &Members);
 
 /// Fails with step::ReadPlatform.
--- a/src/fleet/membership_plan.cpp
+++ b/src/fleet/membership_plan.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// At most this part of the serving targets leaves per step: one of the three
-/// zones that services run in.
+/// At most one part in this many of the serving targets leaves per step:
+/// services run in three zones, so this is one zone.
 constexpr std::size_t LeavingDivisor = 3;
 
 class planner {
@@ -56,7 +56,7 @@
     return std::nullopt;
   }
 
-  /// The hash of the name, or the next number that no other host has.
+  /// Returns the hash of the name, or the next number that no other host has.
   host_id freeId(const std::string &Host) {
     auto Id = host_id{static_cast<std::uint32_t>(hashOfName(Host))};
     while (std::any_of(targets().begin(), targets().end(),
@@ -122,7 +122,8 @@
     return std::count_if(targets().begin(), targets().end(), serves);
   }
 
-  /// The dead go first: a drain can wait, a dead target loses flows.
+  /// Dead targets are handled before drains: a drain can wait, but a dead
+  /// target loses flows.
   void removeLeaving() {
     for (std::size_t I = 0; I < targets().size(); ++I)
       if (targets()[I].State == target_state::Draining && !shouldDrain(I) &&
@@ -166,7 +167,7 @@
     return false;
   }
 
-  /// Entries of hosts long gone.
+  /// Removes entries of hosts that were declared dead long ago.
   void removeExpired() {
     for (std::size_t I = targets().size(); I-- > 0;) {
       const auto Since = Input.DownSince.find(info()[I].Host);
@@ -180,9 +181,9 @@
     }
   }
 
-  /// A generation goes only when every agent that lives has said that its
-  /// flows do not need it. One that has said nothing keeps them all: a flow
-  /// routed without its generation would be reset.
+  /// Drops generations only when every living agent has reported that its flows
+  /// do not need them. An agent that has reported nothing yet keeps them all: a
+  /// flow routed without its generation would be reset.
   void dropGenerations() {
     std::vector<generation> &Known = Plan.Next.View.Generations;
     std::uint64_t Oldest = ~std::uint64_t{0};
@@ -214,8 +215,8 @@
     std::vector<member> Wanted = wantedMembers();
     if (Wanted.empty() || (!Known.empty() && Known.front().Members == Wanted))
       return;
-    // Targets that leave are left out of new flows by their state at once;
-    // only joins have to wait for a generation.
+    // The state of leaving targets excludes them from new flows at once; only
+    // joining targets have to wait for a generation.
     if (Known.size() >= MaxGenerations) {
       Plan.HeldBack.insert(held_back::GenerationsFull);
       return;
@@ -232,14 +233,14 @@
 
   void finish() {
     sortMembership(Plan.Next);
-    // A raised term alone is no news to those that route by the view.
+    // A raised term alone does not change the view, so it gets no new version.
     const bool New = Input.Current == nullptr || Plan.Next != *Input.Current;
     Plan.Next.Term = Input.Term;
     Plan.Changed =
         New || Input.PlatformBehind || Input.Current->Term != Plan.Next.Term;
-    // Above whatever any node has seen: a platform that was set back to an
-    // older state would else hand out a version twice, and nodes that hold
-    // the first would never take the second.
+    // The new version is above any version that a node has seen. Otherwise a
+    // platform that was reset to an older state would issue a version twice,
+    // and nodes that hold the first would never accept the second.
     if (New)
       Plan.Next.View.Version =
           std::max(Plan.Next.View.Version, Input.KnownVersion) + 1;
--- a/src/fleet/membership_plan.h
+++ b/src/fleet/membership_plan.h
@@ -1,17 +1,18 @@
-//===- membership_plan.h - The next membership of a service -----*- C++ -*-===//
+//===- membership_plan.h - Plans the next membership ------------*- C++ -*-===//
 ///
 /// \file
-/// What a duty holder writes, computed from what it knows; pure. It answers
-/// these loads:
+/// Computes, as a pure function, the membership that a shard's lease holder
+/// writes next. It bounds the effect of these situations:
 ///
-/// - Many hosts change at once (a rollout, a zone that goes): at most one new
-///   generation a second, since each makes packets' owner lists longer and
-///   agents acknowledge each before new flows open under it.
-/// - A wrong belief about many hosts: at most a third of the serving targets
-///   leave per step, so that the rest can take their load and the mistake shows
-///   before the service is gone.
-/// - The last serving target: it is not drained, and not given up for dead. A
-///   target that may be dead serves better than none.
+/// - Many hosts change at once (a rollout, the loss of a zone): at most one new
+///   generation a second, since each generation makes packets' owner lists
+///   longer and has to be acknowledged by agents before new flows open under
+///   it.
+/// - Many hosts are wrongly taken for dead: at most a third of the serving
+///   targets leave per step, so that the others can take their load and the
+///   mistake is noticed before the whole service is down.
+/// - The last serving target is neither drained nor marked dead: a target that
+///   may be dead serves better than none.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,55 +26,56 @@
 
 namespace marjoramrail::internal {
 
-/// Between two new generations of one service.
+/// Minimum interval between two new generations of one service.
 inline constexpr duration GenerationInterval = std::chrono::seconds(1);
 
-/// How long a host that was declared down keeps its entry: an agent that wakes
-/// up within this learns that its flows were given up.
+/// How long the entry of a host that was declared dead is kept: an agent that
+/// resumes within this time learns that its flows were given up.
 inline constexpr duration DownRetention = std::chrono::minutes(10);
 
-/// What the holder heard of one host.
+/// What is known of one host from reports.
 struct host_evidence {
   host_heartbeat Heartbeat;
   instant ReceivedAt;
   /// Confirmed by enough balancers.
   bool Dead = false;
-  /// The incarnation that is dead.
+  /// The incarnation that was found dead.
   std::uint32_t DeadIncarnation = 0;
-  /// The oldest generation that it needs; unknown until an agent said so.
+  /// The oldest generation that the host needs; unknown until its agent
+  /// reported one.
   std::optional<std::uint64_t> Needs;
 };
 
 struct plan_input {
   const membership *Current = nullptr;
-  /// The platform holds an older membership than Stands: it lost a write.
+  /// The platform holds an older membership than Current: it lost a write.
   bool PlatformBehind = false;
-  /// Nothing if the operator removed the service.
+  /// Empty if the operator removed the service.
   std::optional<service_spec> Spec;
   std::uint64_t SpecVersion = 0;
-  /// The term of the lease under which it will be written.
+  /// The term of the lease under which the membership will be written.
   std::uint64_t Term = 0;
   /// The highest version of this view known anywhere in the fleet.
   std::uint64_t KnownVersion = 0;
   std::map<std::string, host_evidence> Evidence;
-  /// Hosts that operators drain.
+  /// Hosts drained by operators.
   std::set<std::string> Drained;
   std::map<std::string, zone_id> Zones;
   instant Now;
   /// When the last generation was added.
   instant LastGeneration;
-  /// When hosts were declared down, as far as this holder knows.
+  /// When hosts were declared dead, as far as this lease holder knows.
   std::map<std::string, instant> DownSince;
 };
 
-/// Why the plan is not all that was asked for.
+/// Why a plan leaves out part of what was requested.
 enum class held_back {
   None,
   /// A drain would leave no serving target.
   LastTarget,
-  /// Every target seems dead; the last ones stay.
+  /// Every target seems dead; the last one is kept.
   AllSilent,
-  /// More than a third would leave at once; the rest follows.
+  /// More than a third would leave at once; the others follow in later steps.
   Paced,
   /// All generations are still needed by flows.
   GenerationsFull,
@@ -92,7 +94,7 @@
 
 struct membership_plan {
   membership Next;
-  /// Something that must be written differs.
+  /// The plan differs from what is stored and must be written.
   bool Changed = false;
   bool NewGeneration = false;
   std::vector<std::string> DeclaredDead;
--- a/src/fleet/message.cpp
+++ b/src/fleet/message.cpp
@@ -16,7 +16,7 @@
   To.Port = From.at(1).get<std::uint16_t>();
 }
 
-// The library's own conversions for plain numbers and strings.
+// Plain numbers and strings use the library's own conversions.
 json pack(std::uint32_t Value) { return Value; }
 json pack(std::uint64_t Value) { return Value; }
 json pack(const std::string &Value) { return Value; }
@@ -231,7 +231,7 @@
   unpack(From.at(2), To.ShardLeases);
 }
 
-/// Makes the alternative with index \p Kind and reads its fields.
+/// Constructs the alternative with index \p Kind and reads its fields.
 template <std::size_t Index = 0>
 message unpackKind(std::size_t Kind, const json &Fields) {
   if constexpr (Index < std::variant_size_v<message>) {
@@ -241,7 +241,7 @@
     unpack(Fields, Value);
     return Value;
   } else {
-    // Only reached for a kind that decode() has refused.
+    // Not reached: decode() has refused unknown kinds.
     return host_ping();
   }
 }
@@ -255,8 +255,8 @@
 }
 
 result<message> decode(fleet_bytes Bytes) {
-  // The library reports a wrong type by an exception; a datagram can hold
-  // anything, so it ends here as an ordinary failure.
+  // The library reports a wrong type by an exception. Since a datagram can
+  // contain anything, it is converted to an ordinary failure here.
   try {
     const json Packed = json::from_cbor(Bytes.begin(), Bytes.end());
     const auto Kind = Packed.at(0).get<std::size_t>();
--- a/src/fleet/message.h
+++ b/src/fleet/message.h
@@ -1,9 +1,10 @@
-//===- message.h - What the fleet's processes tell each other ---*- C++ -*-===//
+//===- message.h - Messages of the fleet protocol ---------------*- C++ -*-===//
 ///
 /// \file
 /// The typed messages between agents and balancers and among balancers, and
-/// their CBOR form: an array, the kind first. Arrays instead of maps keep an
-/// announcement under 200 bytes; 130,000 hosts send them all day.
+/// their CBOR encoding: an array whose first element is the message kind.
+/// Arrays instead of maps keep a heartbeat under 200 bytes; 130,000 hosts send
+/// heartbeats continuously.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -26,25 +27,26 @@
   std::uint32_t Incarnation = 0;
   std::uint32_t Slots = 0;
   agent_report Report;
-  /// Which balancers the agent announces to, so that a balancer answers with
-  /// the right ones only when they differ.
+  /// Hash of the balancers that the agent sends heartbeats to. A balancer
+  /// replies with the full list only if the hash differs from its own.
   std::uint32_t AssignedHash = 0;
 };
 
-/// Balancer to agent: heard you. Balancers is empty if the agent's are right.
+/// Balancer to agent: acknowledges a heartbeat. Balancers is empty if the agent
+/// already uses the right ones.
 struct assignment {
   std::vector<endpoint> Balancers;
 };
 
-/// Balancer to agent: are you there? Answered by an announcement.
+/// Balancer to agent: requests an immediate heartbeat.
 struct host_ping {};
 
-/// A view, from balancer to agent or balancer to balancer.
+/// A full view, from balancer to agent or balancer to balancer.
 struct view_full {
   membership Members;
 };
 
-/// How a peer stands, as gossip tells it.
+/// State of a peer as spread by gossip.
 enum class peer_state { Alive, Suspect, Dead };
 
 struct peer_update {
@@ -58,7 +60,7 @@
   std::uint64_t Version = 0;
 };
 
-/// Who holds a shard's lease.
+/// The current lease holder of a shard.
 struct shard_lease_update {
   std::uint32_t Shard = 0;
   std::uint64_t Term = 0;
@@ -66,8 +68,9 @@
   endpoint Control;
 };
 
-/// Balancer to balancer, to a random peer each period: I am here, this is
-/// news, and this is the digest of all that I have.
+/// Balancer to balancer, to a random peer each period: shows that the sender is
+/// alive, and carries recent updates and the digests of the sender's views and
+/// peers.
 struct peer_heartbeat {
   balancer_info From;
   bool WantsAnswer = false;
@@ -78,50 +81,51 @@
   std::vector<shard_lease_update> ShardLeases;
 };
 
-/// The digests of all buckets of views, when the whole differs.
+/// The digests of all buckets of views; sent when the overall digest differs.
 struct bucket_digests {
   std::vector<std::uint64_t> Digests;
 };
 
-/// The versions in some buckets, so that the receiver sees what it lacks.
+/// The versions in some buckets, so that the receiver sees which it lacks.
 struct bucket_versions {
   std::vector<std::uint32_t> Buckets;
   std::vector<view_version> Views;
 };
 
-/// Please send these views; the version is the one that the asker has.
+/// Requests views; each entry holds the version that the requester has.
 struct view_request {
   std::vector<view_version> Have;
 };
 
-/// Only what changed between two versions.
+/// The differences between two versions of a view.
 struct view_delta {
   std::uint64_t Base = 0;
-  /// Of the new version; Targets and Generations hold only what is new.
+  /// Fields of the new version; Targets and Generations hold only new or
+  /// changed entries.
   membership Changed;
   std::vector<std::uint32_t> RemovedHosts;
   std::vector<std::uint64_t> RemovedGenerations;
 };
 
-/// Why a balancer writes to the holder of a service's shard.
+/// Why a balancer sends a report to the lease holder of a service's shard.
 enum class report_kind {
-  /// The announcement differs from what the view says of the host.
+  /// The heartbeat differs from the host's entry in the view.
   Differs,
-  /// The host has been silent and did not answer.
+  /// The host sent no heartbeats and did not respond to pings.
   NotResponding,
   /// The oldest generation that the host needs.
   Needs,
 };
 
-/// Balancer to holder: what it heard of a host. Repeated until the view
-/// says the same, so that a new holder needs no handover.
+/// Balancer to lease holder: the last heartbeat of a host. Repeated until the
+/// view agrees with it, so that a new lease holder needs no handover.
 struct host_report {
   report_kind Kind = report_kind::Differs;
   std::string From;
   host_heartbeat Heartbeat;
 };
 
-/// Holder to a balancer: ask this host yourself and report.
+/// Lease holder to a balancer: probe this host and report the result.
 struct probe_request {
   std::string Service;
   std::string Host;
@@ -129,32 +133,35 @@
   std::uint32_t Incarnation = 0;
 };
 
-/// On how many nodes of a subtree a view is in force.
+/// On how many nodes of a subtree a view is in effect.
 struct applied_entry {
   std::string Service;
   std::uint64_t Version = 0;
   std::uint32_t Nodes = 0;
-  /// XOR of the hashes of their names: the holder compares it with its own
-  /// list, so a node counted twice or missing never passes for all.
+  /// XOR of the hashes of the nodes' names. The lease holder compares it with
+  /// its own list, so a total in which a node is counted twice or missing is
+  /// not taken for complete.
   std::uint64_t NamesDigest = 0;
   std::vector<std::string> Lagging;
 
   bool operator==(const applied_entry &) const = default;
 };
 
-/// Up the tree to a holder; several services at a time.
+/// Sent up the tree and from its root to a lease holder; covers several
+/// services.
 struct applied_report {
   std::string From;
   std::uint32_t Number = 0;
   std::vector<applied_entry> Entries;
 };
 
-/// The report with this number has come.
+/// Acknowledges the report with this number.
 struct applied_ack {
   std::uint32_t Number = 0;
 };
 
-/// What a beat says, without the sign of life: to spread what is new.
+/// The updates of a peer heartbeat without its liveness fields; sent as soon as
+/// something changes.
 struct gossip_update {
   std::vector<peer_update> Peers;
   std::vector<view_version> Views;
--- a/src/fleet/node_impl.cpp
+++ b/src/fleet/node_impl.cpp
@@ -11,14 +11,14 @@
 /// that is ready to take over.
 constexpr std::size_t Candidates = 2;
 constexpr std::size_t BalancersPerHost = 3;
-/// A node that has just started may not know its peers yet; competing for every
-/// duty would only make leases wander.
+/// A node that has just started may not know its peers yet; if it competed for
+/// every shard, leases would move without need.
 constexpr duration StartupDelay = std::chrono::milliseconds(1500);
-/// Ranking 12,000 nodes for 64 shards takes 4 ms; while a fleet starts, peers
-/// change all the time.
+/// Ranking 12,000 nodes for 64 shards takes 4 ms, and peers change all the time
+/// while a fleet starts.
 constexpr duration ChooseInterval = std::chrono::seconds(1);
 constexpr std::size_t LeasesPerMessage = 3;
-/// IPv4 and UDP headers; on the wire they count like the rest.
+/// IPv4 and UDP headers, which count as sent bytes too.
 constexpr std::size_t UdpOverhead = 28;
 
 } // namespace
@@ -175,8 +175,8 @@
 
 void fleet_node::impl::probeOthers(const probe_request &Request) {
   HeartbeatReceiver.probe(Request);
-  // Those that hear the host may have heard it a moment ago; one more that it
-  // does not announce to may reach it where they all do not.
+  // The balancers that the host sends heartbeats to may have a recent one. One
+  // more balancer may reach the host when none of them does.
   std::vector<endpoint> Asked = assignedTo(Request.Host);
   if (const auto Peer = Peers.random())
     Asked.push_back(Peer->Control);
--- a/src/fleet/node_impl.h
+++ b/src/fleet/node_impl.h
@@ -1,7 +1,8 @@
-//===- node_impl.h - The parts of a balancer's fleet node -------*- C++ -*-===//
+//===- node_impl.h - Internals of fleet_node --------------------*- C++ -*-===//
 ///
 /// \file
-/// Joins the parts: what each needs of the others goes through this object.
+/// Connects the components of a balancer's fleet node; each reaches the others
+/// through this object.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -34,14 +35,15 @@
   platform_feed Feed;
   std::vector<std::unique_ptr<shard_lease>> Leases;
   std::vector<shard_lease_update> ShardLeases;
-  /// Duties with news, and how often to tell them yet.
+  /// Lease updates to send, with the number of sends left.
   std::map<std::uint32_t, int> PendingLeases;
   std::uint32_t NextShard = 0;
   gossip Gossip;
   heartbeat_receiver HeartbeatReceiver;
   applied_tree Applied;
   shard_controller Controller;
-  /// The balancers that each host announces to, while the peers stay as are.
+  /// The balancers that each host sends heartbeats to; cleared when the set of
+  /// peers changes.
   std::map<std::string, std::vector<endpoint>> Assigned;
   std::optional<instant> LastHeard;
   std::vector<timer_id> OwnTimers;
--- a/src/fleet/node_wiring.cpp
+++ b/src/fleet/node_wiring.cpp
@@ -8,7 +8,8 @@
 namespace {
 
 constexpr duration TickPeriod = std::chrono::milliseconds(200);
-/// Everything is looked at now and then, e.g. to forget hosts long gone.
+/// All services are checked at this interval, e.g. to remove hosts that were
+/// declared dead long ago.
 constexpr duration RecheckAllInterval = std::chrono::seconds(60);
 
 std::string writerName(const fleet_settings &Settings) {
@@ -40,7 +41,8 @@
     ShardLeases[I].Shard = I;
   makeLeases();
   OwnTimers.push_back(Timers.every(TickPeriod, [this] { tick(); }));
-  // Nodes that start together would else beat together for ever.
+  // Without an offset, nodes that start together would send their heartbeats at
+  // the same moments for ever.
   const duration Offset =
       Settings.GossipPeriod * (hashOfName(Settings.Name) % 100) / 100;
   OwnTimers.push_back(Timers.after(Offset, [this] {
@@ -126,15 +128,15 @@
   for (std::uint32_t Shard = 0; Shard < Settings.Shards; ++Shard) {
     shard_lease::hooks LeaseHooks;
     LeaseHooks.OnHeld = [this, Shard](std::uint64_t Term) {
-      note("took duty " + std::to_string(Shard) + " in term " +
-           std::to_string(Term));
-      // The objects of this shard have been passed over until now.
+      note("acquired the lease of shard " + std::to_string(Shard) +
+           " in term " + std::to_string(Term));
+      // Objects of this shard were ignored until now, so they are listed again.
       Feed.requireVersion(Leases[Shard]->version());
       Feed.restart();
       Controller.recheckAll();
     };
     LeaseHooks.OnLost = [this, Shard] {
-      note("lost duty " + std::to_string(Shard));
+      note("lost the lease of shard " + std::to_string(Shard));
     };
     LeaseHooks.OnSeen = [this, Shard](const lease_record &Record) {
       takeLease({Shard, Record.Term, Record.Holder, Record.Control});
--- a/src/fleet/peer_table.cpp
+++ b/src/fleet/peer_table.cpp
@@ -9,16 +9,18 @@
 
 namespace {
 
-/// An answer takes one round trip; a second covers the slowest link and a
-/// pause of the asked VM.
+/// An answer takes one round trip; a second covers the slowest link and a pause
+/// of the probed VM.
 constexpr duration AnswerTimeout = std::chrono::seconds(1);
-/// Questions without an answer before a peer is suspected.
+/// Unanswered probes before a peer is suspected.
 constexpr int MissesBeforeSuspect = 2;
-/// Time for a suspect to hear of it and to object: some rounds of gossip.
+/// Time for a suspect to receive the suspicion and to refute it: some rounds of
+/// gossip.
 constexpr duration SuspectTimeout = std::chrono::seconds(4);
-/// The dead are remembered for as long as old news of them may go round.
+/// Dead peers are remembered for as long as outdated updates about them may
+/// still spread.
 constexpr duration DeadRetention = std::chrono::seconds(60);
-/// The answers that isLinkTrusted() looks at.
+/// Number of probe results that isLinkTrusted() considers.
 constexpr std::size_t AnswersKept = 8;
 
 int timesToSpread(std::size_t Peers) {
@@ -57,7 +59,7 @@
 }
 
 /// Changes one entry only: with 12,000 peers, sorting all of them for each one
-/// that joins took 1.7 ms, and a new node that learns them all 20 s.
+/// that joins took 1.7 ms, and a new node needed 20 s to learn them all.
 void peer_table::setLiving(const std::string &Name, const balancer_info *Info) {
   auto At = std::lower_bound(
       Living.begin(), Living.end(), Name,
@@ -87,7 +89,7 @@
   Entry.Since = Now;
   if (Update.State == peer_state::Alive)
     setMissed(Entry, 0);
-  // The silence of the dead is explained and says nothing about this node.
+  // A dead peer's missing answers do not count against this node's own link.
   if (Update.State == peer_state::Dead)
     std::erase_if(Answers, [&](const answer &Answer) {
       return Answer.Name == Update.Info.Name;
@@ -122,8 +124,8 @@
   entry &Entry = Found->second;
   const std::uint32_t Known = Entry.Update.Info.Incarnation;
   const std::uint32_t Reported = Update.Info.Incarnation;
-  // Within one incarnation the worse news wins: only the peer itself can
-  // object, by a higher one.
+  // Within one incarnation the more severe state wins: only the peer itself can
+  // refute it, with a higher incarnation.
   const bool Worse = Reported == Known && Update.State > Entry.Update.State;
   if (Reported > Known || Worse)
     return set(Entry, Update, Now);
@@ -138,8 +140,8 @@
       recordAnswer(Peer.Name, true);
     Entry.ProbedAt.reset();
     setMissed(Entry, 0);
-    // Heard with our own ears: a suspicion of this incarnation that we hold
-    // is void here, while the peer still has to object for the others.
+    // The peer's own message voids a local suspicion of this incarnation; the
+    // peer still has to refute it for other nodes.
     if (Entry.Update.State == peer_state::Suspect &&
         Entry.Update.Info.Incarnation == Peer.Incarnation)
       return set(Entry, {Peer, peer_state::Alive}, Now);
@@ -147,8 +149,9 @@
   return take({Peer, peer_state::Alive}, Now);
 }
 
-/// Each peer counts once: a silent one is asked more often, and counting its
-/// silence each time would make a node of a small fleet doubt itself for ever.
+/// Each peer counts once. An unresponsive peer is probed more often, and if
+/// each missing answer counted, a node of a small fleet would distrust its own
+/// link for ever.
 void peer_table::recordAnswer(const std::string &Name, bool Arrived) {
   std::erase_if(Answers,
                 [&](const answer &Answer) { return Answer.Name == Name; });
@@ -195,7 +198,7 @@
 bool peer_table::recordMiss(entry &Entry, instant Now) {
   Entry.ProbedAt.reset();
   recordAnswer(Entry.Update.Info.Name, false);
-  // Asked again next, not after a whole round through the fleet.
+  // Probed again next, not after a whole round through the fleet.
   Round.push_back(Entry.Update.Info.Name);
   setMissed(Entry, Entry.Missed + 1);
   if (Entry.Update.State != peer_state::Alive || !isUnresponsive(Entry) ||
--- a/src/fleet/peer_table.h
+++ b/src/fleet/peer_table.h
@@ -1,12 +1,13 @@
-//===- peer_table.h - The other balancers -----------------------*- C++ -*-===//
+//===- peer_table.h - Failure detector for balancers ------------*- C++ -*-===//
 ///
 /// \file
-/// Which balancers live, as in the SWIM protocol (Das, Gupta, Motivala, 2002):
-/// each node asks one random peer per period, a silent one is suspected, the
-/// suspicion spreads, and the suspect refutes it by a higher incarnation. The
-/// work per node does not grow with the fleet. From Lifeguard (Dadgar et al.,
-/// 2017) comes the doubt about oneself: when most of those asked are silent,
-/// the node that asks is the one that is cut off.
+/// Tracks which balancers are alive, as in the SWIM protocol (Das, Gupta,
+/// Motivala, 2002): each node probes one random peer per period; a peer that
+/// does not answer becomes suspect, the suspicion spreads, and the suspect
+/// refutes it with a higher incarnation. The work per node does not grow with
+/// the fleet. As in Lifeguard (Dadgar et al., 2017), a node also doubts its own
+/// link: when most of the probed peers do not answer, the probing node is
+/// probably the one that is cut off.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -27,43 +28,46 @@
 
   const balancer_info &self() const { return Self; }
 
-  /// News from anyone. Returns true if they changed the table.
+  /// Takes an update from any node. Returns true if it changed the set of
+  /// living peers.
   bool take(const peer_update &Update, instant Now);
 
-  /// The peer itself sent a message.
+  /// Records a message sent by the peer itself.
   bool messageReceived(const balancer_info &Peer, instant Now);
 
-  /// The next peer to ask, each once per round in random order.
+  /// Returns the next peer to probe; each once per round in random order.
   std::optional<balancer_info> nextToProbe(instant Now);
 
-  /// Some live peer, for news that should spread at once.
+  /// Returns some live peer, for updates that should spread at once.
   std::optional<balancer_info> random();
 
-  /// Suspects those that did not answer, buries those suspected for long.
-  /// Returns true if the table changed.
+  /// Marks peers that did not answer as suspect, and peers suspected for too
+  /// long as dead. Returns true if the table changed.
   bool tick(instant Now);
 
-  /// Alive or suspect, this node among them, in order of name.
+  /// Alive or suspect peers, including this node, ordered by name.
   const std::vector<balancer_info> &living() const { return Living; }
-  /// living() without those that did not answer, this node among them. Who may
-  /// hold duties is ranked among these: a node that doubts itself buries
-  /// nobody, and the dead would keep their places for ever.
+  /// living() without the peers that did not answer; includes this node.
+  /// Candidates for shard leases are ranked among these: a node that does not
+  /// trust its own link marks no peer dead, so dead peers would keep their rank
+  /// for ever in living().
   std::vector<balancer_info> answering() const;
-  /// Grows with each change of answering().
+  /// Incremented with each change of answering().
   std::uint64_t answeringVersion() const {
     return Version + ResponsivenessChanges;
   }
-  /// Grows with each change of living().
+  /// Incremented with each change of living().
   std::uint64_t version() const { return Version; }
   std::uint64_t digest() const { return Digest; }
 
-  /// News to pass on with the next message: the newest first, then some of the
-  /// others when \p Fill is set because the other's digest differs.
+  /// Returns updates to send with the next message: pending ones first, then
+  /// some of the other entries if \p Fill is set because the receiver's digest
+  /// differs.
   std::vector<peer_update> updatesToSend(std::size_t Most, bool Fill);
   bool hasUpdates() const { return !PendingUpdates.empty(); }
 
-  /// False when most of the peers asked lately did not answer: then silence
-  /// says more about this node's link than about others.
+  /// False when most of the recently probed peers did not answer, in which case
+  /// this node's own link has probably failed.
   bool isLinkTrusted() const;
 
   const balancer_info *find(const std::string &Name) const;
@@ -81,7 +85,7 @@
   static bool isUnresponsive(const entry &Entry);
   void setMissed(entry &Entry, int Missed);
   void spread(const std::string &Name);
-  /// Puts \p Info into Living, or takes the name out if it is null.
+  /// Puts \p Info into Living, or removes the name if it is null.
   void setLiving(const std::string &Name, const balancer_info *Info);
   void recordAnswer(const std::string &Name, bool Arrived);
   bool recordMiss(entry &Entry, instant Now);
@@ -91,18 +95,18 @@
   std::map<std::string, entry> Peers;
   std::vector<balancer_info> Living;
   std::vector<std::string> Round;
-  /// Names with news, and how often they are still to be sent.
+  /// Names with pending updates and the number of sends left.
   std::map<std::string, int> PendingUpdates;
   std::string FillCursor;
   std::uint64_t Version = 0;
-  /// Changes of who is silent.
+  /// Counts changes of the set of unresponsive peers.
   std::uint64_t ResponsivenessChanges = 0;
   std::uint64_t Digest = 0;
   struct answer {
     std::string Name;
     bool Arrived = false;
   };
-  /// The last answers, or their lack, of different peers; newest first.
+  /// The last results, answered or missed, of different peers; newest first.
   std::deque<answer> Answers;
 };
 
--- a/src/fleet/platform_feed.cpp
+++ b/src/fleet/platform_feed.cpp
@@ -10,10 +10,12 @@
 constexpr std::array<const char *, 4> Kinds = {"zone", "service", "drain",
                                                "membership"};
 constexpr duration WatchWait = std::chrono::seconds(20);
-/// Ten changes a second reach a watcher in five calls, not ten.
+/// With this interval, ten changes a second reach a watcher in five calls
+/// instead of ten.
 constexpr duration WatchInterval = std::chrono::milliseconds(200);
 constexpr duration MinRetryInterval = std::chrono::milliseconds(500);
-/// A platform that comes back from an outage is not met by a rush of calls.
+/// Upper bound of the back-off, which spreads the calls when the platform
+/// recovers from an outage.
 constexpr duration MaxRetryInterval = std::chrono::seconds(8);
 
 } // namespace
@@ -85,7 +87,7 @@
   for (const platform_object &Object : Reply.Objects)
     offer(Object, true);
   deleteMissing(Kinds[Kind], Reply);
-  // What changed while the lists were made comes again by the watch.
+  // Changes made while the lists were read are reported again by the watch.
   Since = std::min(Since, Reply.StoreVersion);
   Highest = std::max(Highest, Reply.StoreVersion);
   if (--KindsLeft > 0)
@@ -149,8 +151,8 @@
   }
   Known = Object.Version;
   OnObject(Object);
-  // Nothing older than Highest is believed, so the deleted need no entry; each
-  // replaced VM leaves a deleted drain, thousands a day.
+  // Nothing older than Highest is accepted, so deleted objects need no entry.
+  // Each replaced VM leaves a deleted drain object, thousands a day.
   if (Object.Deleted)
     Versions.erase(Object.Key);
 }
--- a/src/fleet/platform_feed.h
+++ b/src/fleet/platform_feed.h
@@ -1,10 +1,11 @@
-//===- platform_feed.h - Objects of the platform as they change -*- C++ -*-===//
+//===- platform_feed.h - Watches platform objects ---------------*- C++ -*-===//
 ///
 /// \file
-/// Lists the kinds that duties need, then watches. Only holders of duties run
-/// one, since the platform counts every waiting watch. An object's version
-/// never goes back here, and an older list deletes nothing: after an outage the
-/// platform may answer from a state that lacks what was accepted.
+/// Lists the kinds of objects that shard controllers need, then watches them.
+/// Only lease holders run a feed, since the platform limits the number of
+/// waiting watches. The version of an object never goes back here, and an older
+/// list deletes nothing: after an outage the platform may answer from a state
+/// that lacks accepted writes.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -29,20 +30,19 @@
 
   void start();
   void stop();
-  /// Lists everything once more, for who needs more of it than before.
+  /// Lists everything again, for a user that needs more objects than before.
   void restart();
 
   /// True once every kind has been listed since start().
   bool synced() const { return Running && KindsLeft == 0; }
 
-  /// Nothing older than store version \p Version is believed from now on. A
-  /// lease that was just taken tells the version at which the platform stands;
-  /// a list from a replica that is behind it would bring back what was changed
-  /// since.
+  /// Ignores everything older than store version \p Version from now on. A
+  /// lease that was just acquired shows the version that the platform has
+  /// reached; a list from a replica behind it would revert later changes.
   void requireVersion(std::uint64_t Version);
 
-  /// An object that a write of ours has just made, so that the watch does not
-  /// bring it as news.
+  /// Records an object that this process has just written, so that the watch
+  /// does not report it as a change.
   void wrote(const platform_object &Object);
 
 private:
@@ -50,7 +50,7 @@
   void listed(std::size_t Kind, const platform_reply &Reply);
   void watch();
   void watched(const platform_reply &Reply);
-  /// \p Again: also what was offered before.
+  /// \p Again: also reports versions that were reported before.
   void offer(const platform_object &Object, bool Again);
   void deleteMissing(const std::string &Kind, const platform_reply &Reply);
   void later(duration Delay, std::function<void()> Task);
@@ -67,7 +67,8 @@
   std::uint64_t Since = 0;
   std::uint64_t Highest = 0;
   std::map<object_key, std::uint64_t> Versions;
-  /// Answers of a former run, or for a destroyed object, are void.
+  /// Incremented by stop() and the destructor, so that answers of an earlier
+  /// run are ignored.
   std::shared_ptr<int> Run = std::make_shared<int>(0);
 };
 
--- a/src/fleet/platform_writer.cpp
+++ b/src/fleet/platform_writer.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-/// Read-backs before the write is given up as unavailable; with the pause
-/// below they span ten seconds, longer than any lease that such a write is for.
+/// Reads before the write is reported as unavailable. With the interval below
+/// they span ten seconds, longer than any lease that such a write is for.
 constexpr int MaxReadBacks = 20;
 constexpr duration ReadBackInterval = std::chrono::milliseconds(500);
 
@@ -80,7 +80,7 @@
     readBack(Attempt);
     return;
   case platform_outcome::HistoryGone:
-    // Only watches are answered so.
+    // Only watches are answered this way.
     Attempt->Callback({write_outcome::Refused, {}, Reply.Reason});
     return;
   }
@@ -96,7 +96,7 @@
                               const platform_reply &Reply) {
   const bool Found = Reply.Outcome == platform_outcome::Ok;
   const bool Missing = Reply.Outcome == platform_outcome::NotFound;
-  // An older state than the one we built on tells nothing about our write.
+  // A state older than the expected version shows nothing about this write.
   const bool Older =
       (Found && Reply.Object.Version < Attempt->Write.Expected) ||
       (Missing && Attempt->Write.Expected != 0);
--- a/src/fleet/platform_writer.h
+++ b/src/fleet/platform_writer.h
@@ -1,11 +1,12 @@
-//===- platform_writer.h - Conditional writes that are certain --*- C++ -*-===//
+//===- platform_writer.h - Writes with a known outcome ----------*- C++ -*-===//
 ///
 /// \file
-/// A write's answer can be lost although the write took effect. Acting on the
-/// guess that it failed would write twice or give up a duty that is held; the
-/// guess that it succeeded would act on state that is not there. So the writer
-/// reads the object back until it knows: its own name and sequence stand in
-/// the object, or the version that it expected still does, or another's.
+/// The answer to a write can be lost although the write took effect. Assuming
+/// that it failed would write twice or give up a lease that is held; assuming
+/// that it succeeded would act on state that does not exist. The writer
+/// therefore reads the object back until the outcome is known: the object holds
+/// this writer's name and sequence number, still the expected version, or the
+/// version of another writer.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,13 +18,13 @@
 namespace marjoramrail::internal {
 
 enum class write_outcome {
-  /// It stands, or stood: the object is ours.
+  /// The object was written by this writer, even if it was overwritten since.
   Written,
-  /// Another version stands; Object holds it. Nothing of ours was written.
+  /// Another version is stored, and Object holds it. Nothing was written.
   Fenced,
-  /// Nothing was written as far as can be told; ask again later. A late copy
-  /// of the write may still arrive: it is conditional, so a later write of
-  /// ours meets it as Fenced with our own name in the object.
+  /// As far as known, nothing was written; retry later. A late copy of the
+  /// write may still arrive. Since it is conditional, a later write of this
+  /// process then fails as Fenced with its own name in the object.
   Unavailable,
   /// The platform refused the content.
   Refused,
@@ -39,19 +40,19 @@
 public:
   using callback = std::function<void(const write_result &)>;
 
-  /// \p Name must be of this process only: a restart takes another.
+  /// \p Name must be unique to this process; a restart uses another.
   platform_writer(timer_service &Timers, platform_api Platform,
                   std::string Name, fleet_counters &Counters);
   ~platform_writer();
   platform_writer(const platform_writer &) = delete;
   platform_writer &operator=(const platform_writer &) = delete;
 
-  /// Writes if version \p Expected stands. \p Callback runs exactly once,
+  /// Writes if version \p Expected is stored. \p Callback runs exactly once,
   /// unless the writer is destroyed before.
   void write(const object_key &Key, std::string Body, std::uint64_t Expected,
              callback Callback);
 
-  /// A counted read.
+  /// Reads an object and counts the call.
   void read(const object_key &Key, platform_callback Callback);
 
   /// True if this process wrote \p Object.
@@ -76,7 +77,8 @@
   std::string Name;
   fleet_counters &Counters;
   std::uint64_t Sequence = 0;
-  /// Callbacks of the platform may come after this object is gone.
+  /// Guards callbacks of the platform that arrive after this object is
+  /// destroyed.
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
 };
 
--- a/src/fleet/shard_controller.cpp
+++ b/src/fleet/shard_controller.cpp
@@ -8,19 +8,21 @@
 
 namespace {
 
-/// Balancers that must find a host silent before it is held for dead: the link
-/// between the first one and the host may be what failed.
+/// Balancers that must report a host as not responding before it is declared
+/// dead: with one report, the link between that balancer and the host may have
+/// failed.
 constexpr std::size_t RequiredReports = 2;
-/// Time for the others that were asked to answer.
+/// Time for the other probed balancers to answer.
 constexpr duration ProbeTimeout = std::chrono::milliseconds(1500);
-/// Those asked answer once; while nothing is decided they are asked again.
+/// Balancers answer a probe request once; while the state of a host is
+/// undecided, they are requested again at this interval.
 constexpr duration ProbeRetryInterval = std::chrono::seconds(3);
-/// A report of silence older than this no longer counts.
+/// A report that a host does not respond expires after this time.
 constexpr duration SilenceReportLifetime = std::chrono::seconds(5);
-/// After an unavailable platform or a write that met another version.
+/// Delay after an unavailable platform or a write that met another version.
 constexpr duration RetryInterval = std::chrono::seconds(1);
-/// Services written per tick (five a second): a takeover of thousands must not
-/// use up the platform's several hundred writes a second.
+/// Services written per tick (five ticks a second): taking over thousands must
+/// not use up the platform's several hundred writes a second.
 constexpr int WritesPerTick = 10;
 
 std::string describe(const failure &Failure) { return toText(Failure); }
@@ -64,8 +66,8 @@
   }
 }
 
-/// Other services that have the number or the address of \p Spec. All services
-/// are known by these two only: 46,000 whole specs would not fit.
+/// Returns other services with the number or the address of \p Spec. Only these
+/// two fields are kept of all services: 46,000 whole specs would not fit.
 std::vector<service_spec>
 shard_controller::conflictingServices(const service_spec &Spec) const {
   std::vector<service_spec> Others;
@@ -122,7 +124,7 @@
     State.Invalid.clear();
     return;
   }
-  // The last good spec stays in force; the status says what is wrong.
+  // The last valid spec stays in effect; the status reports the error.
   State.Invalid = describe(*Failure);
   note("refused " + State.Invalid);
 }
@@ -155,7 +157,7 @@
 }
 
 void shard_controller::recheckAll() {
-  // Shards that went elsewhere leave nothing behind.
+  // Drops the state of shards that this node no longer holds.
   std::erase_if(Services, [&](const auto &State) {
     return !State.second.Busy && !State.second.StatusBusy &&
            !Hooks.HoldsShard(State.first);
@@ -166,8 +168,8 @@
   }
 }
 
-/// Hosts that the membership no longer has: with 11,000 replaced a day their
-/// evidence would fill the memory in weeks.
+/// Removes the evidence on hosts that are no longer in the membership: with
+/// 11,000 replaced a day, it would fill the memory in weeks.
 void shard_controller::removeOldEvidence(service_state &State) {
   std::set<std::string> Known;
   if (State.Stored)
@@ -207,7 +209,7 @@
   Evidence.ReceivedAt = Timers.now();
   if (Heartbeat.Report.OldestGeneration > 0)
     Evidence.Needs = Heartbeat.Report.OldestGeneration;
-  // One balancer that hears it outweighs any number that do not.
+  // One balancer that receives heartbeats outweighs any number that do not.
   State.UnresponsiveHosts.erase(Heartbeat.Host);
   Evidence.Dead = false;
 }
@@ -255,7 +257,8 @@
     }
     ++At;
   }
-  // An answer may come within the call and end the silence.
+  // An answer may arrive during the call and remove the entry, so the requests
+  // are sent after the loop.
   for (const host_heartbeat &About : Undecided)
     requestProbes(About);
   return !State.UnresponsiveHosts.empty();
@@ -304,7 +307,7 @@
   Input.Zones = Zones;
   Input.Now = Timers.now();
   Input.LastGeneration = State.LastGeneration;
-  // A new holder counts from when it first saw the host down.
+  // A new lease holder counts from when it first saw that the host is down.
   if (Input.Current != nullptr)
     for (std::size_t I = 0; I < Input.Current->Info.size(); ++I)
       if (Input.Current->View.Targets[I].State == target_state::Down)
@@ -318,7 +321,7 @@
   const bool Nothing = !State.Spec && !State.Stored;
   if (!Term || Nothing)
     return;
-  // A spec that was never good: there is nothing to carry out yet.
+  // Without any valid spec so far there is nothing to write.
   if (!State.Spec && !State.Invalid.empty())
     return;
   if (State.Stored && State.Stored->Term > *Term)
@@ -337,7 +340,7 @@
   for (const std::string &Host : Plan.DeclaredDead) {
     ++Counters.HostsDeclaredDead;
     State.DownSince[Host] = Timers.now();
-    note(std::string("declared ").append(Host).append(" down"));
+    note(std::string("declared host ").append(Host).append(" dead"));
   }
   Writer.write({"membership", Service}, toBody(Plan.Next), State.StoredVersion,
                [this, Service, Next = Plan.Next,
@@ -362,7 +365,8 @@
     Hooks.OnWritten(Next);
     return;
   case write_outcome::Fenced:
-    note("write of " + Service + " fenced");
+    note("membership write of " + Service +
+         " failed: another version is stored");
     if (Result.Object.Version > 0)
       takeMembership(Result.Object);
     else
--- a/src/fleet/shard_controller.h
+++ b/src/fleet/shard_controller.h
@@ -1,11 +1,11 @@
-//===- shard_controller.h - Writes the membership of services --------*- C++
-//-*-===//
+//===- shard_controller.h - Writes services' membership ---------*- C++ -*-===//
 ///
 /// \file
-/// What a node does for the services of the shards that it holds: it gathers
-/// what balancers report of hosts, plans the next membership, writes it under
-/// its term, and reports status. Reports are repeated by those who send them
-/// until the view agrees, so a new holder starts from the platform alone.
+/// The work of a lease holder for the services of its shards: it collects host
+/// reports from other balancers, plans the next membership, writes it under its
+/// lease term, and publishes the service status. Senders repeat their reports
+/// until the view agrees with them, so a new lease holder needs only what the
+/// platform stores.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,7 +20,8 @@
 
 namespace marjoramrail::internal {
 
-/// On how many nodes a view is in force, as far as reports have come in.
+/// On how many nodes a view is in effect, according to the reports received so
+/// far.
 struct applied_summary {
   std::uint64_t Version = 0;
   std::uint32_t Nodes = 0;
@@ -32,19 +33,21 @@
 class shard_controller {
 public:
   struct hooks {
-    /// The term under which this node holds the service's shard, if it does.
+    /// Returns the lease term if this node holds the service's shard.
     std::function<std::optional<std::uint64_t>(const std::string &)> Term;
-    /// Whether this node holds, or may come to hold, the service's shard.
+    /// True if this node holds the lease of the service's shard.
     std::function<bool(const std::string &)> HoldsShard;
-    /// The newest view of a service that the node knows.
+    /// Returns the newest view of a service that this node knows.
     std::function<const membership *(const std::string &)> NewestView;
-    /// A membership that now stands in the platform.
+    /// Called with a membership that is now stored in the platform.
     std::function<void(const membership &)> OnWritten;
-    /// An object that was written, for the feed.
+    /// Called with an object that was just written, so that the feed does not
+    /// report it again.
     std::function<void(const platform_object &)> OnObject;
-    /// Asks a few other balancers for a second opinion on a host.
+    /// Requests that a few other balancers check a host themselves.
     std::function<void(const probe_request &)> Probe;
-    /// Balancers alive, and whether this node's link deserves trust.
+    /// Number of live balancers; IsLinkTrusted tells whether this node's own
+    /// network link appears to work.
     std::function<std::size_t()> Balancers;
     std::function<bool()> IsLinkTrusted;
     std::function<applied_summary(const std::string &)> Applied;
@@ -55,25 +58,25 @@
   shard_controller(timer_service &Timers, platform_writer &Writer,
                    fleet_counters &Counters, hooks Hooks);
 
-  /// An object of the platform that changed.
+  /// Handles an object of the platform that changed.
   void take(const platform_object &Object);
   void take(const host_report &Report);
 
-  /// A shard was taken over: everything in it has to be looked at, and its
+  /// Schedules a check of every service, e.g. after a shard was taken over: its
   /// memberships get the new term before anything else is written.
   void recheckAll();
 
-  /// \p Synced: the platform has been read since the duty was taken.
+  /// \p Synced: the platform has been read since the lease was acquired.
   void tick(bool Synced);
 
-  /// The view is in force on more nodes than before.
+  /// Called when a view has taken effect on more nodes.
   void appliedChanged(const std::string &Service);
 
 private:
   struct unresponsive_host {
     std::map<std::string, instant> By;
     instant Since;
-    /// When others were last asked.
+    /// When other balancers were last requested to probe the host.
     instant ProbesRequestedAt;
     host_heartbeat About;
   };
@@ -95,8 +98,9 @@
     std::uint64_t StatusVersion = 0;
     instant StatusAt;
     bool StatusBusy = false;
-    /// The view version that was seen in force everywhere. Balancers that join
-    /// later have it before they are ready: the status need not follow them.
+    /// The view version that was seen in effect on all nodes. Balancers that
+    /// join later load it before they are ready, so the status is not updated
+    /// for them.
     std::uint64_t FullyAppliedVersion = 0;
   };
 
@@ -128,12 +132,13 @@
   fleet_counters &Counters;
   hooks Hooks;
   std::map<std::string, service_state> Services;
-  /// Who has a service number or an address, over all shards.
+  /// Owners of service numbers and addresses, over all shards; used to refuse
+  /// duplicates.
   std::map<service_id, std::string> Numbers;
   std::map<endpoint, std::string> Addresses;
   std::map<std::string, zone_id> Zones;
   std::set<std::string> Drained;
-  /// Services to look at in the next tick.
+  /// Services to check in the next tick.
   std::set<std::string> Due;
 };
 
--- a/src/fleet/shard_lease.cpp
+++ b/src/fleet/shard_lease.cpp
@@ -10,8 +10,8 @@
 
 /// Renewals per lease: two may fail before the lease is lost.
 constexpr int RenewalsPerLease = 3;
-/// Looks of an observer per lease. Each is a read at the platform, by one node
-/// per shard; more would find a lease that was given back a little sooner.
+/// Reads by an observer per lease. Each is one platform read by one node per
+/// shard; more reads would find a released lease only slightly sooner.
 constexpr int ObservationsPerLease = 6;
 
 object_key keyOf(std::uint32_t Shard) {
@@ -88,7 +88,7 @@
 
 void shard_lease::observed(const platform_reply &Reply) {
   if (Reply.Outcome == platform_outcome::NotFound) {
-    // An older state may lack an object that we have seen.
+    // An older state may lack an object that this node has seen.
     if (!SeenVersion)
       claim(1, 0);
     return;
@@ -150,7 +150,7 @@
   if (Result.Outcome == write_outcome::Written) {
     const bool New = !Held;
     Version = Result.Object.Version;
-    // The answer may be late: a lease that has run out meanwhile is not held.
+    // The answer may be late: a lease that has expired meanwhile is not held.
     Expiry = SentAt + Settings.Length;
     RenewedAt = SentAt;
     OwnRecord = Record;
@@ -165,7 +165,8 @@
   }
   if (Result.Outcome != write_outcome::Fenced || !Held)
     return;
-  // Our own late copy of an earlier renewal: the lease is still ours.
+  // A late copy of this node's own earlier renewal was stored: the lease is
+  // still held.
   auto Current = parseLease(Result.Object.Body);
   if (Current && Writer.wrote(Result.Object) &&
       Current->Term == OwnRecord.Term && Current->Holder == OwnRecord.Holder) {
--- a/src/fleet/shard_lease.h
+++ b/src/fleet/shard_lease.h
@@ -1,14 +1,16 @@
-//===- shard_lease.h - One duty, one holder --------------------*- C++ -*-===//
+//===- shard_lease.h - The lease of one shard -------------------*- C++ -*-===//
 ///
 /// \file
-/// The lease of one shard, an object `lease/shard-N` in the platform.
+/// The lease of one shard, stored in the platform as the object
+/// `lease/shard-N`.
 ///
-/// Two clocks are never compared. The holder counts its lease from the moment
-/// before it sent the write, so it ends no later than anyone else thinks. An
-/// observer counts from the moment it first saw the object as it stands, so it
-/// takes over no earlier than the holder has given up. Neither guards against
-/// a holder that is paused between looking at its clock and acting: that is
-/// what the term is for, which every write of the duty carries.
+/// Clocks of two nodes are never compared. The holder counts the lease from
+/// just before it sent the write, so by its clock the lease ends no later than
+/// any other node assumes. An observer counts from when it first saw the
+/// current version of the object, so it takes over no earlier than the holder
+/// has stopped acting. Neither rule covers a holder that is paused between
+/// checking its clock and acting; for this, every write of the lease holder
+/// carries the term.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -26,11 +28,12 @@
   duration Length = std::chrono::seconds(6);
 };
 
-/// What stands in the lease object.
+/// The content of the lease object.
 struct lease_record {
   std::string Holder;
   std::uint64_t Term = 0;
-  /// Changes with each renewal, so that an observer sees life.
+  /// Incremented with each renewal, so that an observer sees that the holder is
+  /// alive.
   std::uint64_t Renewals = 0;
   endpoint Control = {};
 };
@@ -43,26 +46,27 @@
   struct hooks {
     std::function<void(std::uint64_t Term)> OnHeld = nullptr;
     std::function<void()> OnLost = nullptr;
-    /// Who holds it, as last read or written.
+    /// Called with the lease record that was last read or written.
     std::function<void(const lease_record &)> OnSeen = nullptr;
   };
 
   shard_lease(timer_service &Timers, platform_writer &Writer,
               shard_lease_settings Settings, hooks Hooks);
 
-  /// Whether this node is among those that should compete for the lease.
+  /// Sets whether this node competes for the lease.
   void setCandidate(bool Wanted) { Candidate = Wanted; }
 
-  /// Renews, observes or takes over; call it a few times per lease.
+  /// Renews, observes or takes over the lease; call it a few times per lease.
   void tick();
 
-  /// True only while the lease runs by this node's own clock.
+  /// True only while the lease is valid by this node's own clock.
   bool holds() const;
   std::uint64_t term() const { return OwnRecord.Term; }
   /// The store version at which the lease was last written.
   std::uint64_t version() const { return Version; }
 
-  /// Gives the lease back, so that the next holder need not wait for its end.
+  /// Releases the lease, so that the next holder need not wait until it
+  /// expires.
   void release();
 
 private:
--- a/src/fleet/shard_status.cpp
+++ b/src/fleet/shard_status.cpp
@@ -6,11 +6,12 @@
 
 namespace {
 
-/// Between two status writes of one service while nothing is complete: a
-/// change should cost the platform two writes, not one per node that took it.
+/// Minimum interval between two status writes of one service while a change is
+/// incomplete: a change should cost the platform two writes, not one per node
+/// that applied it.
 constexpr duration StatusInterval = std::chrono::seconds(3);
 
-/// Keeps the time of a condition that holds on.
+/// Adds a condition; one that did not change keeps its time.
 void setCondition(service_status &Status, const service_status &Before,
                   const std::string &Type, bool Holds, std::string Reason,
                   std::int64_t Now) {
@@ -63,7 +64,7 @@
   setCondition(Status, State.Status, "Serving", Status.TargetsReady > 0,
                Status.TargetsReady > 0 ? "" : "no target is ready", Now);
   std::set<held_back> Reasons = State.HeldBack;
-  // Ordinary pacing within a second is no news to an operator.
+  // Pacing within a second is normal and not reported to operators.
   Reasons.erase(held_back::Coalesced);
   setCondition(Status, State.Status, "HeldBack", !Reasons.empty(),
                joined(Reasons), Now);
@@ -108,7 +109,8 @@
     return;
   }
   Due.insert(Service);
-  // Another holder's report, or our own under a lost answer: ours is newer.
+  // The stored status was written by another holder, or by this node with a
+  // lost answer; this node's status is newer.
   if (Result.Outcome == write_outcome::Fenced)
     State.StatusVersion = Result.Object.Version;
 }
--- a/src/fleet/view_delta.cpp
+++ b/src/fleet/view_delta.cpp
@@ -40,7 +40,7 @@
   return Known;
 }
 
-/// The fields beside hosts and generations.
+/// Returns the membership without hosts and generations.
 membership headOf(const membership &Members) {
   membership Head = Members;
   Head.View.Targets.clear();
--- a/src/fleet/view_delta.h
+++ b/src/fleet/view_delta.h
@@ -1,8 +1,9 @@
-//===- view_delta.h - What changed between two views ------------*- C++ -*-===//
+//===- view_delta.h - Differences between two views -------------*- C++ -*-===//
 ///
 /// \file
-/// A join in a service of a thousand hosts changes one of them; sending the
-/// other 999 to 12,000 nodes would spend the byte budget of minutes.
+/// Encodes the changes between two views. A host that joins a service of a
+/// thousand changes one entry; sending the other 999 to 12,000 nodes would use
+/// up the byte budget of minutes.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -13,15 +14,15 @@
 
 namespace marjoramrail::internal {
 
-/// \p From and \p To are of one service.
+/// \p From and \p To must be of the same service.
 view_delta makeDelta(const membership &From, const membership &To);
 
 /// Returns nothing if \p Delta does not build on \p From.
 std::optional<membership> applyDelta(const membership &From,
                                      const view_delta &Delta);
 
-/// Targets by number and generations newest first: the order that all nodes
-/// keep, so that equal views are equal bytes.
+/// Sorts targets by number and generations newest first. All nodes keep this
+/// order, so that equal views have equal bytes.
 void sortMembership(membership &Members);
 
 } // namespace marjoramrail::internal
--- a/src/fleet/view_store.cpp
+++ b/src/fleet/view_store.cpp
@@ -56,7 +56,8 @@
 
 std::uint64_t view_store::digest() const {
   std::uint64_t Whole = 0;
-  // Rotated by place, or two buckets that differ alike would cancel out.
+  // Each digest is rotated by its index, since two buckets with equal
+  // differences would cancel out otherwise.
   for (std::size_t I = 0; I < Buckets; ++I)
     Whole ^= Digests[I] << I | (I == 0 ? 0 : Digests[I] >> (Buckets - I));
   return Whole;
--- a/src/fleet/view_store.h
+++ b/src/fleet/view_store.h
@@ -1,9 +1,9 @@
 //===- view_store.h - The newest view of each service -----------*- C++ -*-===//
 ///
 /// \file
-/// Versions never go back: whatever the platform or a peer offers, the highest
-/// version that was ever seen stays. Digests by bucket let two nodes find what
-/// differs in a few hundred bytes.
+/// Keeps the highest version of each view that was ever received; older
+/// versions offered by the platform or a peer are ignored. Digests by bucket
+/// let two nodes find their differences in a few hundred bytes.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,11 +21,11 @@
 
 class view_store {
 public:
-  /// 64 digests fit one datagram; at 46,000 services a bucket's versions are
-  /// about 720 entries.
+  /// 64 digests fit one datagram; with 46,000 services a bucket holds about 720
+  /// versions.
   static constexpr std::size_t Buckets = 64;
 
-  /// Takes \p Members if it is newer than what stands.
+  /// Stores \p Members if it is newer than the stored version.
   offer take(const membership &Members);
 
   const membership *find(const std::string &Service) const;
@@ -39,7 +39,7 @@
   }
   std::vector<view_version> versionsIn(std::uint32_t Bucket) const;
 
-  /// The last change of a service as a delta, if it started at \p Base.
+  /// Returns the last change of a service as a delta, if it builds on \p Base.
   const view_delta *deltaFrom(const std::string &Service,
                               std::uint64_t Base) const;
 
--- a/test/fleet/drain_reporter_test.cpp
+++ b/test/fleet/drain_reporter_test.cpp
@@ -31,7 +31,9 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(draining_host, "drain_reporter follows a drain to its end") {
+TEST_CASE_FIXTURE(
+    draining_host,
+    "drain_reporter publishes the progress of a drain until its end") {
   Status = statusOf(12);
   runFor(2);
   CHECK(stored() == toJson(statusOf(12)));
@@ -42,8 +44,9 @@
   CHECK(stored() == toJson(statusOf(0)));
 }
 
-TEST_CASE_FIXTURE(draining_host,
-                  "drain_reporter writes nothing while nothing changes") {
+TEST_CASE_FIXTURE(
+    draining_host,
+    "drain_reporter writes nothing while the status is unchanged") {
   Status = statusOf(12);
   runFor(2);
   const std::uint64_t Before = Platform.Writes;
@@ -54,9 +57,9 @@
 }
 
 TEST_CASE_FIXTURE(draining_host,
-                  "drain_reporter takes the status of a former drain away") {
-  // A host was drained, replaced and is to be drained again. The operator who
-  // finds the old "safe to stop" stops a VM that holds two thousand flows.
+                  "drain_reporter removes the status of a previous drain") {
+  // A host was drained, replaced and is to be drained again. An operator who
+  // reads the old "safe to stop" would stop a VM that holds two thousand flows.
   Platform.put("drain-status", "ledger-2", toJson(statusOf(0)));
 
   runFor(3);
@@ -65,9 +68,10 @@
 }
 
 TEST_CASE_FIXTURE(draining_host,
-                  "drain_reporter goes on after answers were lost") {
-  // A write takes effect and its answer is lost: the next one meets a version
-  // that the host has not seen, and the operator would wait for ever.
+                  "drain_reporter continues after answers were lost") {
+  // A write takes effect but its answer is lost. The next write then meets a
+  // version that the host has not seen; if it never recovered, the operator
+  // would wait for ever.
   Platform.LoseAnswers = 1;
   Status = statusOf(12);
   runFor(2);
@@ -79,7 +83,7 @@
 }
 
 TEST_CASE_FIXTURE(draining_host,
-                  "drain_reporter tells the end after a platform outage") {
+                  "drain_reporter publishes the end after a platform outage") {
   Status = statusOf(12);
   runFor(2);
   Platform.Down = true;
--- a/test/fleet/fake_platform.h
+++ b/test/fleet/fake_platform.h
@@ -1,8 +1,8 @@
-//===- fake_platform.h - The platform in memory, with faults ----*- C++ -*-===//
+//===- fake_platform.h - In-memory platform with faults ---------*- C++ -*-===//
 ///
 /// \file
-/// A platform_api on a hand-turned clock: outages, slow answers, answers lost
-/// after the write took effect, and older state served.
+/// A platform_api on a simulated clock that can have outages, slow answers,
+/// answers lost after the write took effect, and older state.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,13 +17,13 @@
 
 namespace marjoramrail::testing {
 
-/// The faults of one process's way to the platform.
+/// Faults of the link between one process and the platform.
 struct platform_link {
-  /// What it sends is lost.
+  /// Requests of the process are lost.
   bool Cut = false;
-  /// How long a call travels before it takes effect.
+  /// How long a request takes to reach the platform and take effect.
   duration RequestDelay = duration::zero();
-  /// How much longer an answer takes than for others.
+  /// Delay of answers in addition to that of the platform.
   duration ReplyDelay = duration::zero();
 };
 
@@ -39,14 +39,15 @@
   int LoseAnswers = 0;
   /// This many writes do not take effect and answer Unknown.
   int LoseWrites = 0;
-  /// Reads and lists answer from the state kept by remember().
+  /// Reads, lists and watches answer from the state kept by saveOlder().
   bool ServeOlder = false;
-  /// Only lists and watches do, as from another replica than reads.
+  /// Only lists and watches answer from that state, as from another replica
+  /// than reads.
   bool ListOlder = false;
   std::uint64_t Calls = 0;
   std::uint64_t Writes = 0;
 
-  /// The platform as a process reaches it over \p Link.
+  /// Returns the platform as a process reaches it over \p Link.
   platform_api api(const platform_link *Link = nullptr) {
     platform_api Api;
     Api.Read = [this, Link](const object_key &Key, platform_callback Callback) {
@@ -77,7 +78,7 @@
     return Api;
   }
 
-  /// Writes as an operator does, whatever stands.
+  /// Writes like an operator, regardless of the stored version.
   void put(const std::string &Kind, const std::string &Name, std::string Body) {
     platform_object Object;
     Object.Key = {Kind, Name};
@@ -129,8 +130,8 @@
     return Reply;
   }
 
-  /// The rule of platform.h for kinds, names and writers; the client refuses
-  /// others before a byte is sent.
+  /// Applies the rule of platform.h for kinds, names and writers; the client
+  /// refuses others before it sends a byte.
   static bool isKeyPart(const std::string &Text) {
     const auto Allowed = [](unsigned char Character) {
       return std::isalnum(Character) != 0 ||
--- a/test/fleet/fleet_node_test.cpp
+++ b/test/fleet/fleet_node_test.cpp
@@ -10,13 +10,14 @@
 using marjoramrail::testing::test_balancer;
 using namespace std::chrono_literals;
 
-TEST_CASE("hosts that announce themselves are in every balancer's view") {
+TEST_CASE("hosts that send heartbeats are in every balancer's view") {
   site Site;
   CHECK(Site.settle());
 }
 
 TEST_CASE("a fleet at rest writes nothing but leases") {
-  // Heartbeats as platform writes would use it up long before the target size.
+  // Storing heartbeats in the platform would exhaust it long before the target
+  // size.
   site Site;
   REQUIRE(Site.settle());
   Site.run(20s);
@@ -28,8 +29,9 @@
   CHECK(Site.Platform.Writes - Before <= 4 * 31);
 }
 
-TEST_CASE("a crashed host is declared down and leaves the newest generation") {
-  // A target VM dies. Until the balancers know, some new flows try it first.
+TEST_CASE("a crashed host is declared dead and leaves the newest generation") {
+  // A target VM dies. Until the balancers know, some new flows are sent to it
+  // first.
   site Site;
   REQUIRE(Site.settle());
   Site.agent("ledger-3").Dead = true;
@@ -69,9 +71,9 @@
   CHECK(Took);
 }
 
-TEST_CASE("a host that one balancer cannot reach is not declared down") {
+TEST_CASE("a host that one balancer cannot reach is not declared dead") {
   // A link between one balancer and one host fails in one direction. The host
-  // serves all others; taking it for dead would cut its flows.
+  // still serves all others; declaring it dead would cut its flows.
   site Site;
   REQUIRE(Site.settle());
   Site.Cut = [&](const process &From, const process &To) {
@@ -84,8 +86,9 @@
   CHECK(Site.seenByAll("ledger-3", target_state::Ready));
 }
 
-TEST_CASE("a balancer cut off from everything declares no host down") {
-  // A balancer's own link fails: to it, every host falls silent at once.
+TEST_CASE("a balancer cut off from everything declares no host dead") {
+  // A balancer's own link fails, so that all hosts stop responding to it at
+  // once.
   for (int Which = 0; Which < 3; ++Which) {
     site Site;
     REQUIRE(Site.settle());
@@ -103,8 +106,8 @@
   }
 }
 
-TEST_CASE("a balancer cut off from all hosts but not from its peers") {
-  // Only the switch towards the target hosts fails for one balancer.
+TEST_CASE("a balancer cut off from all hosts only declares none dead") {
+  // Only the switch between one balancer and the target hosts fails.
   for (int Which = 0; Which < 3; ++Which) {
     site Site;
     REQUIRE(Site.settle());
@@ -120,7 +123,7 @@
   }
 }
 
-TEST_CASE("a host frozen for a moment keeps its place") {
+TEST_CASE("a host frozen for a few seconds is not declared dead") {
   site Site;
   REQUIRE(Site.settle());
   test_agent &Agent = Site.agent("ledger-3");
@@ -133,10 +136,10 @@
   CHECK(Agent.TimesDeclaredDead == 0);
 }
 
-TEST_CASE("a host frozen for long learns that it was given up") {
+TEST_CASE("a host frozen for long learns that it was declared dead") {
   // A VM is paused by its hypervisor for half a minute. Its flows have been
-  // given up meanwhile; if it went on as before, callers could get answers
-  // from two places.
+  // given up meanwhile; if it continued as before, callers could get answers
+  // from two targets.
   site Site;
   REQUIRE(Site.settle());
   test_agent &Agent = Site.agent("ledger-3");
@@ -153,7 +156,7 @@
   CHECK(Agent.HeartbeatSender->incarnation() == 2);
 }
 
-TEST_CASE("a zone that goes at once, balancer and hosts") {
+TEST_CASE("a zone fails at once, with its balancer and hosts") {
   site Site;
   REQUIRE(Site.settle());
   std::size_t Gone = 0;
@@ -180,7 +183,7 @@
     Site.Balancers[I]->Dead = true;
     test_balancer &Fresh = Site.addBalancer(
         "balancer-" + std::to_string(I + 11), Site.Balancers[I]->Zone);
-    // The seeds of the settings no longer live at the end: those that live
+    // At the end none of the configured seeds is running; the running balancers
     // know each other.
     REQUIRE(Site.runUntil([&] { return Fresh.Node->find("ledger") != nullptr; },
                           20s));
@@ -191,7 +194,7 @@
   CHECK(Site.versionsOnlyGrew());
 }
 
-TEST_CASE("messages that cannot be read are counted and change nothing") {
+TEST_CASE("messages that cannot be decoded are counted and ignored") {
   site Site;
   REQUIRE(Site.settle());
   std::mt19937_64 Random(7);
--- a/test/fleet/gossip_test.cpp
+++ b/test/fleet/gossip_test.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// Many balancers before a few services.
+/// A fleet of many balancers and a few services.
 struct wide_fleet : small_fleet {
   explicit wide_fleet(int Nodes) {
     for (int I = 0; I < Nodes; ++I)
@@ -69,7 +69,7 @@
 
 } // namespace
 
-TEST_CASE("a change is in force on forty balancers within seconds") {
+TEST_CASE("a change takes effect on forty balancers within seconds") {
   wide_fleet Fleet(40);
   REQUIRE(Fleet.settle());
   Fleet.run(10s);
@@ -87,8 +87,8 @@
 }
 
 TEST_CASE("the status names a balancer that lags") {
-  // One balancer is cut off when a change is accepted: operators must see that
-  // it is not in force everywhere, and where it is missing.
+  // One balancer is cut off when a change is accepted. Operators must see that
+  // the change has not taken effect everywhere, and which balancer is missing.
   wide_fleet Fleet(12);
   REQUIRE(Fleet.settle());
   Fleet.run(10s);
@@ -97,7 +97,7 @@
     return &From == Isolated || &To == Isolated;
   };
   Fleet.change(0);
-  // Long enough for a report, too short for the balancer to be given up.
+  // Long enough for a report, too short for the balancer to be declared dead.
   Fleet.run(4s);
 
   const service_status Status = Fleet.status(0);
@@ -114,7 +114,7 @@
   CHECK(Fleet.isAppliedEverywhere(0));
 }
 
-TEST_CASE("a third of all datagrams lost: changes still arrive everywhere") {
+TEST_CASE("changes reach all balancers when a third of datagrams is lost") {
   wide_fleet Fleet(20);
   REQUIRE(Fleet.settle());
   Fleet.Loss = 0.33;
@@ -124,9 +124,9 @@
   }
 }
 
-TEST_CASE("a fifth of all datagrams lost: nobody is taken for dead") {
-  // A congested link between zones drops packets. Taking that for deaths would
-  // move flows for nothing, on the day when links are scarce.
+TEST_CASE("no node is declared dead when a fifth of datagrams is lost") {
+  // A congested link between zones drops packets. If that were taken for the
+  // death of nodes, flows would move without need while links are scarce.
   wide_fleet Fleet(20);
   REQUIRE(Fleet.settle());
   Fleet.Loss = 0.2;
@@ -140,10 +140,10 @@
   CHECK(Down == 0);
 }
 
-TEST_CASE("a storm of changes stays within the byte budget and ends in force") {
-  // A script changes every service ten times a second for half a minute. The
-  // versions in between need not arrive; the last must, and the links must not
-  // be taken from the callers.
+TEST_CASE("a storm of changes stays within the byte budget and takes effect") {
+  // A script changes every service ten times a second for half a minute.
+  // Versions in between need not arrive, but the last must, and control traffic
+  // must not take bandwidth from the callers.
   wide_fleet Fleet(20);
   REQUIRE(Fleet.settle());
   Fleet.run(10s);
@@ -160,7 +160,7 @@
         static_cast<double>(Fleet.Balancers[I]->Node->counters().BytesSent -
                             Before[I]) /
         30;
-    // The budget with its burst, and what is sent whatever it says.
+    // The budget with its burst, plus messages that are sent regardless of it.
     CHECK(Rate < 4096 + 4 * 4096 / 30.0 + 1500);
   }
   for (int Service = 0; Service < 6; ++Service)
@@ -168,8 +168,8 @@
                          19s));
 }
 
-TEST_CASE("balancers that were cut in two find each other again") {
-  // Two regions lose each other for minutes, longer than the dead are
+TEST_CASE("balancers find each other again after a partition") {
+  // Two regions are partitioned for minutes, longer than dead peers are
   // remembered.
   wide_fleet Fleet(10);
   REQUIRE(Fleet.settle());
@@ -194,9 +194,9 @@
       60s));
 }
 
-TEST_CASE("a view never goes back, whoever offers an older one") {
-  // A peer that was frozen for an hour wakes up and sends what it had. Taken,
-  // it would bring back targets that are long gone.
+TEST_CASE("an older view is ignored, whoever sends it") {
+  // A peer that was frozen for an hour resumes and sends its old view. Applying
+  // it would bring back targets that were removed long ago.
   wide_fleet Fleet(3);
   REQUIRE(Fleet.settle());
   membership Old = *Fleet.Balancers[0]->Node->find("service0");
@@ -214,7 +214,7 @@
   CHECK(Fleet.Agents[0]->View->View.Version >= Version);
 }
 
-TEST_CASE("confirmations wait first when the byte budget runs low") {
+TEST_CASE("confirmations are deferred first when the byte budget runs low") {
   byte_budget Budget(1000, instant());
   CHECK(Budget.open(instant(), urgency::Later));
   Budget.spend(2500);
@@ -226,10 +226,10 @@
   CHECK(Budget.open(instant(2s), urgency::Soon));
 }
 
-TEST_CASE("a balancer counted twice does not stand for one that is missing") {
+TEST_CASE("a balancer counted twice does not make up for a missing one") {
   // While nodes know different peers, one may report to two parents and another
-  // to none. The sum is then right by number, and an operator would read that a
-  // change is in force where it is not.
+  // to none. The total then has the right count, and an operator would read
+  // that a change has taken effect where it has not.
   timer_service Timers;
   peer_table Peers({"a", "zone", {1, 1}, 1}, 1);
   Peers.take({{"b", "zone", {2, 2}, 1}, peer_state::Alive}, instant());
@@ -254,9 +254,9 @@
   CHECK(Tree.summary("ledger").All);
 }
 
-TEST_CASE("a node that nobody answers buries nobody") {
-  // Its own link is what failed. Were it to bury its peers, it would think
-  // itself alone and claim every duty.
+TEST_CASE("a node that gets no answers marks no peer dead") {
+  // The node's own link has failed. If it marked its peers dead, it would
+  // consider itself alone and claim every shard lease.
   peer_table Peers({"a", "zone", {1, 1}, 1}, 1);
   for (const char *Name : {"b", "c", "d", "e"})
     Peers.take({{Name, "zone", {2, 2}, 1}, peer_state::Alive}, instant());
@@ -269,7 +269,7 @@
   CHECK(Peers.living().size() == 5);
 }
 
-TEST_CASE("a node that is called dead objects by a higher incarnation") {
+TEST_CASE("a node that is marked dead refutes by a higher incarnation") {
   peer_table Peers({"a", "zone", {1, 1}, 7}, 1);
   Peers.take({{"a", "zone", {1, 1}, 7}, peer_state::Dead}, instant());
 
--- a/test/fleet/membership_plan_test.cpp
+++ b/test/fleet/membership_plan_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A service with hosts h1 to hN that announce themselves.
+/// A service with hosts h1 to hN that send heartbeats.
 struct plan_fixture {
   explicit plan_fixture(int Hosts) {
     service_spec Spec;
@@ -41,7 +41,7 @@
     Input.Evidence[name(Host)].DeadIncarnation = 1;
   }
 
-  /// Plans, takes the plan as written and lets a second pass.
+  /// Plans, treats the plan as written and advances the clock by a second.
   membership_plan step() {
     Input.Current = Now ? &*Now : nullptr;
     membership_plan Plan = planMembership(Input);
@@ -64,19 +64,19 @@
 
 } // namespace
 
-TEST_CASE("hosts that come together are one generation") {
+TEST_CASE("hosts that join together form one generation") {
   const plan_fixture Plan(7);
 
   REQUIRE(Plan.Now->View.Generations.size() == 1);
   CHECK(Plan.Now->View.Generations[0].Members.size() == 7);
 }
 
-TEST_CASE("nothing new is nothing to write") {
+TEST_CASE("an unchanged plan writes nothing") {
   plan_fixture Plan(7);
   CHECK_FALSE(Plan.step().Changed);
 }
 
-TEST_CASE("a raised term is written but is no new version of the view") {
+TEST_CASE("a raised term is written without a new version of the view") {
   plan_fixture Plan(7);
   const std::uint64_t Version = Plan.Now->View.Version;
   Plan.Input.Term = 2;
@@ -88,9 +88,9 @@
   CHECK(Next.Next.View.Version == Version);
 }
 
-TEST_CASE("a version is above all that any node has seen") {
-  // The platform was set back to a state before version 40 was written. Nodes
-  // that hold 40 would ignore another 40 for ever.
+TEST_CASE("a new version is above all versions that any node has seen") {
+  // The platform was reset to a state before version 40 was written. Nodes that
+  // hold version 40 would ignore another version 40 for ever.
   plan_fixture Plan(7);
   Plan.Input.KnownVersion = 40;
   Plan.addHeartbeat(8, 1);
@@ -99,8 +99,8 @@
 }
 
 TEST_CASE("at most a third of the targets leave per step") {
-  // A mistaken belief about many hosts, or a zone that goes: the rest has to
-  // take their flows.
+  // Many hosts are wrongly taken for dead, or a zone fails: the other targets
+  // have to take their flows.
   plan_fixture Plan(9);
   for (int I = 1; I <= 6; ++I)
     Plan.markDead(I);
@@ -124,7 +124,7 @@
   CHECK(Plan.step().HeldBack.contains(held_back::AllSilent));
 }
 
-TEST_CASE("changes within a second are one generation") {
+TEST_CASE("changes within a second form one generation") {
   plan_fixture Plan(3);
   Plan.Input.Now -= 500ms;
   Plan.addHeartbeat(4, 1);
@@ -134,7 +134,7 @@
   CHECK(Plan.Now->View.Generations.size() == 2);
 }
 
-TEST_CASE("with all generations in use joins wait and leaves do not") {
+TEST_CASE("with all generations in use, joins wait and leaves do not") {
   plan_fixture Plan(3);
   for (int I = 4; I <= 12; ++I) {
     Plan.addHeartbeat(I, 1);
@@ -152,9 +152,9 @@
   CHECK(Plan.Now->View.Generations.size() == 2);
 }
 
-TEST_CASE("a generation stays while one living agent has said nothing") {
-  // An agent that a holder has not heard of yet may have flows of the old
-  // generation; dropped, their packets would be reset.
+TEST_CASE("a generation stays until every living agent has reported") {
+  // An agent that the lease holder has no report of yet may have flows of the
+  // old generation. If it were dropped, their packets would be reset.
   plan_fixture Plan(3);
   Plan.addHeartbeat(4, 1);
   Plan.step();
@@ -168,7 +168,7 @@
   CHECK(Plan.Now->View.Generations.back().Number >= 2);
 }
 
-TEST_CASE("a host declared down comes back only under a new incarnation") {
+TEST_CASE("a host declared dead rejoins only under a new incarnation") {
   plan_fixture Plan(3);
   Plan.markDead(1);
   Plan.step();
@@ -181,8 +181,8 @@
   CHECK(Plan.count(target_state::Ready) == 3);
 }
 
-TEST_CASE("an announcement of a former incarnation changes nothing") {
-  // A datagram of the agent before its restart arrives late.
+TEST_CASE("a heartbeat of a previous incarnation changes nothing") {
+  // A datagram that the agent sent before its restart arrives late.
   plan_fixture Plan(3);
   Plan.addHeartbeat(1, 5);
   Plan.step();
@@ -190,8 +190,8 @@
   CHECK_FALSE(Plan.step().Changed);
 }
 
-TEST_CASE("deltas give what sending the whole view gives") {
-  // The naive version sends every view whole.
+TEST_CASE("deltas give the same result as sending full views") {
+  // Compares with a naive version that sends every view in full.
   std::mt19937_64 Random(5);
   plan_fixture Plan(6);
   membership Replica = *Plan.Now;
--- a/test/fleet/shard_controller_test.cpp
+++ b/test/fleet/shard_controller_test.cpp
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("the status counts the balancers on which a view is in force") {
+TEST_CASE("the status counts the balancers that apply a view") {
   site Site;
   REQUIRE(Site.settle());
   Site.run(10s);
@@ -66,7 +66,7 @@
   CHECK(newestMembers(Site, "ledger") == 7);
 }
 
-TEST_CASE("an operator's drain holds until the operator takes it back") {
+TEST_CASE("an operator's drain lasts until the operator removes it") {
   site Site;
   REQUIRE(Site.settle());
   Site.run(5s);
@@ -83,8 +83,8 @@
 }
 
 TEST_CASE("the last serving target of a service is not drained") {
-  // Someone drains every host of a service by mistake. Carried out, its
-  // callers would be refused everywhere.
+  // An operator drains every host of a service by mistake. If all were drained,
+  // its callers would be refused everywhere.
   site Site;
   REQUIRE(Site.settle());
   Site.run(5s);
@@ -98,7 +98,7 @@
   CHECK(conditionOf(statusOf(Site, "archive"), "HeldBack") == "last-target+");
 }
 
-TEST_CASE("past generations stay while an agent needs them, then go") {
+TEST_CASE("past generations are kept while an agent needs them") {
   site Site;
   REQUIRE(Site.settle());
   Site.run(15s);
@@ -115,7 +115,7 @@
   CHECK(Site.Balancers[0]->Node->find("ledger")->View.Generations.size() == 1);
 }
 
-TEST_CASE("a host that is gone for good is forgotten after ten minutes") {
+TEST_CASE("the entry of a dead host is removed after ten minutes") {
   site Site;
   REQUIRE(Site.settle());
   Site.agent("ledger-3").Dead = true;
@@ -128,7 +128,7 @@
   CHECK(Site.agreed("ledger", 6));
 }
 
-TEST_CASE("a duty goes on when its holder dies") {
+TEST_CASE("another balancer takes over when a lease holder dies") {
   site Site;
   REQUIRE(Site.settle());
   Site.run(5s);
@@ -144,10 +144,10 @@
   CHECK(Site.versionsOnlyGrew());
 }
 
-TEST_CASE("two of three balancers die: the third takes all duties") {
-  // Two zones fail together. The survivor cannot tell this from a cut of its
-  // own link, so it declares nobody dead; but the leases are free in the
-  // platform, and operators' changes must still come into force.
+TEST_CASE("two of three balancers die: the third takes all shard leases") {
+  // Two zones fail together. The remaining balancer cannot distinguish this
+  // from a failure of its own link, so it declares no peer dead. But the leases
+  // are free in the platform, and operators' changes must still take effect.
   for (int Which = 0; Which < 3; ++Which) {
     CAPTURE(Which);
     site Site;
@@ -168,10 +168,10 @@
   }
 }
 
-TEST_CASE("a holder that slept through its lease cannot write any more") {
-  // The holder is frozen with a write about to leave. Another takes the duty
-  // over and changes the membership; then the first wakes up and acts in the
-  // belief that no time has passed.
+TEST_CASE("a holder that was frozen past its lease cannot write") {
+  // The lease holder is frozen with a write about to leave. Another balancer
+  // takes the lease over and changes the membership; then the first resumes
+  // without knowing that time has passed.
   site Site;
   REQUIRE(Site.settle());
   Site.run(5s);
@@ -183,7 +183,7 @@
         ->Term;
   };
   const std::uint64_t Term = TermOf();
-  // It hears of a drain; its write is held up on the way for 20 s.
+  // It learns of a drain; its write is delayed on the way for 20 s.
   Holder->Link.RequestDelay = 20s;
   Site.agent("ledger-5").Report.Draining = true;
   Site.agent("ledger-5").HeartbeatSender->sendNow();
@@ -207,9 +207,9 @@
   CHECK(Site.versionsOnlyGrew());
 }
 
-TEST_CASE("the platform is down for minutes: all go on, a new one learns") {
-  // While the platform is down a balancer's VM is replaced. It has nothing but
-  // its peers to learn from, and callers' packets reach it at once.
+TEST_CASE("the platform is down for minutes: a new balancer gets all views") {
+  // While the platform is down, a balancer's VM is replaced. It can learn the
+  // views only from its peers, and callers' packets reach it at once.
   site Site;
   REQUIRE(Site.settle());
   Site.run(5s);
@@ -236,9 +236,10 @@
       [&] { return Site.seenByAll("ledger-3", target_state::Down); }, 40s));
 }
 
-TEST_CASE("the platform is slow for minutes: duties stay, changes go through") {
-  // Each answer takes a second and a half. Holders that gave up their leases
-  // for it would hand duties round and write nothing.
+TEST_CASE(
+    "the platform is slow for minutes: leases stay, changes take effect") {
+  // Each answer takes a second and a half. If holders gave up their leases for
+  // that, leases would move between balancers and nothing would be written.
   site Site;
   REQUIRE(Site.settle());
   Site.run(5s);
@@ -254,9 +255,9 @@
   CHECK(Site.versionsOnlyGrew());
 }
 
-TEST_CASE("an older state of the platform brings nothing back") {
-  // After an outage the platform answers from a replica that is behind. A
-  // target drained since would get work again.
+TEST_CASE("an older state of the platform reverts nothing") {
+  // After an outage the platform answers from a replica that is behind. If that
+  // were accepted, a target drained since would get new work again.
   site Site;
   REQUIRE(Site.settle());
   Site.run(5s);
@@ -278,9 +279,9 @@
   CHECK(Site.versionsOnlyGrew());
 }
 
-TEST_CASE("a new holder does not believe a list that is behind its lease") {
-  // The holder dies while the replica that answers lists is behind. Believed,
-  // the new holder would give a drained target work again.
+TEST_CASE("a new holder ignores a list that is older than its lease") {
+  // The lease holder dies while the replica that answers lists is behind. A new
+  // holder that accepted the list would give a drained target new work.
   site Site;
   REQUIRE(Site.settle());
   Site.run(5s);
@@ -321,9 +322,9 @@
   CHECK(Site.versionsOnlyGrew());
 }
 
-TEST_CASE("two operators race for one service: one wins, everywhere") {
-  // Both read the same version and write. The second is refused by the
-  // platform; the fleet must carry out the one that was accepted.
+TEST_CASE("two operators change one service: one wins on all balancers") {
+  // Both read the same version and write. The platform refuses the second; the
+  // fleet must apply the one that was accepted.
   site Site;
   REQUIRE(Site.settle());
   const platform_object Current = Site.Platform.get("service", "ledger");
@@ -349,7 +350,7 @@
   CHECK(statusOf(Site, "ledger").AcceptedVersion > Current.Version);
 }
 
-TEST_CASE("a spec that is wrong leaves the last good one in force") {
+TEST_CASE("an invalid spec leaves the last valid one in effect") {
   site Site;
   REQUIRE(Site.settle());
   Site.Platform.put("service", "ledger", "{\"address\": 5}");
@@ -362,10 +363,10 @@
   CHECK(Accepted.back() == '-');
 }
 
-TEST_CASE("under random faults the fleet ends where a full broadcast would") {
-  // Losses, cuts, deaths, outages and lost answers come together and twice.
-  // Once they end, every balancer has what the platform holds, as if each
-  // write had been sent to everyone.
+TEST_CASE("after random faults the fleet converges like a full broadcast") {
+  // Losses, partitions, frozen hosts, outages and lost answers occur together.
+  // After they end, every balancer has what the platform holds, as if each
+  // write had been sent to all of them.
   for (std::uint64_t Seed = 1; Seed <= 6; ++Seed) {
     CAPTURE(Seed);
     site Site(Seed, 5);
--- a/test/fleet/shard_lease_test.cpp
+++ b/test/fleet/shard_lease_test.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// One node that competes for shard 0. While Paused its ticks do not run, as
-/// in a frozen process, and what it is told waits.
+/// One node that competes for shard 0. While Paused, its ticks do not run, as
+/// in a frozen process.
 struct contender {
   contender(timer_service &Timers, fake_platform &Platform, std::string Name)
       : Writer(Timers, Platform.api(&Link), Name, Counters),
@@ -43,7 +43,7 @@
 
 } // namespace
 
-TEST_CASE("two contenders that start at once: one holds") {
+TEST_CASE("of two contenders that start at once, one holds the lease") {
   lease_fixture Fixture;
   contender First(Fixture.Timers, Fixture.Platform, "a");
   contender Second(Fixture.Timers, Fixture.Platform, "b");
@@ -57,8 +57,9 @@
 }
 
 TEST_CASE("a lease is taken over after its holder died, not before") {
-  // The holder's VM dies. Until another node takes the duty, no change of
-  // membership is written; if one took it too early, two would write.
+  // The lease holder's VM dies. Until another node takes the lease, no change
+  // of membership is written; if it took the lease too early, two nodes would
+  // write.
   lease_fixture Fixture;
   contender First(Fixture.Timers, Fixture.Platform, "a");
   Fixture.run(2s);
@@ -76,8 +77,8 @@
 }
 
 TEST_CASE("a holder that was paused cannot renew under its old term") {
-  // A hypervisor pauses the VM of the holder for longer than the lease. It
-  // wakes up in the belief that nothing has happened and goes on at once.
+  // A hypervisor pauses the VM of the lease holder for longer than the lease.
+  // It resumes without knowing that time has passed and acts at once.
   lease_fixture Fixture;
   contender First(Fixture.Timers, Fixture.Platform, "a");
   Fixture.run(2s);
@@ -95,10 +96,11 @@
   CHECK(Second.Lease.term() == 2);
 }
 
-TEST_CASE("the lease counts from before the write, however late the answer") {
-  // Each write takes effect at once but its answer needs 2.5 s, and then
-  // the holder's way to the platform fails. Counting from the answer, it would
-  // believe in a lease that the second has rightly taken over meanwhile.
+TEST_CASE("the lease counts from before the write, not from the answer") {
+  // Each write takes effect at once but its answer needs 2.5 s, and then the
+  // holder loses its connection to the platform. If the lease counted from the
+  // answer, the holder would still use it after the second node has rightly
+  // taken over.
   lease_fixture Fixture;
   contender First(Fixture.Timers, Fixture.Platform, "a");
   First.Link.ReplyDelay = 2500ms;
@@ -117,8 +119,8 @@
 }
 
 TEST_CASE("a claim whose answer was lost is found by reading back") {
-  // The write took effect, the connection broke before the answer came. A node
-  // that took this for a failure would wait out its own lease.
+  // The write took effect, but the connection broke before the answer came. A
+  // node that took this for a failure would wait until its own lease expires.
   lease_fixture Fixture;
   contender First(Fixture.Timers, Fixture.Platform, "a");
   Fixture.Platform.LoseAnswers = 1;
@@ -130,7 +132,7 @@
   CHECK(First.Counters.WritesResolved == 1);
 }
 
-TEST_CASE("a claim that got lost on its way is made again") {
+TEST_CASE("a claim that was lost on its way is repeated") {
   lease_fixture Fixture;
   contender First(Fixture.Timers, Fixture.Platform, "a");
   Fixture.Platform.LoseWrites = 1;
@@ -143,7 +145,8 @@
 
 TEST_CASE("an outage of the platform ends the lease by the holder's clock") {
   // The platform is down for a minute. The holder cannot renew; it must stop
-  // acting before anyone could take over, and one takes over afterwards.
+  // acting before any node could take over, and the lease is acquired again
+  // afterwards.
   lease_fixture Fixture;
   contender First(Fixture.Timers, Fixture.Platform, "a");
   Fixture.run(2s);
@@ -159,9 +162,9 @@
 }
 
 TEST_CASE("an older state of the platform does not free a lease") {
-  // After an outage a replica of the platform answers from before the lease
-  // was taken. An observer that believed it would claim a lease that is held;
-  // the write is conditional, so the claim fails too.
+  // After an outage a replica of the platform answers from before the lease was
+  // acquired. An observer that accepted this would claim a lease that is held;
+  // since the write is conditional, the claim fails too.
   lease_fixture Fixture;
   Fixture.Platform.saveOlder();
   contender First(Fixture.Timers, Fixture.Platform, "a");
@@ -177,7 +180,7 @@
   CHECK_FALSE(Second.Lease.holds());
 }
 
-TEST_CASE("a released lease is taken at once") {
+TEST_CASE("a released lease is acquired at once") {
   lease_fixture Fixture;
   contender First(Fixture.Timers, Fixture.Platform, "a");
   Fixture.run(2s);
@@ -185,7 +188,7 @@
   Fixture.run(1s);
 
   First.Lease.setCandidate(false);
-  // Half a second to give it back, one second until the next look.
+  // Half a second to release it, one second until the next read.
   Fixture.run(2s);
 
   CHECK(Second.Lease.holds());
--- a/test/fleet/site.h
+++ b/test/fleet/site.h
@@ -1,7 +1,7 @@
-//===- site.h - A site of the size that the users have today ----*- C++ -*-===//
+//===- site.h - A site with two services ------------------------*- C++ -*-===//
 ///
 /// \file
-/// Three balancers in three zones before two services.
+/// A site with three balancers in three zones and two services.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -26,7 +26,7 @@
     addService("archive", 2, 3, SiteZones);
   }
 
-  /// All hosts are in every view and every agent has its view.
+  /// Runs until all hosts are in every view and every agent has its view.
   bool settle() {
     return runUntil(
                [&] {
@@ -46,7 +46,7 @@
     });
   }
 
-  /// The state of a host in a balancer's view.
+  /// Returns the state of a host in a balancer's view.
   std::optional<target_state> seen(test_balancer &Balancer,
                                    const std::string &Host) {
     const std::string Service = Host.substr(0, Host.find('-'));
@@ -67,7 +67,7 @@
     return Count;
   }
 
-  /// No balancer ever took an older view into force.
+  /// True if no balancer ever applied an older view after a newer one.
   bool versionsOnlyGrew() const {
     for (const auto &Balancer : Balancers)
       for (const auto &[Service, Versions] : Balancer->AppliedVersions)
--- a/test/fleet/small_fleet.h
+++ b/test/fleet/small_fleet.h
@@ -1,10 +1,11 @@
 //===- small_fleet.h - Balancers and agents in one process ------*- C++ -*-===//
 ///
 /// \file
-/// The real cores on one hand-turned clock, joined by links that delay, lose
-/// and cut, with the fake platform. Each process has timers of its own, so that
-/// it can be frozen: its clock stands, what it is sent and told waits, and when
-/// it wakes up it goes on in the belief that no time has passed.
+/// Runs the cores of balancers and agents on one simulated clock, joined by
+/// links that can delay, lose and block datagrams, with the fake platform. Each
+/// process has its own timers, so that it can be frozen: its clock stops and
+/// incoming messages wait; when it resumes, it continues without knowing that
+/// time has passed.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,7 +24,7 @@
 
 namespace marjoramrail::testing {
 
-/// What a balancer and an agent have in common here.
+/// The common part of a balancer and an agent.
 struct process {
   endpoint At;
   std::string Zone;
@@ -31,7 +32,7 @@
   bool Frozen = false;
   bool Dead = false;
   platform_link Link;
-  /// What waits for a frozen process.
+  /// Tasks that wait while the process is frozen.
   std::deque<std::function<void()>> Waiting;
   std::function<void(const endpoint &, fleet_bytes)> Input;
 
@@ -49,7 +50,7 @@
 
   void resume(instant Now) {
     Frozen = false;
-    // Its timers run first, as on a loop whose thread wakes up.
+    // Its timers run first, as on an event loop whose thread resumes.
     Timers.advance(Now);
     while (!Waiting.empty()) {
       auto Task = std::move(Waiting.front());
@@ -62,7 +63,7 @@
 struct test_balancer : process {
   std::string Name;
   std::unique_ptr<fleet_node> Node;
-  /// Views in the order in which they came into force.
+  /// Versions of views in the order in which they were applied.
   std::map<std::string, std::vector<std::uint64_t>> AppliedVersions;
   std::vector<std::string> Notes;
 };
@@ -89,7 +90,7 @@
   std::deque<std::unique_ptr<test_balancer>> Balancers;
   std::deque<std::unique_ptr<test_agent>> Agents;
   std::uint64_t Datagrams = 0;
-  /// True for a datagram that is lost on a cut link.
+  /// Returns true for a datagram that is lost on a cut link.
   std::function<bool(const process &From, const process &To)> Cut;
 
   test_balancer &addBalancer(const std::string &Name, const std::string &Zone,
@@ -155,7 +156,7 @@
     return Agent;
   }
 
-  /// The users' two sites in small: a service with its agents over the zones.
+  /// Adds a service with its agents spread over the zones.
   void addService(const std::string &Name, std::uint32_t Number, int Hosts,
                   const std::vector<std::string> &Zones) {
     service_spec Spec;
@@ -206,7 +207,8 @@
     return internal::shardOf(Service, Shards);
   }
 
-  /// True if every living balancer has the same view, with \p Serving ready.
+  /// True if every running balancer has the same view, with \p Serving targets
+  /// ready.
   bool agreed(const std::string &Service, std::size_t Serving) {
     std::set<std::uint64_t> Versions;
     for (auto &Balancer : Balancers) {
@@ -286,7 +288,8 @@
     };
   }
 
-  /// The platform as one process reaches it: answers wait while it is frozen.
+  /// Returns the platform as one process reaches it; answers wait while the
+  /// process is frozen.
   platform_api platformFor(process &Process) {
     platform_api Api = Platform.api(&Process.Link);
     auto Late = [&Process](platform_callback Callback) -> platform_callback {
