--- a/bench/fleet/main.cpp
+++ b/bench/fleet/main.cpp
@@ -43,7 +43,7 @@
   bench::print(Name + "_" + std::to_string(Nodes), Value, Unit);
 }
 
-struct spent {
+struct usage {
   std::array<double, FleetMessageNames.size()> ByKind{};
   double Bytes = 0;
   double Received = 0;
@@ -52,7 +52,7 @@
   double Deferred = 0;
 };
 
-struct measured {
+struct run_results {
   std::size_t Nodes = 0;
   double InForceMs = 0;
   double RestBytes = 0;
@@ -79,21 +79,21 @@
                        Zones);
   }
 
-  measured run() {
-    measured Measured;
-    Measured.Nodes = Nodes;
+  run_results run() {
+    run_results Results;
+    Results.Nodes = Nodes;
     settle();
-    rest(Measured);
-    Measured.InForceMs = changes(40, 500ms, Measured, true);
+    measureRest(Results);
+    Results.InForceMs = measureChanges(40, 500ms, Results, true);
     // Long enough that the burst of four seconds' budget is spent.
-    changes(400, 100ms, Measured, false);
-    Measured.DetectMs = deaths();
-    return Measured;
+    measureChanges(400, 100ms, Results, false);
+    Results.DetectMs = measureDeaths();
+    return Results;
   }
 
 private:
-  spent total() const {
-    spent Sum;
+  usage total() const {
+    usage Sum;
     for (const auto &Balancer : Fleet.Balancers) {
       const fleet_counters &Counters = Balancer->Node->counters();
       for (std::size_t I = 0; I < Sum.ByKind.size(); ++I)
@@ -107,7 +107,7 @@
     return Sum;
   }
 
-  void printKinds(const std::string &When, const spent &Start, const spent &End,
+  void printKinds(const std::string &When, const usage &Start, const usage &End,
                   double Per) const {
     for (std::size_t I = 0; I < Start.ByKind.size(); ++I)
       if (End.ByKind[I] > Start.ByKind[I])
@@ -128,14 +128,14 @@
   }
 
   void settle() {
-    instant Looked;
+    instant LastCheck;
     const auto Took = Fleet.runUntil(
         [&] {
           // A check costs as much as running the fleet, so it runs only every
           // 500 ms.
-          if (Fleet.Net.now() - Looked < 500ms)
+          if (Fleet.Net.now() - LastCheck < 500ms)
             return false;
-          Looked = Fleet.Net.now();
+          LastCheck = Fleet.Net.now();
           for (int I = 0; I < Services; ++I)
             if (!Fleet.agreed("service" + std::to_string(I), HostsPerService))
               return false;
@@ -148,36 +148,37 @@
     print("control_rss_mb", Nodes, PerNode / 1e6, "MB");
   }
 
-  void rest(measured &Measured) {
+  void measureRest(run_results &Results) {
     constexpr double Seconds = 30;
-    const spent Start = total();
+    const usage Start = total();
     const double Cpu = cpuSeconds();
     Fleet.run(30s);
     const double Spent = cpuSeconds() - Cpu;
-    const spent End = total();
+    const usage End = total();
     const auto Per = static_cast<double>(Nodes) * Seconds;
-    Measured.RestBytes = (End.Bytes - Start.Bytes) / Per;
-    Measured.RestCpu = Spent * 1e6 / Per;
-    Measured.RestCalls = (End.Calls - Start.Calls) / Seconds;
-    print("control_bytes_per_s_rest", Nodes, Measured.RestBytes, "B/s");
+    Results.RestBytes = (End.Bytes - Start.Bytes) / Per;
+    Results.RestCpu = Spent * 1e6 / Per;
+    Results.RestCalls = (End.Calls - Start.Calls) / Seconds;
+    print("control_bytes_per_s_rest", Nodes, Results.RestBytes, "B/s");
     print("control_bytes_received_per_s_rest", Nodes,
           (End.Received - Start.Received) / Per, "B/s");
     printKinds("rest", Start, End, Per);
-    print("control_cpu_us_per_s", Nodes, Measured.RestCpu, "us/s");
-    print("platform_calls_per_s", Nodes, Measured.RestCalls, "1/s");
+    print("control_cpu_us_per_s", Nodes, Results.RestCpu, "us/s");
+    print("platform_calls_per_s", Nodes, Results.RestCalls, "1/s");
     print("platform_writes_per_s", Nodes, (End.Writes - Start.Writes) / Seconds,
           "1/s");
   }
 
   /// Makes operators' changes of random services; returns the time until the
   /// last balancer has applied them.
-  double changes(int Count, duration Apart, measured &Measured, bool Alone) {
-    const spent Start = total();
-    const instant Began = Fleet.Net.now();
+  double measureChanges(int Count, duration Interval, run_results &Results,
+                        bool LowRate) {
+    const usage Start = total();
+    const instant StartedAt = Fleet.Net.now();
     const double Cpu = cpuSeconds();
     std::map<std::string, std::pair<std::uint64_t, instant>> Waiting;
     std::vector<double> Took;
-    const auto Look = [&] {
+    const auto CheckPending = [&] {
       std::erase_if(Waiting, [&](const auto &Change) {
         if (!isKnownEverywhere(Change.first, Change.second.first))
           return false;
@@ -187,29 +188,30 @@
     };
     for (int I = 0; I < Count; ++I) {
       const std::string Service =
-          "service" + std::to_string((I * 7919 + (Alone ? 0 : 13)) % Services);
+          "service" +
+          std::to_string((I * 7919 + (LowRate ? 0 : 13)) % Services);
       auto Spec =
           parseService(Fleet.Platform.get("service", Service).Body, Service);
       ++Spec->Address.Port;
       Fleet.Platform.put("service", Service, toJson(*Spec));
       Waiting[Service] = {Fleet.Platform.get("service", Service).Version,
                           Fleet.Net.now()};
-      const instant Next = Fleet.Net.now() + Apart;
+      const instant Next = Fleet.Net.now() + Interval;
       while (Fleet.Net.now() < Next) {
         Fleet.run(10ms);
-        Look();
+        CheckPending();
       }
     }
-    const double Seconds = millis(Fleet.Net.now() - Began) / 1000;
-    const spent End = total();
+    const double Seconds = millis(Fleet.Net.now() - StartedAt) / 1000;
+    const usage End = total();
     const double Spent = cpuSeconds() - Cpu;
     for (int I = 0; I < 6000 && !Waiting.empty(); ++I) {
       Fleet.run(10ms);
-      Look();
+      CheckPending();
     }
     std::sort(Took.begin(), Took.end());
     const auto Per = static_cast<double>(Nodes) * Seconds;
-    const std::string Rate = Alone ? "2" : "10";
+    const std::string Rate = LowRate ? "2" : "10";
     const double Bytes = (End.Bytes - Start.Bytes) / Per;
     print("control_bytes_per_s_" + Rate + "_changes", Nodes, Bytes, "B/s");
     print("control_bytes_received_per_s_" + Rate + "_changes", Nodes,
@@ -221,14 +223,14 @@
           (End.Calls - Start.Calls) / Seconds, "1/s");
     print("put_off_per_s_" + Rate + "_changes", Nodes,
           (End.Deferred - Start.Deferred) / Per, "1/s");
-    if (!Alone)
-      Measured.ChangeBytes = Bytes;
+    if (!LowRate)
+      Results.ChangeBytes = Bytes;
     print("changes_not_in_force_" + Rate, Nodes,
           static_cast<double>(Waiting.size()), "changes");
     if (Took.empty())
       return -1;
     const std::string Name =
-        Alone ? "config_in_force_ms" : "config_in_force_ms_10_changes";
+        LowRate ? "config_in_force_ms" : "config_in_force_ms_10_changes";
     print(Name + "_p50", Nodes, Took[Took.size() / 2], "ms");
     print(Name + "_max", Nodes, Took.back(), "ms");
     return Took[Took.size() / 2];
@@ -236,7 +238,7 @@
 
   /// Kills ten hosts one after the other; returns the time until all balancers
   /// know.
-  double deaths() {
+  double measureDeaths() {
     constexpr int Count = 10;
     double Sum = 0;
     double Worst = 0;
@@ -269,24 +271,24 @@
   small_fleet Fleet;
 };
 
-void printSlopes(const std::vector<measured> &Runs) {
+void printSlopes(const std::vector<run_results> &Runs) {
   if (Runs.size() < 2)
     return;
-  const measured &First = Runs.front();
-  const measured &Last = Runs.back();
+  const run_results &First = Runs.front();
+  const run_results &Last = Runs.back();
   const double Doublings = std::log2(static_cast<double>(Last.Nodes) /
                                      static_cast<double>(First.Nodes));
-  const auto Slope = [&](const char *Name, double measured::*Field,
+  const auto Slope = [&](const char *Name, double run_results::*Field,
                          const char *Unit) {
     std::printf("bench: slope_%s %.6g %s/doubling\n", Name,
                 (Last.*Field - First.*Field) / Doublings, Unit);
   };
-  Slope("config_in_force_ms", &measured::InForceMs, "ms");
-  Slope("control_bytes_per_s_rest", &measured::RestBytes, "B/s");
-  Slope("control_bytes_per_s_10_changes", &measured::ChangeBytes, "B/s");
-  Slope("control_cpu_us_per_s", &measured::RestCpu, "us/s");
-  Slope("platform_calls_per_s", &measured::RestCalls, "1/s");
-  Slope("dead_host_known_everywhere_ms", &measured::DetectMs, "ms");
+  Slope("config_in_force_ms", &run_results::InForceMs, "ms");
+  Slope("control_bytes_per_s_rest", &run_results::RestBytes, "B/s");
+  Slope("control_bytes_per_s_10_changes", &run_results::ChangeBytes, "B/s");
+  Slope("control_cpu_us_per_s", &run_results::RestCpu, "us/s");
+  Slope("platform_calls_per_s", &run_results::RestCalls, "1/s");
+  Slope("dead_host_known_everywhere_ms", &run_results::DetectMs, "ms");
 }
 
 } // namespace
@@ -298,7 +300,7 @@
     Sizes.push_back(std::strtoul(Argv[I], nullptr, 10));
   if (Sizes.empty())
     Sizes = {8, 32};
-  std::vector<measured> Runs;
+  std::vector<run_results> Runs;
   Runs.reserve(Sizes.size());
   for (const std::size_t Nodes : Sizes)
     Runs.push_back(fleet_run(Nodes).run());
--- a/daemons/agent/agent_view.cpp
+++ b/daemons/agent/agent_view.cpp
@@ -294,7 +294,7 @@
   const instant Now = Loop.timers().now();
   if (!Owner)
     return;
-  if (const auto Heard = Announcer.lastHeard();
+  if (const auto Heard = Announcer.lastReceived();
       Heard && *Heard > LastConfirmed) {
     LastConfirmed = *Heard;
     Owner->confirmView(*Heard);
--- a/daemons/balancer/balancer_process.cpp
+++ b/daemons/balancer/balancer_process.cpp
@@ -64,7 +64,7 @@
 }
 
 void balancer_process::passOnHearing() {
-  if (const std::optional<instant> Heard = Fleet.node().lastHeard())
+  if (const std::optional<instant> Heard = Fleet.node().lastReceived())
     Port.core().heardOfFleet(*Heard);
 }
 
--- a/include/marjoramrail/fleet.h
+++ b/include/marjoramrail/fleet.h
@@ -128,7 +128,7 @@
   /// Control endpoints of the balancers to contact first.
   std::vector<endpoint> Seeds = {};
   std::uint32_t Slots = 1;
-  /// Must be larger after each restart, e.g. seconds since 1970.
+  /// Must be larger after each restart; seconds since 1970 will do.
   std::uint32_t Incarnation = 1;
   duration Period = std::chrono::seconds(1);
   /// Number of balancers that receive heartbeats. With three, the host stays
@@ -181,7 +181,7 @@
 
   std::uint32_t incarnation() const;
   /// When a balancer last replied; lets an agent detect that it is cut off.
-  std::optional<instant> lastHeard() const;
+  std::optional<instant> lastReceived() const;
   /// Number of messages that could not be decoded.
   std::uint64_t decodeErrors() const;
 
@@ -368,7 +368,7 @@
   /// True once a peer or the platform has provided the state of the fleet.
   bool ready() const;
   /// When a fleet message was last received, for routed_flag::Stale.
-  std::optional<instant> lastHeard() const;
+  std::optional<instant> lastReceived() const;
   const fleet_counters &counters() const;
   /// The node's state as JSON for a status page.
   std::string statusJson() const;
--- a/src/fleet/datagrams.cpp
+++ b/src/fleet/datagrams.cpp
@@ -89,11 +89,11 @@
   Slot.assign(Piece.begin(), Piece.end());
   if (--Found->Missing > 0)
     return std::nullopt;
-  std::vector<std::uint8_t> Whole;
+  std::vector<std::uint8_t> Joined;
   for (const auto &Part : Found->Pieces)
-    Whole.insert(Whole.end(), Part.begin(), Part.end());
+    Joined.insert(Joined.end(), Part.begin(), Part.end());
   Waiting.erase(Found);
-  return Whole;
+  return Joined;
 }
 
 } // namespace internal
--- a/src/fleet/fleet_node.cpp
+++ b/src/fleet/fleet_node.cpp
@@ -49,7 +49,9 @@
 
 bool fleet_node::ready() const { return Impl->Views.size() > 0; }
 
-std::optional<instant> fleet_node::lastHeard() const { return Impl->LastHeard; }
+std::optional<instant> fleet_node::lastReceived() const {
+  return Impl->LastReceived;
+}
 
 const fleet_counters &fleet_node::counters() const { return Impl->Counters; }
 
--- a/src/fleet/gossip.cpp
+++ b/src/fleet/gossip.cpp
@@ -144,7 +144,7 @@
   view_request Request;
   for (auto At = Requested.begin(); At != Requested.end();) {
     const bool Overdue =
-        Timers.now() - At->second.AskedAt >= RequestRetryInterval;
+        Timers.now() - At->second.RequestedAt >= RequestRetryInterval;
     if (Overdue && At->second.Times >= MaxRequestAttempts) {
       At = Requested.erase(At);
       continue;
@@ -285,9 +285,9 @@
     const std::uint64_t Mine = Views.versionOf(Version.Service);
     if (Version.Version <= Mine || Request.Have.size() >= MaxRequestedViews)
       continue;
-    const auto Asked = Requested.find(Version.Service);
-    if (Asked != Requested.end() &&
-        Timers.now() - Asked->second.AskedAt < RequestRetryInterval)
+    const auto Pending = Requested.find(Version.Service);
+    if (Pending != Requested.end() &&
+        Timers.now() - Pending->second.RequestedAt < RequestRetryInterval)
       continue;
     Requested[Version.Service] = {Timers.now(), 1};
     Request.Have.push_back({Version.Service, Mine});
--- a/src/fleet/gossip.h
+++ b/src/fleet/gossip.h
@@ -69,7 +69,7 @@
 
 private:
   struct request {
-    instant AskedAt;
+    instant RequestedAt;
     int Times = 0;
   };
 
--- a/src/fleet/heartbeat_sender.cpp
+++ b/src/fleet/heartbeat_sender.cpp
@@ -16,7 +16,7 @@
   /// The destinations of heartbeats, as assigned by a balancer; empty until the
   /// first assignment.
   std::vector<endpoint> Balancers;
-  std::optional<instant> LastHeard;
+  std::optional<instant> LastReceived;
   piece_joiner Joiner;
   std::uint32_t LastMessage = 0;
   std::uint64_t DecodeErrors = 0;
@@ -45,17 +45,17 @@
   /// contacted again in turn: if all assigned balancers stopped responding, the
   /// host would otherwise stay unknown for ever.
   bool cutOff() const {
-    constexpr int SilentPeriods = 4;
-    return !LastHeard ||
-           Timers.now() - *LastHeard > SilentPeriods * Settings.Period;
+    constexpr int MaxPeriodsWithoutReply = 4;
+    return !LastReceived || Timers.now() - *LastReceived >
+                                MaxPeriodsWithoutReply * Settings.Period;
   }
 
   /// \p Urgent: sends to all assigned balancers, not only to the first.
-  void sendHeartbeats(bool Urgent) {
+  void sendHeartbeats(bool ToAll) {
     ++Rounds;
     const host_heartbeat Mine = describe();
     for (std::size_t I = 0; I < Balancers.size(); ++I)
-      if (I == 0 || Urgent || Rounds % PeriodsPerSecondary == 0)
+      if (I == 0 || ToAll || Rounds % PeriodsPerSecondary == 0)
         send(Balancers[I], Mine);
     if (Settings.Seeds.empty() || !cutOff())
       return;
@@ -139,13 +139,13 @@
 
 void heartbeat_sender::input(const endpoint &From, fleet_bytes Bytes) {
   bool Fault = false;
-  const auto Whole = Impl->Joiner.add(From, Bytes, Fault);
+  const auto Joined = Impl->Joiner.add(From, Bytes, Fault);
   Impl->DecodeErrors += Fault ? 1 : 0;
-  if (!Whole)
+  if (!Joined)
     return;
   const auto Failure = failureOf([&]() -> result<void> {
-    BOOST_LEAF_AUTO(Message, decode(*Whole));
-    Impl->LastHeard = Impl->Timers.now();
+    BOOST_LEAF_AUTO(Message, decode(*Joined));
+    Impl->LastReceived = Impl->Timers.now();
     std::visit([&](const auto &Value) { Impl->take(From, Value); }, Message);
     return {};
   });
@@ -158,8 +158,8 @@
   return Impl->Settings.Incarnation;
 }
 
-std::optional<instant> heartbeat_sender::lastHeard() const {
-  return Impl->LastHeard;
+std::optional<instant> heartbeat_sender::lastReceived() const {
+  return Impl->LastReceived;
 }
 
 std::uint64_t heartbeat_sender::decodeErrors() const {
--- a/src/fleet/node_impl.cpp
+++ b/src/fleet/node_impl.cpp
@@ -64,15 +64,15 @@
   ++Counters.DatagramsReceived;
   Counters.BytesReceived += Bytes.size() + UdpOverhead;
   bool Fault = false;
-  const auto Whole = Joiner.add(From, Bytes, Fault);
+  const auto Joined = Joiner.add(From, Bytes, Fault);
   Counters.DecodeErrors += Fault ? 1 : 0;
-  if (!Whole)
+  if (!Joined)
     return;
   const auto Failure = failureOf([&]() -> result<void> {
-    auto Message = decode(*Whole);
+    auto Message = decode(*Joined);
     if (!Message)
       return Message.error();
-    LastHeard = Timers.now();
+    LastReceived = Timers.now();
     std::visit([&](const auto &Value) { take(From, Value); }, *Message);
     return {};
   });
@@ -177,12 +177,12 @@
   HeartbeatReceiver.probe(Request);
   // The balancers that the host sends heartbeats to may have a recent one. One
   // more balancer may reach the host when none of them does.
-  std::vector<endpoint> Asked = assignedTo(Request.Host);
+  std::vector<endpoint> Probers = assignedTo(Request.Host);
   if (const auto Peer = Peers.random())
-    Asked.push_back(Peer->Control);
-  std::sort(Asked.begin(), Asked.end());
-  Asked.erase(std::unique(Asked.begin(), Asked.end()), Asked.end());
-  for (const endpoint &Other : Asked)
+    Probers.push_back(Peer->Control);
+  std::sort(Probers.begin(), Probers.end());
+  Probers.erase(std::unique(Probers.begin(), Probers.end()), Probers.end());
+  for (const endpoint &Other : Probers)
     if (Other != Settings.Control)
       send(Other, Request, urgency::Now);
 }
--- a/src/fleet/node_impl.h
+++ b/src/fleet/node_impl.h
@@ -45,7 +45,7 @@
   /// The balancers that each host sends heartbeats to; cleared when the set of
   /// peers changes.
   std::map<std::string, std::vector<endpoint>> Assigned;
-  std::optional<instant> LastHeard;
+  std::optional<instant> LastReceived;
   std::vector<timer_id> OwnTimers;
   std::uint32_t LastMessage = 0;
   instant ChosenAt;
--- a/src/fleet/peer_table.cpp
+++ b/src/fleet/peer_table.cpp
@@ -77,14 +77,15 @@
   ++Version;
 }
 
-bool peer_table::set(entry &Entry, const peer_update &Update, instant Now) {
+bool peer_table::applyUpdate(entry &Entry, const peer_update &Update,
+                             instant Now) {
   const bool Same =
       Entry.Update.State == Update.State && Entry.Update.Info == Update.Info;
   if (Same)
     return false;
-  const bool Lives = Entry.Update.State != peer_state::Dead;
-  const bool LivesThen = Update.State != peer_state::Dead;
-  const bool Moved = Entry.Update.Info != Update.Info || Lives != LivesThen;
+  const bool WasAlive = Entry.Update.State != peer_state::Dead;
+  const bool IsAlive = Update.State != peer_state::Dead;
+  const bool Changed = Entry.Update.Info != Update.Info || WasAlive != IsAlive;
   Entry.Update = Update;
   Entry.Since = Now;
   if (Update.State == peer_state::Alive)
@@ -95,9 +96,9 @@
       return Answer.Name == Update.Info.Name;
     });
   spread(Update.Info.Name);
-  if (Moved)
-    setLiving(Update.Info.Name, LivesThen ? &Entry.Update.Info : nullptr);
-  return Moved;
+  if (Changed)
+    setLiving(Update.Info.Name, IsAlive ? &Entry.Update.Info : nullptr);
+  return Changed;
 }
 
 bool peer_table::take(const peer_update &Update, instant Now) {
@@ -128,7 +129,7 @@
   // refute it, with a higher incarnation.
   const bool Worse = Reported == Known && Update.State > Entry.Update.State;
   if (Reported > Known || Worse)
-    return set(Entry, Update, Now);
+    return applyUpdate(Entry, Update, Now);
   return false;
 }
 
@@ -144,7 +145,7 @@
     // peer still has to refute it for other nodes.
     if (Entry.Update.State == peer_state::Suspect &&
         Entry.Update.Info.Incarnation == Peer.Incarnation)
-      return set(Entry, {Peer, peer_state::Alive}, Now);
+      return applyUpdate(Entry, {Peer, peer_state::Alive}, Now);
   }
   return take({Peer, peer_state::Alive}, Now);
 }
@@ -204,7 +205,7 @@
   if (Entry.Update.State != peer_state::Alive || !isUnresponsive(Entry) ||
       !isLinkTrusted())
     return false;
-  return set(Entry, {Entry.Update.Info, peer_state::Suspect}, Now);
+  return applyUpdate(Entry, {Entry.Update.Info, peer_state::Suspect}, Now);
 }
 
 bool peer_table::tick(instant Now) {
@@ -215,7 +216,7 @@
       recordMiss(Entry, Now);
     if (Entry.Update.State == peer_state::Suspect &&
         Now - Entry.Since >= SuspectTimeout && isLinkTrusted())
-      set(Entry, {Entry.Update.Info, peer_state::Dead}, Now);
+      applyUpdate(Entry, {Entry.Update.Info, peer_state::Dead}, Now);
     if (Entry.Update.State == peer_state::Dead &&
         Now - Entry.Since >= DeadRetention)
       Forgotten.push_back(Name);
--- a/src/fleet/peer_table.h
+++ b/src/fleet/peer_table.h
@@ -81,7 +81,7 @@
     int Missed = 0;
   };
 
-  bool set(entry &Entry, const peer_update &Update, instant Now);
+  bool applyUpdate(entry &Entry, const peer_update &Update, instant Now);
   static bool isUnresponsive(const entry &Entry);
   void setMissed(entry &Entry, int Missed);
   void spread(const std::string &Name);
--- a/src/fleet/platform_feed.cpp
+++ b/src/fleet/platform_feed.cpp
@@ -101,16 +101,16 @@
   std::set<std::string> Names;
   for (const platform_object &Object : Reply.Objects)
     Names.insert(Object.Key.Name);
-  std::vector<platform_object> Gone;
+  std::vector<platform_object> Removed;
   for (const auto &[Key, Version] : Versions)
     if (Key.Kind == Kind && !Names.contains(Key.Name) &&
         Version <= Reply.StoreVersion)
-      Gone.push_back({.Key = Key,
-                      .Version = Reply.StoreVersion,
-                      .Body = "",
-                      .Writer = "",
-                      .Deleted = true});
-  for (const platform_object &Object : Gone)
+      Removed.push_back({.Key = Key,
+                         .Version = Reply.StoreVersion,
+                         .Body = "",
+                         .Writer = "",
+                         .Deleted = true});
+  for (const platform_object &Object : Removed)
     offer(Object, false);
 }
 
--- a/src/fleet/shard_controller.cpp
+++ b/src/fleet/shard_controller.cpp
@@ -267,9 +267,9 @@
 void shard_controller::tick(bool Synced) {
   if (!Synced)
     return;
-  const std::set<std::string> Now = std::exchange(Due, {});
+  const std::set<std::string> DueNow = std::exchange(Due, {});
   int WritesLeft = WritesPerTick;
-  for (const std::string &Service : Now) {
+  for (const std::string &Service : DueNow) {
     service_state &State = Services[Service];
     if (!Hooks.Term(Service))
       continue;
--- a/src/fleet/view_delta.cpp
+++ b/src/fleet/view_delta.cpp
@@ -93,14 +93,14 @@
     return std::nullopt;
   membership To = headOf(Delta.Changed);
   auto Hosts = hostsOf(From);
-  for (const std::uint32_t Gone : Delta.RemovedHosts)
-    Hosts.erase(host_id{Gone});
+  for (const std::uint32_t Removed : Delta.RemovedHosts)
+    Hosts.erase(host_id{Removed});
   for (const auto &[Id, Entry] : hostsOf(Delta.Changed))
     Hosts[Id] = Entry;
   setHosts(To, Hosts);
   auto Generations = generationsOf(From);
-  for (const std::uint64_t Gone : Delta.RemovedGenerations)
-    Generations.erase(Gone);
+  for (const std::uint64_t Removed : Delta.RemovedGenerations)
+    Generations.erase(Removed);
   for (const auto &[Number, Generation] : generationsOf(Delta.Changed))
     Generations[Number] = Generation;
   for (const auto &[Number, Generation] : Generations)
--- a/src/fleet/view_store.cpp
+++ b/src/fleet/view_store.cpp
@@ -55,12 +55,12 @@
 }
 
 std::uint64_t view_store::digest() const {
-  std::uint64_t Whole = 0;
+  std::uint64_t Combined = 0;
   // Each digest is rotated by its index, since two buckets with equal
   // differences would cancel out otherwise.
   for (std::size_t I = 0; I < Buckets; ++I)
-    Whole ^= Digests[I] << I | (I == 0 ? 0 : Digests[I] >> (Buckets - I));
-  return Whole;
+    Combined ^= Digests[I] << I | (I == 0 ? 0 : Digests[I] >> (Buckets - I));
+  return Combined;
 }
 
 std::vector<view_version> view_store::versionsIn(std::uint32_t Bucket) const {
--- a/test/fleet/fake_platform.h
+++ b/test/fleet/fake_platform.h
@@ -88,10 +88,10 @@
   }
 
   void erase(const std::string &Kind, const std::string &Name) {
-    platform_object Gone;
-    Gone.Key = {Kind, Name};
-    Gone.Deleted = true;
-    store(Gone);
+    platform_object Removed;
+    Removed.Key = {Kind, Name};
+    Removed.Deleted = true;
+    store(Removed);
   }
 
   platform_object get(const std::string &Kind, const std::string &Name) const {
--- a/test/fleet/fleet_node_test.cpp
+++ b/test/fleet/fleet_node_test.cpp
@@ -111,9 +111,9 @@
   for (int Which = 0; Which < 3; ++Which) {
     site Site;
     REQUIRE(Site.settle());
-    const process *Deaf = Site.Balancers[Which].get();
+    const process *WithoutHosts = Site.Balancers[Which].get();
     Site.Cut = [&](const process &From, const process &To) {
-      return (&From == Deaf || &To == Deaf) &&
+      return (&From == WithoutHosts || &To == WithoutHosts) &&
              (From.At.Address >> 24 == 0x0b || To.At.Address >> 24 == 0x0b);
     };
 
@@ -159,16 +159,16 @@
 TEST_CASE("a zone fails at once, with its balancer and hosts") {
   site Site;
   REQUIRE(Site.settle());
-  std::size_t Gone = 0;
+  std::size_t DeadHosts = 0;
   for (auto &Agent : Site.Agents)
     if (Agent->Zone == "brugge" && Agent->Host.starts_with("ledger")) {
       Agent->Dead = true;
-      ++Gone;
+      ++DeadHosts;
     }
   Site.Balancers[1]->Dead = true;
 
   const auto Took =
-      Site.runUntil([&] { return Site.agreed("ledger", 7 - Gone); }, 40s);
+      Site.runUntil([&] { return Site.agreed("ledger", 7 - DeadHosts); }, 40s);
 
   CHECK(Took);
   CHECK(Site.agreed("archive", 3));
--- a/test/fleet/gossip_test.cpp
+++ b/test/fleet/gossip_test.cpp
@@ -43,7 +43,7 @@
     return std::all_of(
         Balancers.begin(), Balancers.end(), [&](const auto &Balancer) {
           const membership *Members = Balancer->Node->find(name(Service));
-          return !Balancer->runs() ||
+          return !Balancer->isRunning() ||
                  (Members != nullptr && Members->SpecVersion >= Version);
         });
   }
--- a/test/fleet/site.h
+++ b/test/fleet/site.h
@@ -56,7 +56,7 @@
   bool seenByAll(const std::string &Host, target_state State) {
     return std::all_of(
         Balancers.begin(), Balancers.end(), [&](const auto &Balancer) {
-          return !Balancer->runs() || seen(*Balancer, Host) == State;
+          return !Balancer->isRunning() || seen(*Balancer, Host) == State;
         });
   }
 
--- a/test/fleet/small_fleet.h
+++ b/test/fleet/small_fleet.h
@@ -36,7 +36,7 @@
   std::deque<std::function<void()>> Waiting;
   std::function<void(const endpoint &, fleet_bytes)> Input;
 
-  bool runs() const { return !Frozen && !Dead; }
+  bool isRunning() const { return !Frozen && !Dead; }
 
   void deliver(std::function<void()> Task) {
     constexpr std::size_t SocketBuffer = 200;
@@ -174,10 +174,10 @@
     while (Net.now() < End) {
       Net.advance(std::min(End, Net.now() + Step));
       for (auto &Balancer : Balancers)
-        if (Balancer->runs())
+        if (Balancer->isRunning())
           Balancer->Timers.advance(Net.now());
       for (auto &Agent : Agents)
-        if (Agent->runs())
+        if (Agent->isRunning())
           Agent->Timers.advance(Net.now());
     }
   }
@@ -196,7 +196,7 @@
 
   test_balancer *holderOf(const std::string &Service) {
     for (auto &Balancer : Balancers)
-      if (Balancer->runs() && Balancer->Node->heldShards().size() > 0)
+      if (Balancer->isRunning() && Balancer->Node->heldShards().size() > 0)
         for (const std::uint32_t Shard : Balancer->Node->heldShards())
           if (Shard == shard(Service))
             return Balancer.get();
@@ -212,7 +212,7 @@
   bool agreed(const std::string &Service, std::size_t Serving) {
     std::set<std::uint64_t> Versions;
     for (auto &Balancer : Balancers) {
-      if (!Balancer->runs())
+      if (!Balancer->isRunning())
         continue;
       const membership *Members = Balancer->Node->find(Service);
       if (Members == nullptr || ready(*Members) != Serving)
