--- a/src/fleet/platform_writer.cpp
+++ b/src/fleet/platform_writer.cpp
@@ -68,7 +68,7 @@
     return;
   case platform_outcome::NotFound:
     ++Counters.WritesFenced;
-    Attempt->Callback({write_outcome::Fenced, {}, "the object is gone"});
+    Attempt->Callback({write_outcome::Fenced, {}, "the object does not exist"});
     return;
   case platform_outcome::Invalid:
     Attempt->Callback({write_outcome::Refused, {}, Reply.Reason});
@@ -109,7 +109,8 @@
   const platform_object &Current = Reply.Object;
   const platform_object &Ours = Attempt->Write.Object;
   if (Missing || Current.Version == Attempt->Write.Expected) {
-    Attempt->Callback({write_outcome::Unavailable, {}, "not written"});
+    Attempt->Callback(
+        {write_outcome::Unavailable, {}, "the write did not take effect"});
     return;
   }
   if (wrote(Current) && Current.WriterSequence == Ours.WriterSequence) {
@@ -122,7 +123,9 @@
 
 void platform_writer::retryReadBack(const std::shared_ptr<attempt> &Attempt) {
   if (--Attempt->ReadsLeft <= 0) {
-    Attempt->Callback({write_outcome::Unavailable, {}, "outcome not known"});
+    Attempt->Callback({write_outcome::Unavailable,
+                       {},
+                       "the outcome of the write is unknown"});
     return;
   }
   Timers.after(ReadBackInterval, [this, Alive = Alive, Attempt] {
