--- a/src/fleet/heartbeat_sender.cpp
+++ b/src/fleet/heartbeat_sender.cpp
@@ -50,7 +50,7 @@
                                 MaxPeriodsWithoutReply * Settings.Period;
   }
 
-  /// \p Urgent: sends to all assigned balancers, not only to the first.
+  /// \p ToAll: sends to all assigned balancers, not only to the first.
   void sendHeartbeats(bool ToAll) {
     ++Rounds;
     const host_heartbeat Mine = describe();
