--- a/src/fleet/datagrams.cpp
+++ b/src/fleet/datagrams.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-/// 64 pieces: the view of a service with about 1,500 hosts.
+/// 64 pieces hold the view of a service with about 1,500 hosts.
 constexpr std::size_t MaxPieces = 64;
 
 void put(std::vector<std::uint8_t> &To, std::uint32_t Value, int Bytes) {
@@ -89,11 +89,11 @@
   Slot.assign(Piece.begin(), Piece.end());
   if (--Found->Missing > 0)
     return std::nullopt;
-  std::vector<std::uint8_t> Whole;
+  std::vector<std::uint8_t> Joined;
   for (const auto &Part : Found->Pieces)
-    Whole.insert(Whole.end(), Part.begin(), Part.end());
+    Joined.insert(Joined.end(), Part.begin(), Part.end());
   Waiting.erase(Found);
-  return Whole;
+  return Joined;
 }
 
 } // namespace internal
--- a/src/fleet/platform_writer.cpp
+++ b/src/fleet/platform_writer.cpp
@@ -4,10 +4,10 @@
 
 namespace {
 
-/// Read-backs before the write is given up as unavailable; with the pause
-/// below they span ten seconds, longer than any lease that such a write is for.
+/// Reads before the write is reported as unavailable. With the interval below
+/// they span ten seconds, longer than any lease that such a write is for.
 constexpr int MaxReadBacks = 20;
-constexpr duration ReadBackPause = std::chrono::milliseconds(500);
+constexpr duration ReadBackInterval = std::chrono::milliseconds(500);
 
 } // namespace
 
@@ -68,7 +68,7 @@
     return;
   case platform_outcome::NotFound:
     ++Counters.WritesFenced;
-    Attempt->Callback({write_outcome::Fenced, {}, "the object is gone"});
+    Attempt->Callback({write_outcome::Fenced, {}, "the object does not exist"});
     return;
   case platform_outcome::Invalid:
     Attempt->Callback({write_outcome::Refused, {}, Reply.Reason});
@@ -80,7 +80,7 @@
     readBack(Attempt);
     return;
   case platform_outcome::HistoryGone:
-    // Only watches are answered so.
+    // Only watches are answered this way.
     Attempt->Callback({write_outcome::Refused, {}, Reply.Reason});
     return;
   }
@@ -96,36 +96,39 @@
                               const platform_reply &Reply) {
   const bool Found = Reply.Outcome == platform_outcome::Ok;
   const bool Missing = Reply.Outcome == platform_outcome::NotFound;
-  // An older state than the one we built on tells nothing about our write.
+  // A state older than the expected version shows nothing about this write.
   const bool Older =
       (Found && Reply.Object.Version < Attempt->Write.Expected) ||
       (Missing && Attempt->Write.Expected != 0);
   if ((!Found && !Missing) || Older) {
-    Counters.OlderIgnored += Older ? 1 : 0;
+    Counters.StaleIgnored += Older ? 1 : 0;
     retryReadBack(Attempt);
     return;
   }
   ++Counters.WritesResolved;
-  const platform_object &Stands = Reply.Object;
+  const platform_object &Current = Reply.Object;
   const platform_object &Ours = Attempt->Write.Object;
-  if (Missing || Stands.Version == Attempt->Write.Expected) {
-    Attempt->Callback({write_outcome::Unavailable, {}, "not written"});
+  if (Missing || Current.Version == Attempt->Write.Expected) {
+    Attempt->Callback(
+        {write_outcome::Unavailable, {}, "the write did not take effect"});
     return;
   }
-  if (wrote(Stands) && Stands.WriterSequence == Ours.WriterSequence) {
-    Attempt->Callback({write_outcome::Written, Stands, ""});
+  if (wrote(Current) && Current.WriterSequence == Ours.WriterSequence) {
+    Attempt->Callback({write_outcome::Written, Current, ""});
     return;
   }
   ++Counters.WritesFenced;
-  Attempt->Callback({write_outcome::Fenced, Stands, ""});
+  Attempt->Callback({write_outcome::Fenced, Current, ""});
 }
 
 void platform_writer::retryReadBack(const std::shared_ptr<attempt> &Attempt) {
   if (--Attempt->ReadsLeft <= 0) {
-    Attempt->Callback({write_outcome::Unavailable, {}, "outcome not known"});
+    Attempt->Callback({write_outcome::Unavailable,
+                       {},
+                       "the outcome of the write is unknown"});
     return;
   }
-  Timers.after(ReadBackPause, [this, Alive = Alive, Attempt] {
+  Timers.after(ReadBackInterval, [this, Alive = Alive, Attempt] {
     if (*Alive)
       readBack(Attempt);
   });
--- a/src/fleet/view_delta.cpp
+++ b/src/fleet/view_delta.cpp
@@ -40,7 +40,7 @@
   return Known;
 }
 
-/// The fields beside hosts and generations.
+/// Returns the membership without hosts and generations.
 membership headOf(const membership &Members) {
   membership Head = Members;
   Head.View.Targets.clear();
@@ -68,7 +68,7 @@
   for (const auto &[Id, Entry] : Before) {
     const auto Found = After.find(Id);
     if (Found == After.end())
-      Delta.GoneHosts.push_back(static_cast<std::uint32_t>(Id));
+      Delta.RemovedHosts.push_back(static_cast<std::uint32_t>(Id));
     else if (Found->second == Entry)
       After.erase(Found);
   }
@@ -77,7 +77,7 @@
   const auto NewGenerations = generationsOf(To);
   for (const auto &[Number, Generation] : OldGenerations)
     if (!NewGenerations.contains(Number))
-      Delta.GoneGenerations.push_back(Number);
+      Delta.RemovedGenerations.push_back(Number);
   for (const auto &[Number, Generation] : NewGenerations) {
     const auto Found = OldGenerations.find(Number);
     if (Found == OldGenerations.end() || Found->second != Generation)
@@ -93,14 +93,14 @@
     return std::nullopt;
   membership To = headOf(Delta.Changed);
   auto Hosts = hostsOf(From);
-  for (const std::uint32_t Gone : Delta.GoneHosts)
-    Hosts.erase(host_id{Gone});
+  for (const std::uint32_t Removed : Delta.RemovedHosts)
+    Hosts.erase(host_id{Removed});
   for (const auto &[Id, Entry] : hostsOf(Delta.Changed))
     Hosts[Id] = Entry;
   setHosts(To, Hosts);
   auto Generations = generationsOf(From);
-  for (const std::uint64_t Gone : Delta.GoneGenerations)
-    Generations.erase(Gone);
+  for (const std::uint64_t Removed : Delta.RemovedGenerations)
+    Generations.erase(Removed);
   for (const auto &[Number, Generation] : generationsOf(Delta.Changed))
     Generations[Number] = Generation;
   for (const auto &[Number, Generation] : Generations)
--- a/src/fleet/view_store.cpp
+++ b/src/fleet/view_store.cpp
@@ -20,14 +20,14 @@
 
 offer view_store::take(const membership &Members) {
   const std::string &Name = Members.View.Name;
-  const std::uint64_t Stands = versionOf(Name);
-  if (Members.View.Version == Stands)
+  const std::uint64_t Current = versionOf(Name);
+  if (Members.View.Version == Current)
     return offer::Same;
-  if (Members.View.Version < Stands)
+  if (Members.View.Version < Current)
     return offer::Older;
   std::uint64_t &Digest = Digests[bucketOf(Name)];
-  if (Stands != 0) {
-    Digest ^= hashOfVersion(Name, Stands);
+  if (Current != 0) {
+    Digest ^= hashOfVersion(Name, Current);
     Deltas.push_back(makeDelta(Views[Name], Members));
     if (Deltas.size() > MaxDeltas)
       Deltas.pop_front();
@@ -55,11 +55,12 @@
 }
 
 std::uint64_t view_store::digest() const {
-  std::uint64_t Whole = 0;
-  // Rotated by place, or two buckets that differ alike would cancel out.
+  std::uint64_t Combined = 0;
+  // Each digest is rotated by its index, since two buckets with equal
+  // differences would cancel out otherwise.
   for (std::size_t I = 0; I < Buckets; ++I)
-    Whole ^= Digests[I] << I | (I == 0 ? 0 : Digests[I] >> (Buckets - I));
-  return Whole;
+    Combined ^= Digests[I] << I | (I == 0 ? 0 : Digests[I] >> (Buckets - I));
+  return Combined;
 }
 
 std::vector<view_version> view_store::versionsIn(std::uint32_t Bucket) const {
--- a/test/fleet/fake_platform.h
+++ b/test/fleet/fake_platform.h
@@ -1,8 +1,8 @@
-//===- fake_platform.h - The platform in memory, with faults ----*- C++ -*-===//
+//===- fake_platform.h - In-memory platform with faults ---------*- C++ -*-===//
 ///
 /// \file
-/// A platform_api on a hand-turned clock: outages, slow answers, answers lost
-/// after the write took effect, and older state served.
+/// A platform_api on a simulated clock that can have outages, slow answers,
+/// answers lost after the write took effect, and older state.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,14 +17,14 @@
 
 namespace marjoramrail::testing {
 
-/// The faults of one process's way to the platform.
+/// Faults of the link between one process and the platform.
 struct platform_link {
-  /// What it sends is lost.
+  /// Requests of the process are lost.
   bool Cut = false;
-  /// How long a call travels before it takes effect.
-  duration Travel = duration::zero();
-  /// How much longer an answer takes than for others.
-  duration Back = duration::zero();
+  /// How long a request takes to reach the platform and take effect.
+  duration RequestDelay = duration::zero();
+  /// Delay of answers in addition to that of the platform.
+  duration ReplyDelay = duration::zero();
 };
 
 class fake_platform {
@@ -39,14 +39,15 @@
   int LoseAnswers = 0;
   /// This many writes do not take effect and answer Unknown.
   int LoseWrites = 0;
-  /// Reads and lists answer from the state kept by remember().
+  /// Reads, lists and watches answer from the state kept by saveOlder().
   bool ServeOlder = false;
-  /// Only lists and watches do, as from another replica than reads.
+  /// Only lists and watches answer from that state, as from another replica
+  /// than reads.
   bool ListOlder = false;
   std::uint64_t Calls = 0;
   std::uint64_t Writes = 0;
 
-  /// The platform as a process reaches it over \p Link.
+  /// Returns the platform as a process reaches it over \p Link.
   platform_api api(const platform_link *Link = nullptr) {
     platform_api Api;
     Api.Read = [this, Link](const object_key &Key, platform_callback Callback) {
@@ -77,7 +78,7 @@
     return Api;
   }
 
-  /// Writes as an operator does, whatever stands.
+  /// Writes like an operator, regardless of the stored version.
   void put(const std::string &Kind, const std::string &Name, std::string Body) {
     platform_object Object;
     Object.Key = {Kind, Name};
@@ -87,10 +88,10 @@
   }
 
   void erase(const std::string &Kind, const std::string &Name) {
-    platform_object Gone;
-    Gone.Key = {Kind, Name};
-    Gone.Deleted = true;
-    store(Gone);
+    platform_object Removed;
+    Removed.Key = {Kind, Name};
+    Removed.Deleted = true;
+    store(Removed);
   }
 
   platform_object get(const std::string &Kind, const std::string &Name) const {
@@ -100,7 +101,7 @@
 
   instant now() const { return Timers.now(); }
 
-  void remember() {
+  void saveOlder() {
     Older = Objects;
     OlderVersion = StoreVersion;
   }
@@ -129,8 +130,8 @@
     return Reply;
   }
 
-  /// The rule of platform.h for kinds, names and writers; the client refuses
-  /// others before a byte is sent.
+  /// Applies the rule of platform.h for kinds, names and writers; the client
+  /// refuses others before it sends a byte.
   static bool isKeyPart(const std::string &Text) {
     const auto Allowed = [](unsigned char Character) {
       return std::isalnum(Character) != 0 ||
@@ -150,18 +151,18 @@
     }
     platform_reply Reply;
     const auto Found = Objects.find(Write.Object.Key);
-    const std::uint64_t Stands = Found == Objects.end() || Found->second.Deleted
-                                     ? 0
-                                     : Found->second.Version;
+    const std::uint64_t Current =
+        Found == Objects.end() || Found->second.Deleted ? 0
+                                                        : Found->second.Version;
     if (LoseWrites > 0) {
       --LoseWrites;
       Reply.Outcome = platform_outcome::Unknown;
       return Reply;
     }
-    if (Stands != Write.Expected) {
-      Reply.Outcome =
-          Stands == 0 ? platform_outcome::NotFound : platform_outcome::Conflict;
-      if (Stands != 0)
+    if (Current != Write.Expected) {
+      Reply.Outcome = Current == 0 ? platform_outcome::NotFound
+                                   : platform_outcome::Conflict;
+      if (Current != 0)
         Reply.Object = Found->second;
       return Reply;
     }
@@ -197,16 +198,18 @@
               platform_callback Callback) {
     ++Calls;
     const bool Lost = Link != nullptr && Link->Cut;
-    const duration Back = Link != nullptr ? Link->Back : duration::zero();
-    const duration Travel = Link != nullptr ? Link->Travel : duration::zero();
-    Timers.after(Travel, [this, Lost, Back, Act = std::move(Act),
-                          Callback = std::move(Callback)] {
+    const duration ReplyDelay =
+        Link != nullptr ? Link->ReplyDelay : duration::zero();
+    const duration RequestDelay =
+        Link != nullptr ? Link->RequestDelay : duration::zero();
+    Timers.after(RequestDelay, [this, Lost, ReplyDelay, Act = std::move(Act),
+                                Callback = std::move(Callback)] {
       platform_reply Reply;
       Reply.Outcome = platform_outcome::Unavailable;
       Reply.RetryAfter = std::chrono::seconds(1);
       if (!Down && !Lost)
         Reply = Act();
-      Timers.after(Delay + Back, [Reply, Callback] { Callback(Reply); });
+      Timers.after(Delay + ReplyDelay, [Reply, Callback] { Callback(Reply); });
     });
   }
 
--- a/test/fleet/duty_test.cpp
+++ b/test/fleet/shard_controller_test.cpp
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("the status counts the balancers on which a view is in force") {
+TEST_CASE("the status counts the balancers that apply a view") {
   site Site;
   REQUIRE(Site.settle());
   Site.run(10s);
@@ -53,7 +53,7 @@
   Site.run(5s);
   test_agent &Agent = Site.agent("ledger-3");
   Agent.Report.Draining = true;
-  Agent.Announcer->announceNow();
+  Agent.HeartbeatSender->sendNow();
 
   Site.run(3s);
 
@@ -66,7 +66,7 @@
   CHECK(newestMembers(Site, "ledger") == 7);
 }
 
-TEST_CASE("an operator's drain holds until the operator takes it back") {
+TEST_CASE("an operator's drain lasts until the operator removes it") {
   site Site;
   REQUIRE(Site.settle());
   Site.run(5s);
@@ -83,8 +83,8 @@
 }
 
 TEST_CASE("the last serving target of a service is not drained") {
-  // Someone drains every host of a service by mistake. Carried out, its
-  // callers would be refused everywhere.
+  // An operator drains every host of a service by mistake. If all were drained,
+  // its callers would be refused everywhere.
   site Site;
   REQUIRE(Site.settle());
   Site.run(5s);
@@ -98,7 +98,7 @@
   CHECK(conditionOf(statusOf(Site, "archive"), "HeldBack") == "last-target+");
 }
 
-TEST_CASE("past generations stay while an agent needs them, then go") {
+TEST_CASE("past generations are kept while an agent needs them") {
   site Site;
   REQUIRE(Site.settle());
   Site.run(15s);
@@ -115,7 +115,7 @@
   CHECK(Site.Balancers[0]->Node->find("ledger")->View.Generations.size() == 1);
 }
 
-TEST_CASE("a host that is gone for good is forgotten after ten minutes") {
+TEST_CASE("the entry of a dead host is removed after ten minutes") {
   site Site;
   REQUIRE(Site.settle());
   Site.agent("ledger-3").Dead = true;
@@ -128,7 +128,7 @@
   CHECK(Site.agreed("ledger", 6));
 }
 
-TEST_CASE("a duty goes on when its holder dies") {
+TEST_CASE("another balancer takes over when a lease holder dies") {
   site Site;
   REQUIRE(Site.settle());
   Site.run(5s);
@@ -144,10 +144,10 @@
   CHECK(Site.versionsOnlyGrew());
 }
 
-TEST_CASE("two of three balancers die: the third takes all duties") {
-  // Two zones fail together. The survivor cannot tell this from a cut of its
-  // own link, so it declares nobody dead; but the leases are free in the
-  // platform, and operators' changes must still come into force.
+TEST_CASE("two of three balancers die: the third takes all shard leases") {
+  // Two zones fail together. The remaining balancer cannot distinguish this
+  // from a failure of its own link, so it declares no peer dead. But the leases
+  // are free in the platform, and operators' changes must still take effect.
   for (int Which = 0; Which < 3; ++Which) {
     CAPTURE(Which);
     site Site;
@@ -164,14 +164,14 @@
                  Site.seenByAll("archive-2", target_state::Draining);
         },
         40s));
-    CHECK(Site.declaredDown() == 0);
+    CHECK(Site.declaredDead() == 0);
   }
 }
 
-TEST_CASE("a holder that slept through its lease cannot write any more") {
-  // The holder is frozen with a write about to leave. Another takes the duty
-  // over and changes the membership; then the first wakes up and acts in the
-  // belief that no time has passed.
+TEST_CASE("a holder that was frozen past its lease cannot write") {
+  // The lease holder is frozen with a write about to leave. Another balancer
+  // takes the lease over and changes the membership; then the first resumes
+  // without knowing that time has passed.
   site Site;
   REQUIRE(Site.settle());
   Site.run(5s);
@@ -183,10 +183,10 @@
         ->Term;
   };
   const std::uint64_t Term = TermOf();
-  // It hears of a drain; its write is held up on the way for 20 s.
-  Holder->Link.Travel = 20s;
+  // It learns of a drain; its write is delayed on the way for 20 s.
+  Holder->Link.RequestDelay = 20s;
   Site.agent("ledger-5").Report.Draining = true;
-  Site.agent("ledger-5").Announcer->announceNow();
+  Site.agent("ledger-5").HeartbeatSender->sendNow();
   Site.run(1s);
   Holder->Frozen = true;
   Site.agent("ledger-5").Report.Draining = false;
@@ -198,8 +198,8 @@
   // The late write arrives.
   Site.run(5s);
   CHECK(Site.Platform.get("membership", "ledger").Body == Before);
-  Holder->thaw(Site.Net.now());
-  Holder->Link.Travel = 0s;
+  Holder->resume(Site.Net.now());
+  Holder->Link.RequestDelay = 0s;
   Site.run(10s);
 
   CHECK(Holder->Node->counters().WritesFenced > 0);
@@ -207,9 +207,9 @@
   CHECK(Site.versionsOnlyGrew());
 }
 
-TEST_CASE("the platform is down for minutes: all go on, a new one learns") {
-  // While the platform is down a balancer's VM is replaced. It has nothing but
-  // its peers to learn from, and callers' packets reach it at once.
+TEST_CASE("the platform is down for minutes: a new balancer gets all views") {
+  // While the platform is down, a balancer's VM is replaced. It can learn the
+  // views only from its peers, and callers' packets reach it at once.
   site Site;
   REQUIRE(Site.settle());
   Site.run(5s);
@@ -236,9 +236,10 @@
       [&] { return Site.seenByAll("ledger-3", target_state::Down); }, 40s));
 }
 
-TEST_CASE("the platform is slow for minutes: duties stay, changes go through") {
-  // Each answer takes a second and a half. Holders that gave up their leases
-  // for it would hand duties round and write nothing.
+TEST_CASE(
+    "the platform is slow for minutes: leases stay, changes take effect") {
+  // Each answer takes a second and a half. If holders gave up their leases for
+  // that, leases would move between balancers and nothing would be written.
   site Site;
   REQUIRE(Site.settle());
   Site.run(5s);
@@ -254,13 +255,13 @@
   CHECK(Site.versionsOnlyGrew());
 }
 
-TEST_CASE("an older state of the platform brings nothing back") {
-  // After an outage the platform answers from a replica that is behind. A
-  // target drained since would get work again.
+TEST_CASE("an older state of the platform reverts nothing") {
+  // After an outage the platform answers from a replica that is behind. If that
+  // were accepted, a target drained since would get new work again.
   site Site;
   REQUIRE(Site.settle());
   Site.run(5s);
-  Site.Platform.remember();
+  Site.Platform.saveOlder();
   Site.Platform.put("drain", "ledger-3", toJson(drain_spec{"ledger-3", "x"}));
   Site.run(5s);
   REQUIRE(Site.seenByAll("ledger-3", target_state::Draining));
@@ -278,13 +279,13 @@
   CHECK(Site.versionsOnlyGrew());
 }
 
-TEST_CASE("a new holder does not believe a list that is behind its lease") {
-  // The holder dies while the replica that answers lists is behind. Believed,
-  // the new holder would give a drained target work again.
+TEST_CASE("a new holder ignores a list that is older than its lease") {
+  // The lease holder dies while the replica that answers lists is behind. A new
+  // holder that accepted the list would give a drained target new work.
   site Site;
   REQUIRE(Site.settle());
   Site.run(5s);
-  Site.Platform.remember();
+  Site.Platform.saveOlder();
   Site.Platform.put("drain", "ledger-3", toJson(drain_spec{"ledger-3", "x"}));
   Site.run(5s);
   REQUIRE(Site.seenByAll("ledger-3", target_state::Draining));
@@ -321,20 +322,20 @@
   CHECK(Site.versionsOnlyGrew());
 }
 
-TEST_CASE("two operators race for one service: one wins, everywhere") {
-  // Both read the same version and write. The second is refused by the
-  // platform; the fleet must carry out the one that was accepted.
+TEST_CASE("two operators change one service: one wins on all balancers") {
+  // Both read the same version and write. The platform refuses the second; the
+  // fleet must apply the one that was accepted.
   site Site;
   REQUIRE(Site.settle());
-  const platform_object Stands = Site.Platform.get("service", "ledger");
+  const platform_object Current = Site.Platform.get("service", "ledger");
   std::vector<platform_outcome> Outcomes;
   for (const std::uint16_t Port : {8443, 9443}) {
-    auto Spec = parseService(Stands.Body, "ledger");
+    auto Spec = parseService(Current.Body, "ledger");
     REQUIRE(Spec);
     Spec->Address.Port = Port;
-    platform_object Next = Stands;
+    platform_object Next = Current;
     Next.Body = toJson(*Spec);
-    Site.Platform.api().Write({Next, Stands.Version},
+    Site.Platform.api().Write({Next, Current.Version},
                               [&](const platform_reply &Reply) {
                                 Outcomes.push_back(Reply.Outcome);
                               });
@@ -346,10 +347,10 @@
   CHECK(Outcomes[1] == platform_outcome::Conflict);
   for (auto &Balancer : Site.Balancers)
     CHECK(Balancer->Node->find("ledger")->View.Address.Port == 8443);
-  CHECK(statusOf(Site, "ledger").AcceptedVersion > Stands.Version);
+  CHECK(statusOf(Site, "ledger").AcceptedVersion > Current.Version);
 }
 
-TEST_CASE("a spec that is wrong leaves the last good one in force") {
+TEST_CASE("an invalid spec leaves the last valid one in effect") {
   site Site;
   REQUIRE(Site.settle());
   Site.Platform.put("service", "ledger", "{\"address\": 5}");
@@ -362,26 +363,26 @@
   CHECK(Accepted.back() == '-');
 }
 
-TEST_CASE("under random faults the fleet ends where a full broadcast would") {
-  // Losses, cuts, deaths, outages and lost answers come together and twice.
-  // Once they end, every balancer has what the platform holds, as if each
-  // write had been sent to everyone.
+TEST_CASE("after random faults the fleet converges like a full broadcast") {
+  // Losses, partitions, frozen hosts, outages and lost answers occur together.
+  // After they end, every balancer has what the platform holds, as if each
+  // write had been sent to all of them.
   for (std::uint64_t Seed = 1; Seed <= 6; ++Seed) {
     CAPTURE(Seed);
     site Site(Seed, 5);
     std::mt19937_64 Random(Seed);
     REQUIRE(Site.settle());
-    const process *Lonely = nullptr;
+    const process *Isolated = nullptr;
     Site.Cut = [&](const process &From, const process &To) {
-      return &From == Lonely || &To == Lonely;
+      return &From == Isolated || &To == Isolated;
     };
     for (int Round = 0; Round < 12; ++Round) {
       Site.Loss = Random() % 3 == 0 ? 0.2 : 0;
       Site.Platform.Down = Random() % 4 == 0;
       Site.Platform.LoseAnswers = static_cast<int>(Random() % 3);
-      Lonely = Random() % 2 == 0
-                   ? Site.Balancers[Random() % Site.Balancers.size()].get()
-                   : nullptr;
+      Isolated = Random() % 2 == 0
+                     ? Site.Balancers[Random() % Site.Balancers.size()].get()
+                     : nullptr;
       const std::string Host = "ledger-" + std::to_string(1 + Random() % 7);
       if (Random() % 2 == 0)
         Site.Platform.put("drain", Host, toJson(drain_spec{Host, "x"}));
@@ -390,9 +391,9 @@
       test_agent &Agent = *Site.Agents[Random() % Site.Agents.size()];
       Agent.Frozen = true;
       Site.run(std::chrono::milliseconds(Random() % 12000));
-      Agent.thaw(Site.Net.now());
+      Agent.resume(Site.Net.now());
     }
-    Lonely = nullptr;
+    Isolated = nullptr;
     Site.Loss = 0;
     Site.Platform.Down = false;
     for (int I = 1; I <= 7; ++I)
@@ -405,11 +406,11 @@
     CHECK(Site.versionsOnlyGrew());
     for (auto &Balancer : Site.Balancers)
       for (const char *Service : {"ledger", "archive"}) {
-        const auto Stands = internal::parseBody(
+        const auto Current = internal::parseBody(
             Site.Platform.get("membership", Service).Body, Service);
         // A raised term alone is not spread.
-        CHECK(Balancer->Node->find(Service)->View == Stands->View);
-        CHECK(Balancer->Node->find(Service)->Info == Stands->Info);
+        CHECK(Balancer->Node->find(Service)->View == Current->View);
+        CHECK(Balancer->Node->find(Service)->Info == Current->Info);
       }
   }
 }
--- a/test/fleet/small_fleet.h
+++ b/test/fleet/small_fleet.h
@@ -1,10 +1,11 @@
 //===- small_fleet.h - Balancers and agents in one process ------*- C++ -*-===//
 ///
 /// \file
-/// The real cores on one hand-turned clock, joined by links that delay, lose
-/// and cut, with the fake platform. Each process has timers of its own, so that
-/// it can be frozen: its clock stands, what it is sent and told waits, and when
-/// it wakes up it goes on in the belief that no time has passed.
+/// Runs the cores of balancers and agents on one simulated clock, joined by
+/// links that can delay, lose and block datagrams, with the fake platform. Each
+/// process has its own timers, so that it can be frozen: its clock stops and
+/// incoming messages wait; when it resumes, it continues without knowing that
+/// time has passed.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,7 +24,7 @@
 
 namespace marjoramrail::testing {
 
-/// What a balancer and an agent have in common here.
+/// The common part of a balancer and an agent.
 struct process {
   endpoint At;
   std::string Zone;
@@ -31,11 +32,11 @@
   bool Frozen = false;
   bool Dead = false;
   platform_link Link;
-  /// What waits for a frozen process.
+  /// Tasks that wait while the process is frozen.
   std::deque<std::function<void()>> Waiting;
   std::function<void(const endpoint &, fleet_bytes)> Input;
 
-  bool runs() const { return !Frozen && !Dead; }
+  bool isRunning() const { return !Frozen && !Dead; }
 
   void deliver(std::function<void()> Task) {
     constexpr std::size_t SocketBuffer = 200;
@@ -47,9 +48,9 @@
       Task();
   }
 
-  void thaw(instant Now) {
+  void resume(instant Now) {
     Frozen = false;
-    // Its timers run first, as on a loop whose thread wakes up.
+    // Its timers run first, as on an event loop whose thread resumes.
     Timers.advance(Now);
     while (!Waiting.empty()) {
       auto Task = std::move(Waiting.front());
@@ -62,17 +63,17 @@
 struct test_balancer : process {
   std::string Name;
   std::unique_ptr<fleet_node> Node;
-  /// Views in the order in which they came into force.
-  std::map<std::string, std::vector<std::uint64_t>> InForce;
+  /// Versions of views in the order in which they were applied.
+  std::map<std::string, std::vector<std::uint64_t>> AppliedVersions;
   std::vector<std::string> Notes;
 };
 
 struct test_agent : process {
   std::string Host;
-  std::unique_ptr<announcer> Announcer;
+  std::unique_ptr<heartbeat_sender> HeartbeatSender;
   agent_report Report;
   std::optional<membership> View;
-  int TimesDeclaredDown = 0;
+  int TimesDeclaredDead = 0;
   bool NeedsOld = false;
 };
 
@@ -89,7 +90,7 @@
   std::deque<std::unique_ptr<test_balancer>> Balancers;
   std::deque<std::unique_ptr<test_agent>> Agents;
   std::uint64_t Datagrams = 0;
-  /// True for a datagram that is lost on a cut link.
+  /// Returns true for a datagram that is lost on a cut link.
   std::function<bool(const process &From, const process &To)> Cut;
 
   test_balancer &addBalancer(const std::string &Name, const std::string &Zone,
@@ -110,7 +111,7 @@
         fleet_hooks{.Send = sender(Balancer),
                     .OnView =
                         [&Balancer](const membership &Members) {
-                          Balancer.InForce[Members.View.Name].push_back(
+                          Balancer.AppliedVersions[Members.View.Name].push_back(
                               Members.View.Version);
                         },
                     .WallClockMs = [this] { return millis(); },
@@ -131,9 +132,9 @@
     test_agent &Agent = *Fresh;
     Agent.Host = Host;
     start(Agent, Zone, 0x0b000000U + ++LastAddress);
-    Agent.Announcer = std::make_unique<announcer>(
+    Agent.HeartbeatSender = std::make_unique<heartbeat_sender>(
         Agent.Timers,
-        announcer_settings{.Host = Host,
+        heartbeat_settings{.Host = Host,
                            .Service = Service,
                            .Zone = Zone,
                            .Agent = Agent.At,
@@ -141,21 +142,21 @@
                            .Seeds = seeds(),
                            .Slots = 4,
                            .Incarnation = Incarnation},
-        announcer_hooks{
+        heartbeat_hooks{
             .Send = sender(Agent),
             .Describe = [&Agent] { return describe(Agent); },
             .OnView =
                 [&Agent](const membership &Members) { Agent.View = Members; },
-            .OnDeclaredDown =
-                [&Agent](std::uint32_t) { ++Agent.TimesDeclaredDown; }});
+            .OnDeclaredDead =
+                [&Agent](std::uint32_t) { ++Agent.TimesDeclaredDead; }});
     Agent.Input = [&Agent](const endpoint &From, fleet_bytes Bytes) {
-      Agent.Announcer->input(From, Bytes);
+      Agent.HeartbeatSender->input(From, Bytes);
     };
     Agents.push_back(std::move(Fresh));
     return Agent;
   }
 
-  /// The users' two sites in small: a service with its agents over the zones.
+  /// Adds a service with its agents spread over the zones.
   void addService(const std::string &Name, std::uint32_t Number, int Hosts,
                   const std::vector<std::string> &Zones) {
     service_spec Spec;
@@ -173,10 +174,10 @@
     while (Net.now() < End) {
       Net.advance(std::min(End, Net.now() + Step));
       for (auto &Balancer : Balancers)
-        if (Balancer->runs())
+        if (Balancer->isRunning())
           Balancer->Timers.advance(Net.now());
       for (auto &Agent : Agents)
-        if (Agent->runs())
+        if (Agent->isRunning())
           Agent->Timers.advance(Net.now());
     }
   }
@@ -195,8 +196,8 @@
 
   test_balancer *holderOf(const std::string &Service) {
     for (auto &Balancer : Balancers)
-      if (Balancer->runs() && Balancer->Node->duties().size() > 0)
-        for (const std::uint32_t Shard : Balancer->Node->duties())
+      if (Balancer->isRunning() && Balancer->Node->heldShards().size() > 0)
+        for (const std::uint32_t Shard : Balancer->Node->heldShards())
           if (Shard == shard(Service))
             return Balancer.get();
     return nullptr;
@@ -206,11 +207,12 @@
     return internal::shardOf(Service, Shards);
   }
 
-  /// True if every living balancer has the same view, with \p Serving ready.
+  /// True if every running balancer has the same view, with \p Serving targets
+  /// ready.
   bool agreed(const std::string &Service, std::size_t Serving) {
     std::set<std::uint64_t> Versions;
     for (auto &Balancer : Balancers) {
-      if (!Balancer->runs())
+      if (!Balancer->isRunning())
         continue;
       const membership *Members = Balancer->Node->find(Service);
       if (Members == nullptr || ready(*Members) != Serving)
@@ -286,7 +288,8 @@
     };
   }
 
-  /// The platform as one process reaches it: answers wait while it is frozen.
+  /// Returns the platform as one process reaches it; answers wait while the
+  /// process is frozen.
   platform_api platformFor(process &Process) {
     platform_api Api = Platform.api(&Process.Link);
     auto Late = [&Process](platform_callback Callback) -> platform_callback {
