--- a/bench/forward/main.cpp
+++ b/bench/forward/main.cpp
@@ -117,7 +117,7 @@
   Hooks.SendToTarget = [](bytes_view) {};
   Hooks.SendToPeer = [](const endpoint &, bytes_view) {};
   Hooks.SendToCaller = [](const endpoint &, bytes_view) {};
-  Hooks.TargetSilent = [] {};
+  Hooks.TargetUnresponsive = [] {};
   forward_agent Agent({serviceNumber("ledger"), {0x0a000100, 700}},
                       users_platform::packetCodec(), Hooks);
   Agent.setAdmitting(true);
@@ -198,7 +198,7 @@
 public:
   placing_model(policy Policy, trouble Trouble)
       : Policy(Policy), Trouble(Trouble), Real(Targets) {
-    for (placing_view &Target : Real) {
+    for (placement_candidate &Target : Real) {
       Target.OwnZone = true;
       Target.Slots = Slots;
     }
@@ -227,7 +227,7 @@
     std::sort(Waits.begin(), Waits.end());
     double Most = 0;
     double Sum = 0;
-    for (const placing_view &Target : Real) {
+    for (const placement_candidate &Target : Real) {
       Most = std::max<double>(Most, Target.Flows);
       Sum += Target.Flows;
     }
@@ -337,8 +337,8 @@
 
   policy Policy;
   trouble Trouble;
-  std::vector<placing_view> Real;
-  std::vector<placing_view> Known;
+  std::vector<placement_candidate> Real;
+  std::vector<placement_candidate> Known;
   std::vector<flow> Open;
   std::array<int, Targets> Work{};
   std::vector<double> Waits;
--- a/daemons/forwarder/agent_target.cpp
+++ b/daemons/forwarder/agent_target.cpp
@@ -57,7 +57,7 @@
   if (Report.Draining != WasDraining || Report.Sequence <= 1)
     Log.record(event_kind::ReportTaken, Report.Draining ? "draining" : "ready",
                Report.Id);
-  if (Core.targetGone())
+  if (Core.targetStopped())
     onTargetBack("it reported");
   if (Flows)
     Flows->onRun({Report.Id, Report.Born});
@@ -88,7 +88,7 @@
 void forward_agent_process::withdrawWhenGone() {
   if (!Reports.left() || Stopping)
     return;
-  if (Core.targetGone())
+  if (Core.targetStopped())
     return withdraw();
   if (Loop.timers().now() - LastFromTarget > LongestRetransmission)
     lookAtTarget();
@@ -153,10 +153,10 @@
 }
 
 void forward_agent_process::onTargetLooked(const std::string &Reason) {
-  if (Reason != std::strerror(ECONNREFUSED) || Core.targetGone())
+  if (Reason != std::strerror(ECONNREFUSED) || Core.targetStopped())
     return;
   Log.record(event_kind::TargetGone, Reason, toText(Settings.Target));
-  Core.setTargetGone(true, Loop.timers().now());
+  Core.setTargetStopped(true, Loop.timers().now());
   Core.reportNow(Loop.timers().now());
   Routed.flush();
 }
--- a/daemons/forwarder/forward_agent_process.cpp
+++ b/daemons/forwarder/forward_agent_process.cpp
@@ -27,7 +27,7 @@
                           Calls)),
       Core({.Service = serviceNumber(Settings.Service),
             .Self = Settings.RoutedListen,
-            .Without = Settings.Without},
+            .DisabledMechanisms = Settings.Without},
            Adapter.Codec, coreHooks()),
       Reports(Settings.Service),
       Registrar(Loop.timers(), Store.api(), directory_settings().SiteKind,
@@ -57,14 +57,14 @@
     Routed.send({Caller.Address, Settings.RoutedListen.Port}, Bytes);
   };
   // A balancer without the store's news may name an entry that is gone.
-  Hooks.Listed = [this] {
+  Hooks.Registered = [this] {
     if (Registrar.knownMissing() ||
         this->Settings.Without.has(mechanism::ListedNotices))
       return;
     Admission.onListed(Loop.timers().now());
     review("a balancer has known this target for long");
   };
-  Hooks.Found = [this] {
+  Hooks.RegistrationFound = [this] {
     // An entry that this process has written may have been new to all.
     if (Registrar.hasWritten() || Registrar.knownMissing() ||
         this->Settings.Without.has(mechanism::FoundNotices))
@@ -72,7 +72,7 @@
     Admission.onListed(Loop.timers().now());
     review("a balancer that started found this target in the store");
   };
-  Hooks.TargetSilent = [this] { lookAtTarget(); };
+  Hooks.TargetUnresponsive = [this] { lookAtTarget(); };
   Hooks.OnRequest = [this](const flow_key &Flow, bytes_view Packet) {
     Requests.seen(Flow, Packet, Core.report(Loop.timers().now()).Active);
   };
@@ -84,9 +84,9 @@
     Requests.answered(Flow, Status, Took, Core.report(Now).Latency);
   };
   Hooks.OnEvent = [this](const flow_event &Event) { recordFlow(Event); };
-  Hooks.Unlisted = [this] { announceAgain(); };
-  Hooks.Unheard = [this] { announceAgain(); };
-  Hooks.Witness = [this](std::uint64_t Clock) { Log.witness(Clock); };
+  Hooks.Unregistered = [this] { announceAgain(); };
+  Hooks.NoBalancerContact = [this] { announceAgain(); };
+  Hooks.ObserveClock = [this](std::uint64_t Clock) { Log.witness(Clock); };
   return Hooks;
 }
 
@@ -144,7 +144,7 @@
   flow_reporter::hooks Hooks;
   Hooks.OpenFlows = [this](instant Moment) { return Core.openFlows(Moment); };
   Hooks.OnLost = [this](const std::vector<open_flow> &Lost) {
-    Core.resetFormer(Lost);
+    Core.resetPreviousFlows(Lost);
     Routed.flush();
   };
   Hooks.Send = [this](const endpoint &To, bytes_view Bytes) {
@@ -244,7 +244,7 @@
 
 void forward_agent_process::endWhenDone() {
   const instant Now = Loop.timers().now();
-  const bool IsOver = Reports.left() || Core.targetGone();
+  const bool IsOver = Reports.left() || Core.targetStopped();
   if (IsOver)
     withdraw();
   const bool IsDone = IsOver ? Withdrawn && Registrar.settled() : !Look;
@@ -269,14 +269,14 @@
   LastFromTarget = Now;
   for (const datagram &Datagram : Batch)
     if (Core.onTargetPacket(Datagram.Bytes, Now) == agent_outcome::Answered &&
-        Core.targetGone())
+        Core.targetStopped())
       onTargetBack("it wrote a packet");
   Routed.flush();
 }
 
 void forward_agent_process::onTargetBack(const char *Why) {
   Log.record(event_kind::TargetRegained, Why, toText(Settings.Target));
-  Core.setTargetGone(false, Loop.timers().now());
+  Core.setTargetStopped(false, Loop.timers().now());
 }
 
 void forward_agent_process::armExpiry(std::optional<instant> Due) {
--- a/daemons/forwarder/forward_balancer_process.cpp
+++ b/daemons/forwarder/forward_balancer_process.cpp
@@ -76,7 +76,7 @@
       Core({.Self = Settings.PeersListen,
             .Zone = Settings.Zone,
             .FlowLife = Settings.FlowLife,
-            .Without = Settings.Without},
+            .DisabledMechanisms = Settings.Without},
            Adapter.Codec, coreHooks()),
       Directory(Loop.timers(), storeApis(Store), directorySettings(Settings),
                 directoryHooks()),
@@ -196,7 +196,7 @@
     return static_cast<double>(Core.counters().Resets);
   });
   Metrics.counterOf("marjoramrail_walks_continued", [this] {
-    return static_cast<double>(Core.counters().WalksContinued);
+    return static_cast<double>(Core.counters().LookupsContinued);
   });
   Metrics.counterOf("marjoramrail_agent_suspicions", [this] {
     return static_cast<double>(Core.counters().Suspicions);
--- a/include/marjoramrail/forward.h
+++ b/include/marjoramrail/forward.h
@@ -19,7 +19,7 @@
 ///
 /// A packet that all have declined belongs to no one. Its caller
 /// is told so at once by a reset, if the balancer was sure that its list was
-/// whole (routed_flag::Whole); silence would cost the caller its time limit.
+/// whole (routed_flag::Complete); silence would cost the caller its time limit.
 ///
 /// Usage:
 /// \code
@@ -120,43 +120,43 @@
 
 /// How long an agent that is asked for a load_report goes on reporting. An
 /// agent that does not know Once yet takes it for Lasting.
-enum class report_span : std::uint8_t { Lasting = 0, Once = 1 };
+enum class report_span : std::uint8_t { Continued = 0, Once = 1 };
 
 /// Asks an agent for a load_report.
-inline constexpr std::size_t LoadQuestionBytes = 4;
-std::size_t encodeLoadQuestion(report_span Span,
-                               std::span<std::uint8_t> Buffer);
-std::optional<report_span> decodeLoadQuestion(bytes_view Bytes);
+inline constexpr std::size_t LoadReportRequestBytes = 4;
+std::size_t encodeLoadReportRequest(report_span Span,
+                                    std::span<std::uint8_t> Buffer);
+std::optional<report_span> decodeLoadReportRequest(bytes_view Bytes);
 
 /// Tells an agent that reports that the store's list does not hold it: its
 /// entry was taken out while it was cut off, and it has to announce itself
 /// again.
-inline constexpr std::size_t UnlistedNoticeBytes = 4;
-std::size_t encodeUnlistedNotice(std::span<std::uint8_t> Buffer);
-bool isUnlistedNotice(bytes_view Bytes);
+inline constexpr std::size_t UnregisteredNoticeBytes = 4;
+std::size_t encodeUnregisteredNotice(std::span<std::uint8_t> Buffer);
+bool isUnregisteredNotice(bytes_view Bytes);
 
 /// Tells an agent that admits no flows that its entry, for this service, has
 /// been known for SettleTime: it needs the store's word no more.
-inline constexpr std::size_t ListedNoticeBytes = 8;
-std::size_t encodeListedNotice(service_id Service,
-                               std::span<std::uint8_t> Buffer);
-bool decodeListedNotice(bytes_view Bytes, service_id &Service);
+inline constexpr std::size_t RegisteredNoticeBytes = 8;
+std::size_t encodeRegisteredNotice(service_id Service,
+                                   std::span<std::uint8_t> Buffer);
+bool decodeRegisteredNotice(bytes_view Bytes, service_id &Service);
 
 /// Tells an agent that admits no flows that its entry, for this service, stood
 /// in the first list that this balancer got after its start. It was written
 /// before then: if not by this run of the agent, then by a former one, and all
 /// know it.
-inline constexpr std::size_t FoundNoticeBytes = 8;
-std::size_t encodeFoundNotice(service_id Service,
-                              std::span<std::uint8_t> Buffer);
-bool decodeFoundNotice(bytes_view Bytes, service_id &Service);
+inline constexpr std::size_t RegistrationFoundNoticeBytes = 8;
+std::size_t encodeRegistrationFoundNotice(service_id Service,
+                                          std::span<std::uint8_t> Buffer);
+bool decodeRegistrationFoundNotice(bytes_view Bytes, service_id &Service);
 
 //===----------------------------------------------------------------------===//
 // Where new flows go
 //===----------------------------------------------------------------------===//
 
 /// What a balancer knows of one target when it places a flow.
-struct placing_view {
+struct placement_candidate {
   bool OwnZone = false;
   /// It has reported since it came into the list.
   bool Reported = true;
@@ -181,16 +181,17 @@
 /// it answers.
 class placement {
 public:
-  explicit placement(const mechanism_set &Without = {}) : Without(Without) {}
+  explicit placement(const mechanism_set &DisabledMechanisms = {})
+      : DisabledMechanisms(DisabledMechanisms) {}
 
   /// \p Order: positions in \p Targets, the flow's own order of preference.
   /// Returns a position in \p Targets, or nothing if no target takes flows.
   std::optional<std::size_t>
-  choose(const std::vector<placing_view> &Targets,
+  choose(const std::vector<placement_candidate> &Targets,
          const std::vector<std::size_t> &Order) const;
 
 private:
-  mechanism_set Without = {};
+  mechanism_set DisabledMechanisms = {};
 };
 
 //===----------------------------------------------------------------------===//
@@ -201,21 +202,21 @@
 enum class forward_outcome {
   Placed,
   Sent,
-  SentByMemory,
+  SentFromCache,
   NoRoute,
   NoTarget,
   /// The list of holders is empty or not known well enough to say so.
-  Unsure,
+  Indeterminate,
   Malformed,
 };
 
 inline constexpr name_table<forward_outcome, 7> ForwardOutcomeNames = {{
     {forward_outcome::Placed, "placed"},
     {forward_outcome::Sent, "sent"},
-    {forward_outcome::SentByMemory, "sent_by_memory"},
+    {forward_outcome::SentFromCache, "sent_by_memory"},
     {forward_outcome::NoRoute, "no_route"},
     {forward_outcome::NoTarget, "no_target"},
-    {forward_outcome::Unsure, "unsure"},
+    {forward_outcome::Indeterminate, "unsure"},
     {forward_outcome::Malformed, "malformed"},
 }};
 
@@ -240,7 +241,7 @@
   /// The longest life of a flow.
   duration FlowLife = std::chrono::minutes(1);
   /// Switched off for an experiment.
-  mechanism_set Without = {};
+  mechanism_set DisabledMechanisms = {};
 };
 
 struct forward_balancer_hooks {
@@ -253,7 +254,8 @@
   std::function<std::uint64_t()> Clock;
   /// An agent of the own zone has not answered for \p Silence, and every flow
   /// that its target held is over. May be empty.
-  std::function<void(const endpoint &Agent, duration Silence)> OnAgentLost;
+  std::function<void(const endpoint &Agent, duration UnresponsiveFor)>
+      OnAgentLost;
 };
 
 struct forward_balancer_counters {
@@ -261,10 +263,10 @@
   std::uint64_t Resets = 0;
   std::uint64_t Notices = 0;
   std::uint64_t Reports = 0;
-  std::uint64_t Questions = 0;
+  std::uint64_t ReportRequests = 0;
   std::uint64_t Suspicions = 0;
   /// Lists after the first one of a packet.
-  std::uint64_t WalksContinued = 0;
+  std::uint64_t LookupsContinued = 0;
 };
 
 class forward_balancer {
@@ -309,7 +311,7 @@
   /// Where this agent takes routed packets.
   endpoint Self;
   /// Switched off for an experiment.
-  mechanism_set Without = {};
+  mechanism_set DisabledMechanisms = {};
 };
 
 struct forward_agent_hooks {
@@ -318,7 +320,7 @@
   std::function<void(const endpoint &To, bytes_view)> SendToPeer;
   std::function<void(const endpoint &Caller, bytes_view)> SendToCaller;
   /// Something put to the target got no answer: look whether it is there.
-  std::function<void()> TargetSilent;
+  std::function<void()> TargetUnresponsive;
   /// A packet's text may name a request: for the log.
   std::function<void(const flow_key &, bytes_view Packet)> OnRequest;
   /// \p Packet begins the answer to a request that came \p Took ago.
@@ -326,19 +328,19 @@
       OnAnswer;
   std::function<void(const flow_event &)> OnEvent;
   /// The time line's clock of the balancer that placed a flow; may be empty.
-  std::function<void(std::uint64_t)> Witness;
+  std::function<void(std::uint64_t)> ObserveClock;
   /// A balancer says that the store does not hold this agent's entry; may be
   /// empty.
-  std::function<void()> Unlisted;
+  std::function<void()> Unregistered;
   /// No balancer has sent or asked anything for a minute, and the last one
   /// known may be gone: only the store can say whether the entry still stands.
   /// May be empty.
-  std::function<void()> Unheard;
+  std::function<void()> NoBalancerContact;
   /// A balancer says that this agent's entry has been known for SettleTime; may
   /// be empty.
-  std::function<void()> Listed;
+  std::function<void()> Registered;
   /// A balancer found this agent's entry when it started; may be empty.
-  std::function<void()> Found;
+  std::function<void()> RegistrationFound;
 };
 
 /// What became of a packet at an agent.
@@ -352,7 +354,7 @@
   /// A new flow that no target takes, and the caller was told.
   Refused,
   /// Nobody in the list holds the flow, but the list may not be whole.
-  Unsure,
+  Indeterminate,
   Malformed,
 };
 
@@ -362,7 +364,7 @@
     {agent_outcome::Answered, "answered"},
     {agent_outcome::Reset, "reset"},
     {agent_outcome::Refused, "refused"},
-    {agent_outcome::Unsure, "unsure"},
+    {agent_outcome::Indeterminate, "unsure"},
     {agent_outcome::Malformed, "malformed"},
 }};
 
@@ -390,8 +392,8 @@
   bool admitting() const;
   /// The target's process is gone, or there: while it is gone, it holds no
   /// flow and every packet counts as declined.
-  void setTargetGone(bool Gone, instant Now);
-  bool targetGone() const;
+  void setTargetStopped(bool Gone, instant Now);
+  bool targetStopped() const;
   /// The target runs so many requests at once and is slow for that long.
   void setTarget(std::uint32_t Slots, duration Warmup, instant Now);
   /// The target has answered a request on \p Flow; \p Failed: not with what was
@@ -404,7 +406,7 @@
   /// Tells the callers of flows that a former run of the target held. A flow
   /// that was seen since this agent started is another one under the same
   /// addresses, and is left alone.
-  void resetFormer(const std::vector<open_flow> &Flows);
+  void resetPreviousFlows(const std::vector<open_flow> &Flows);
 
   /// A datagram of a balancer or of another agent.
   agent_outcome onRouted(const endpoint &From, bytes_view Bytes, instant Now);
--- a/include/marjoramrail/wire.h
+++ b/include/marjoramrail/wire.h
@@ -119,13 +119,13 @@
   LastResort = 8,
   /// The list names everyone who can hold the flow: what all decline belongs to
   /// no one.
-  Whole = 16,
+  Complete = 16,
   /// More can hold the flow than one list names. When all in the list have
   /// declined, the packet goes back to routed_packet::Balancer, which sends it
   /// to the next ones; `version` says how far the walk has come.
   Continues = 32,
   /// With Continues: nobody was left out up to the end of this list.
-  WholeSoFar = 64,
+  CompleteSoFar = 64,
 };
 
 /// How many owners fit before a packet of \p PacketBytes into one datagram that
--- a/src/forward/agent_roster.cpp
+++ b/src/forward/agent_table.cpp
@@ -1,4 +1,4 @@
-#include "forward/agent_roster.h"
+#include "forward/agent_table.h"
 
 #include <set>
 
@@ -10,11 +10,11 @@
       std::distance(Zones.begin(), Zones.find(Zone)));
 }
 
-void agent_roster::set(const std::vector<target_entry> &Targets, instant Now) {
+void agent_table::set(const std::vector<target_entry> &Targets, instant Now) {
   const bool IsFirst = Agents.empty();
   if (IsFirst && !Targets.empty())
-    NextAsked = Seed % Targets.size();
-  std::vector<agent_state> Former = std::exchange(Agents, {});
+    NextRequested = Seed % Targets.size();
+  std::vector<agent_state> Previous = std::exchange(Agents, {});
   ByService.clear();
   MoreByEndpoint.clear();
   const auto Places = std::exchange(ByEndpoint, {});
@@ -25,11 +25,11 @@
     agent_state State;
     const auto Known = Places.find(Target.Agent);
     if (Known != Places.end())
-      State = Former[Known->second];
+      State = Previous[Known->second];
     const service_id Service = serviceNumber(Target.Service);
     if (Known == Places.end() || State.Service != Service) {
-      State.ListedSince = Now;
-      State.Found = IsFirst && !Target.ByPeer;
+      State.RegisteredSince = Now;
+      State.FoundAtStart = IsFirst && !Target.ByPeer;
     }
     State.Agent = Target.Agent;
     State.Service = Service;
@@ -49,36 +49,38 @@
   }
 }
 
-agent_state *agent_roster::find(const endpoint &Agent) {
+agent_state *agent_table::find(const endpoint &Agent) {
   const auto Found = ByEndpoint.find(Agent);
   return Found == ByEndpoint.end() ? nullptr : &Agents[Found->second];
 }
 
 const std::vector<std::size_t> &
-agent_roster::ofService(service_id Service) const {
+agent_table::ofService(service_id Service) const {
   static const std::vector<std::size_t> None;
   const auto Found = ByService.find(Service);
   return Found == ByService.end() ? None : Found->second;
 }
 
-void agent_roster::renewOrder(instant Now) {
+void agent_table::renewOrder(instant Now) {
   const auto Changes = std::count_if(
       Agents.begin(), Agents.end(), [&](const agent_state &State) {
-        return State.isBehind(Order) != State.isDoubtful(Now);
+        return State.isDeprioritized(Parity) != State.isUnverified(Now);
       });
-  const bool AreMany = Changes > FewChanges;
-  if (Changes == 0 || (AreMany && Now - RenewedAt < CrowdedRenewal))
+  const bool AreMany = Changes > SmallChangeCount;
+  if (Changes == 0 || (AreMany && Now - RenewedAt < BulkRenewalInterval))
     return;
   RenewedAt = Now;
-  Order = Order == walk_order::Even ? walk_order::Odd : walk_order::Even;
+  Parity =
+      Parity == order_parity::Even ? order_parity::Odd : order_parity::Even;
   for (agent_state &State : Agents)
-    State.Behind[static_cast<std::size_t>(Order)] = State.isDoubtful(Now);
+    State.Deprioritized[static_cast<std::size_t>(Parity)] =
+        State.isUnverified(Now);
 }
 
 /// Without a pass over all agents: those of a large zone report tens of
 /// thousands of times a second.
 template <typename Function>
-void agent_roster::forEachAt(const endpoint &Agent, const Function &Each) {
+void agent_table::forEachAt(const endpoint &Agent, const Function &Each) {
   const auto First = ByEndpoint.find(Agent);
   if (First == ByEndpoint.end())
     return;
@@ -88,61 +90,62 @@
     Each(Agents[Place->second]);
 }
 
-void agent_roster::noteSent(const endpoint &Agent, instant Now) {
+void agent_table::noteSent(const endpoint &Agent, instant Now) {
   forEachAt(Agent, [Now](agent_state &State) {
-    if (!State.SentSince)
-      State.SentSince = Now;
+    if (!State.FirstSentAt)
+      State.FirstSentAt = Now;
   });
 }
 
-void agent_roster::noteAsked(const endpoint &Agent, instant Now) {
+void agent_table::noteReportRequested(const endpoint &Agent, instant Now) {
   forEachAt(Agent, [Now](agent_state &State) {
-    if (!State.AskedSince)
-      State.AskedSince = Now;
+    if (!State.FirstRequestedAt)
+      State.FirstRequestedAt = Now;
   });
 }
 
-void agent_roster::take(agent_state &State, const load_report &Report,
-                        instant Now) {
+void agent_table::applyReport(agent_state &State, const load_report &Report,
+                              instant Now) {
   State.Report = Report;
   State.ReportedAt = Now;
-  State.SentSince.reset();
-  State.AskedSince.reset();
+  State.FirstSentAt.reset();
+  State.FirstRequestedAt.reset();
   State.Placed = 0;
   State.Suspect = false;
 }
 
-agent_state *agent_roster::noteReport(const load_report &Report, instant Now) {
-  agent_state *Named = nullptr;
+agent_state *agent_table::noteReport(const load_report &Report, instant Now) {
+  agent_state *Reporter = nullptr;
   forEachAt(Report.Agent, [&](agent_state &State) {
-    take(State, Report, Now);
+    applyReport(State, Report, Now);
     if (State.Service == Report.Service)
-      Named = &State;
+      Reporter = &State;
   });
-  return Named;
+  return Reporter;
 }
 
 /// The own zone's turns are its own: new flows are placed there, and after a
 /// loss of power its agents wait for the word of a balancer, while thousands in
 /// other zones may not have answered yet.
-bool agent_roster::isWanted(const agent_state &State, instant Now) {
+bool agent_table::needsReportRequest(const agent_state &State, instant Now) {
   // A datagram may have been lost.
-  if (State.Suspect || State.AskedSince)
+  if (State.Suspect || State.FirstRequestedAt)
     return true;
-  const bool IsQuiet = !State.ReportedAt || Now - *State.ReportedAt > AskAfter;
-  return State.isOwnZone() && IsQuiet;
+  const bool IsReportOld =
+      !State.ReportedAt || Now - *State.ReportedAt > ReportRequestDelay;
+  return State.isOwnZone() && IsReportOld;
 }
 
-void agent_roster::collectQuestions(instant Now, bool OwnZone, std::size_t Most,
-                                    std::size_t &Next,
-                                    std::vector<endpoint> &Ask) {
+void agent_table::collectReportRequests(instant Now, bool OwnZone,
+                                        std::size_t Most, std::size_t &Next,
+                                        std::vector<endpoint> &Requests) {
   std::size_t Left = Most;
   for (std::size_t I = 0; I < Agents.size(); ++I) {
     const agent_state &State = Agents[(Next + I) % Agents.size()];
-    if (State.isOwnZone() != OwnZone || !isWanted(State, Now))
+    if (State.isOwnZone() != OwnZone || !needsReportRequest(State, Now))
       continue;
-    noteAsked(State.Agent, Now);
-    Ask.push_back(State.Agent);
+    noteReportRequested(State.Agent, Now);
+    Requests.push_back(State.Agent);
     if (--Left == 0) {
       Next = (Next + I + 1) % Agents.size();
       return;
@@ -150,21 +153,22 @@
   }
 }
 
-bool agent_roster::review(
-    instant Now, std::vector<endpoint> &Ask,
+bool agent_table::review(
+    instant Now, std::vector<endpoint> &Requests,
     const std::function<void(const agent_state &)> &OnSuspicion) {
   bool Changed = false;
   for (agent_state &State : Agents) {
-    if (State.Suspect || !State.isSilentFor(SuspectAfter, Now))
+    if (State.Suspect || !State.isUnresponsiveFor(SuspectAfter, Now))
       continue;
     State.Suspect = true;
     State.SuspectSince = Now;
     Changed = true;
     OnSuspicion(State);
   }
-  collectQuestions(Now, /*OwnZone=*/true, QuestionsPerRound, NextAsked, Ask);
-  collectQuestions(Now, /*OwnZone=*/false, FarQuestionsPerRound, NextFarAsked,
-                   Ask);
+  collectReportRequests(Now, /*OwnZone=*/true, ReportRequestsPerRound,
+                        NextRequested, Requests);
+  collectReportRequests(Now, /*OwnZone=*/false, RemoteReportRequestsPerRound,
+                        NextRemoteRequested, Requests);
   return Changed;
 }
 
--- a/src/forward/holder_list.h
+++ b/src/forward/candidate_list.h
@@ -1,4 +1,5 @@
-//===- holder_list.h - Who may hold a flow, likeliest first -----*- C++ -*-===//
+//===- candidate_list.h - Who may hold a flow, likeliest first -----*- C++
+//-*-===//
 ///
 /// \file
 /// Writes the list of agents that a packet carries. Fixed arrays and scratch
@@ -6,21 +7,21 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef MARJORAMRAIL_FORWARD_HOLDER_LIST_H
-#define MARJORAMRAIL_FORWARD_HOLDER_LIST_H
+#ifndef MARJORAMRAIL_FORWARD_CANDIDATE_LIST_H
+#define MARJORAMRAIL_FORWARD_CANDIDATE_LIST_H
 
-#include "forward/agent_roster.h"
-#include "forward/walk_cursor.h"
+#include "forward/agent_table.h"
+#include "forward/lookup_cursor.h"
 
 #include <array>
 
 namespace marjoramrail::internal {
 
 /// The agents of a packet, as many as its head can name.
-class holder_list {
+class candidate_list {
 public:
   /// For a packet of \p PacketBytes.
-  explicit holder_list(std::size_t PacketBytes)
+  explicit candidate_list(std::size_t PacketBytes)
       : Limit(std::max<std::size_t>(ownersThatFit(PacketBytes), 1)) {}
 
   /// False if the list is full.
@@ -45,9 +46,10 @@
 };
 
 /// Orders the agents of a roster for one flow.
-class holder_order {
+class candidate_order {
 public:
-  explicit holder_order(const agent_roster &Roster) : Roster(Roster) {}
+  explicit candidate_order(const agent_table &AgentTable)
+      : AgentTable(AgentTable) {}
 
   /// Rendezvous order of \p Agents (positions in the roster) for \p Flow: alike
   /// on every balancer, so that one that has not heard of a flow looks for it
@@ -60,41 +62,43 @@
   /// others, zone by zone, and those that do not answer at the end, where a
   /// walk that they swallow has already asked everyone else. \p OwnOrder: in
   /// the flow's own order within each zone.
-  void sortForWalk(const std::vector<std::size_t> &Agents, const flow_key &Flow,
-                   bool OwnOrder, instant Now);
+  void sortForLookup(const std::vector<std::size_t> &Agents,
+                     const flow_key &Flow, bool OwnOrder, instant Now);
   /// The same, in the flow's own order, for a walk that one list does not hold:
-  /// those stand at the end who did when \p State was current.
-  void sortForLongWalk(const std::vector<std::size_t> &Agents,
-                       const flow_key &Flow, walk_order State);
-  /// Of that order, those who come after \p Named, as many as fit; \p First
+  /// those stand at the end who did when \p Parity was current.
+  void sortForContinuedLookup(const std::vector<std::size_t> &Agents,
+                              const flow_key &Flow, order_parity Parity);
+  /// Of that order, those who come after \p Listed, as many as fit; \p First
   /// (if any) in front. Returns where the next list begins, or nothing if it
   /// names everyone.
-  std::optional<walk_cursor> list(std::size_t Named,
-                                  const std::optional<endpoint> &First,
-                                  holder_list &List) const;
+  std::optional<lookup_cursor> list(std::size_t Listed,
+                                    const std::optional<endpoint> &First,
+                                    candidate_list &List) const;
   /// Where a walk begins that has asked nobody of any order.
-  walk_cursor beginning() const { return {0, Roster.order(), fingerprint(0)}; }
+  lookup_cursor initialCursor() const {
+    return {0, AgentTable.orderParity(), fingerprint(0)};
+  }
   /// Whether that order begins as it did when \p Cursor was written.
-  bool beginsAs(const walk_cursor &Cursor) const;
+  bool hasSamePrefix(const lookup_cursor &Cursor) const;
 
 private:
   template <typename Predicate>
   void sort(const std::vector<std::size_t> &Agents, const flow_key &Flow,
-            bool OwnOrder, const Predicate &IsBehind);
-  std::uint64_t fingerprint(std::size_t Named) const;
+            bool OwnOrder, const Predicate &IsDeprioritized);
+  std::uint64_t fingerprint(std::size_t Listed) const;
 
   struct scored {
     std::uint64_t Score;
     std::size_t Position;
   };
 
-  const agent_roster &Roster;
+  const agent_table &AgentTable;
   std::vector<scored> Scores;
   /// By which they were sorted.
-  walk_order State = walk_order::Even;
+  order_parity Parity = order_parity::Even;
   std::vector<std::size_t> Order;
 };
 
 } // namespace marjoramrail::internal
 
-#endif // MARJORAMRAIL_FORWARD_HOLDER_LIST_H
+#endif // MARJORAMRAIL_FORWARD_CANDIDATE_LIST_H
--- a/src/forward/failure_watch.h
+++ b/src/forward/failure_watch.h
@@ -29,10 +29,10 @@
   static constexpr double Smoothing = 0.05;
   /// A target that has answered nothing for so long is believed less and less,
   /// or it could never show that it is well again,
-  static constexpr duration QuietAfter = std::chrono::seconds(1);
+  static constexpr duration IdleDecayDelay = std::chrono::seconds(1);
   /// by this share with each tick, five a second: a target that failed all is
   /// tried again after three seconds, one that failed a third after two.
-  static constexpr double Fading = 0.8;
+  static constexpr double IdleDecayPerTick = 0.8;
 
   void onAnswer(bool Failed, instant Now) {
     Share += Smoothing * ((Failed ? 1.0 : 0.0) - Share);
@@ -41,8 +41,8 @@
 
   /// Call it every forward_agent::TickPeriod.
   void tick(instant Now) {
-    if (Now - AnsweredAt >= QuietAfter)
-      Share *= Fading;
+    if (Now - AnsweredAt >= IdleDecayDelay)
+      Share *= IdleDecayPerTick;
   }
 
   /// Failures among the last answers, 0 to 1.
@@ -56,17 +56,18 @@
   /// alone. It goes at half of where it came, so that a share that stays near
   /// the limit does not fill the log. True if that has changed.
   bool review() {
-    const bool Fails = Share > (Told ? ToldAbove / 2 : ToldAbove);
-    return std::exchange(Told, Fails) != Fails;
+    const bool Fails =
+        Share > (LoggedFailing ? LogThreshold / 2 : LogThreshold);
+    return std::exchange(LoggedFailing, Fails) != Fails;
   }
-  bool fails() const { return Told; }
+  bool fails() const { return LoggedFailing; }
 
 private:
   /// Where the median of the service is zero, balancers avoid a target from
   /// here on.
-  static constexpr double ToldAbove = 0.1;
+  static constexpr double LogThreshold = 0.1;
 
-  bool Told = false;
+  bool LoggedFailing = false;
   double Share = 0;
   instant AnsweredAt;
 };
--- a/src/forward/flow_memory.h
+++ b/src/forward/flow_cache.h
@@ -1,4 +1,4 @@
-//===- flow_memory.h - Where a balancer sent a flow -------------*- C++ -*-===//
+//===- flow_cache.h - Where a balancer sent a flow -------------*- C++ -*-===//
 ///
 /// \file
 /// Spares packets the walk through their list. Soft state: losing it costs a
@@ -6,8 +6,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef MARJORAMRAIL_FORWARD_FLOW_MEMORY_H
-#define MARJORAMRAIL_FORWARD_FLOW_MEMORY_H
+#ifndef MARJORAMRAIL_FORWARD_FLOW_CACHE_H
+#define MARJORAMRAIL_FORWARD_FLOW_CACHE_H
 
 #include "marjoramrail/base.h"
 
@@ -24,12 +24,12 @@
   bool IsConfirmed = false;
 };
 
-class flow_memory {
+class flow_cache {
 public:
   /// Flows that say nothing for longer are walked for again.
-  static constexpr duration KeptFor = std::chrono::seconds(60);
+  static constexpr duration IdleRetention = std::chrono::seconds(60);
 
-  explicit flow_memory(std::size_t MaxFlows) : MaxFlows(MaxFlows) {}
+  explicit flow_cache(std::size_t MaxFlows) : MaxFlows(MaxFlows) {}
 
   std::optional<flow_place> find(const flow_key &Flow, instant Now) {
     const auto Found = Flows.find(Flow);
@@ -39,7 +39,7 @@
     return Found->second.Place;
   }
 
-  void note(const flow_key &Flow, const flow_place &Place, instant Now) {
+  void store(const flow_key &Flow, const flow_place &Place, instant Now) {
     if (Flows.size() >= MaxFlows)
       Flows.erase(Flows.begin());
     Flows[Flow] = {Place, Now};
@@ -51,11 +51,11 @@
       Found->second.Place.IsConfirmed = true;
   }
 
-  void forget(const flow_key &Flow) { Flows.erase(Flow); }
+  void remove(const flow_key &Flow) { Flows.erase(Flow); }
 
-  void forgetOld(instant Now) {
+  void removeExpired(instant Now) {
     std::erase_if(Flows, [&](const auto &Item) {
-      return Now - Item.second.UsedAt > KeptFor;
+      return Now - Item.second.UsedAt > IdleRetention;
     });
   }
 
@@ -73,4 +73,4 @@
 
 } // namespace marjoramrail::internal
 
-#endif // MARJORAMRAIL_FORWARD_FLOW_MEMORY_H
+#endif // MARJORAMRAIL_FORWARD_FLOW_CACHE_H
--- a/src/forward/forward_agent.cpp
+++ b/src/forward/forward_agent.cpp
@@ -39,7 +39,8 @@
   Report.Agent = Settings.Self;
   Report.Admitting = Admitting && !TargetGone;
   const bool Declining =
-      Declines.declines() && !Settings.Without.has(mechanism::DeclineWatch);
+      Declines.declines() &&
+      !Settings.DisabledMechanisms.has(mechanism::DeclineWatch);
   Report.Answering = !Silent && !Declining;
   Report.Active = Load.active();
   Report.Slots = static_cast<std::uint16_t>(std::min(Slots, 65535U));
@@ -75,13 +76,13 @@
 
 bool forward_agent::admitting() const { return Impl->Admitting; }
 
-void forward_agent::setTargetGone(bool Gone, instant Now) {
+void forward_agent::setTargetStopped(bool Gone, instant Now) {
   if (Gone && !Impl->TargetGone)
     Impl->resetAll(Now);
   Impl->TargetGone = Gone;
 }
 
-bool forward_agent::targetGone() const { return Impl->TargetGone; }
+bool forward_agent::targetStopped() const { return Impl->TargetGone; }
 
 /// The flows of a process that is gone are lost. Their callers are told before
 /// they ask for anything on them: a request that may run only once, sent into a
@@ -117,7 +118,7 @@
   return Flows;
 }
 
-void forward_agent::resetFormer(const std::vector<open_flow> &Flows) {
+void forward_agent::resetPreviousFlows(const std::vector<open_flow> &Flows) {
   for (const open_flow &Open : Flows)
     if (!Impl->Load.find(Open.Flow))
       Impl->resetOpen(Open, "kept from before its target's restart");
@@ -147,23 +148,23 @@
 
 agent_outcome forward_agent::onRouted(const endpoint &From, bytes_view Bytes,
                                       instant Now) {
-  if (isUnlistedNotice(Bytes)) {
-    if (Impl->Hooks.Unlisted)
-      Impl->Hooks.Unlisted();
+  if (isUnregisteredNotice(Bytes)) {
+    if (Impl->Hooks.Unregistered)
+      Impl->Hooks.Unregistered();
     return agent_outcome::Delivered;
   }
-  if (service_id Service{}; decodeListedNotice(Bytes, Service)) {
-    if (Impl->Hooks.Listed && Service == Impl->Settings.Service)
-      Impl->Hooks.Listed();
+  if (service_id Service{}; decodeRegisteredNotice(Bytes, Service)) {
+    if (Impl->Hooks.Registered && Service == Impl->Settings.Service)
+      Impl->Hooks.Registered();
     return agent_outcome::Delivered;
   }
-  if (service_id Service{}; decodeFoundNotice(Bytes, Service)) {
-    if (Impl->Hooks.Found && Service == Impl->Settings.Service)
-      Impl->Hooks.Found();
+  if (service_id Service{}; decodeRegistrationFoundNotice(Bytes, Service)) {
+    if (Impl->Hooks.RegistrationFound && Service == Impl->Settings.Service)
+      Impl->Hooks.RegistrationFound();
     return agent_outcome::Delivered;
   }
-  if (const auto Span = decodeLoadQuestion(Bytes)) {
-    if (Span == report_span::Lasting)
+  if (const auto Span = decodeLoadReportRequest(Bytes)) {
+    if (Span == report_span::Continued)
       Impl->Balancers[From] = Now;
     Impl->sendReport(From, Now);
     return agent_outcome::Delivered;
@@ -190,7 +191,7 @@
       Impl->Silent = true;
       Impl->tell(event_kind::TargetSilent, "no answer in time", Late->Head.Flow,
                  {});
-      Impl->Hooks.TargetSilent();
+      Impl->Hooks.TargetUnresponsive();
     }
     routed_packet Routed = Late->Routed;
     Routed.Packet = Late->Bytes;
@@ -234,8 +235,8 @@
   if (Now - *HeardOrLookedAt < LookPeriod)
     return;
   HeardOrLookedAt = Now;
-  if (Hooks.Unheard)
-    Hooks.Unheard();
+  if (Hooks.NoBalancerContact)
+    Hooks.NoBalancerContact();
 }
 
 /// Nobody sends or asks: calm, or this agent was cut off and taken out of the
--- a/src/forward/forward_balancer.cpp
+++ b/src/forward/forward_balancer.cpp
@@ -11,7 +11,8 @@
 /// A list is only called whole if what it rests on is known to be younger. New
 /// services and targets wait SettleTime before they get flows; the difference
 /// covers a packet's way and a late timer.
-constexpr duration SureFor = SettleTime - std::chrono::milliseconds(100);
+constexpr duration KnowledgeValidity =
+    SettleTime - std::chrono::milliseconds(100);
 
 /// How often old flows and agents are looked through, in ticks: every ten
 /// seconds.
@@ -23,17 +24,18 @@
 
 } // namespace
 
-bool forward_balancer::impl::isSure(instant Now) const {
-  return KnownAsOf && Now - *KnownAsOf <= SureFor;
+bool forward_balancer::impl::isKnowledgeCurrent(instant Now) const {
+  return KnownAsOf && Now - *KnownAsOf <= KnowledgeValidity;
 }
 
 /// Only on fresh knowledge: an agent that joined a moment ago is not in an old
 /// list.
-void forward_balancer::impl::tellUnlisted(const endpoint &Agent, instant Now) {
-  if (!isSure(Now))
+void forward_balancer::impl::notifyUnregistered(const endpoint &Agent,
+                                                instant Now) {
+  if (!isKnowledgeCurrent(Now))
     return;
-  std::array<std::uint8_t, UnlistedNoticeBytes> Notice;
-  encodeUnlistedNotice(Notice);
+  std::array<std::uint8_t, UnregisteredNoticeBytes> Notice;
+  encodeUnregisteredNotice(Notice);
   Hooks.SendToAgent(Agent, Notice);
 }
 
@@ -46,14 +48,15 @@
 /// retries the first one to be served would take every flow of the site, and
 /// its target refuse most. A balancer's first list is the proof for all who
 /// stand in it, for a datagram each.
-void forward_balancer::impl::tellListed(const agent_state &Agent, instant Now) {
+void forward_balancer::impl::notifyRegistered(const agent_state &Agent,
+                                              instant Now) {
   if (Agent.Draining)
     return;
-  std::array<std::uint8_t, ListedNoticeBytes> Notice;
-  if (Now - Agent.ListedSince >= SettleTime)
-    encodeListedNotice(Agent.Service, Notice);
-  else if (Agent.Found)
-    encodeFoundNotice(Agent.Service, Notice);
+  std::array<std::uint8_t, RegisteredNoticeBytes> Notice;
+  if (Now - Agent.RegisteredSince >= SettleTime)
+    encodeRegisteredNotice(Agent.Service, Notice);
+  else if (Agent.FoundAtStart)
+    encodeRegistrationFoundNotice(Agent.Service, Notice);
   else
     return;
   Hooks.SendToAgent(Agent.Agent, Notice);
@@ -62,20 +65,21 @@
 /// VMs die every day and take their entries with them to no one. Left in the
 /// store, each would stand at the end of every list for ever, and no flow that
 /// is lost could be told so, because the dead one never declines.
-void forward_balancer::impl::tellLost(instant Now) {
+void forward_balancer::impl::reportLostAgents(instant Now) {
   if (!Hooks.OnAgentLost)
     return;
-  for (std::size_t I = 0; I < Roster.size(); ++I) {
-    const agent_state &Agent = Roster.at(I);
+  for (std::size_t I = 0; I < AgentTable.size(); ++I) {
+    const agent_state &Agent = AgentTable.at(I);
     if (Agent.Suspect && Agent.isOwnZone() &&
         Now - Agent.SuspectSince > Settings.FlowLife + LostSlack)
       Hooks.OnAgentLost(Agent.Agent, Now - Agent.SuspectSince);
   }
 }
 
-void forward_balancer::impl::tell(event_kind What, std::string_view Why,
-                                  const flow_key &Flow, const endpoint &Agent,
-                                  instant Now, double Load) {
+void forward_balancer::impl::logEvent(event_kind What, std::string_view Why,
+                                      const flow_key &Flow,
+                                      const endpoint &Agent, instant Now,
+                                      double Load) {
   if (!Hooks.OnEvent)
     return;
   flow_event Event{What, Why, Flow, Agent, Load, duration::zero()};
@@ -95,7 +99,7 @@
   if (Size == 0)
     return Outcome;
   ++Counters.Resets;
-  tell(event_kind::FlowRefused, Why, Segment.Head.Flow, {}, Now);
+  logEvent(event_kind::FlowRefused, Why, Segment.Head.Flow, {}, Now);
   Hooks.SendToCaller(Segment.Head.Flow.Caller, {Buffer.data(), Size});
   return Outcome;
 }
@@ -104,8 +108,8 @@
                                               bytes_view Bytes, instant Now) {
   const auto Found = Routes.find(Segment.Head.Flow.Service);
   if (Found == Routes.end()) {
-    if (!isSure(Now))
-      return forward_outcome::Unsure;
+    if (!isKnowledgeCurrent(Now))
+      return forward_outcome::Indeterminate;
     return refuse(Segment, forward_outcome::NoRoute, "no route", Now);
   }
   if (Segment.Head.opensFlow())
@@ -137,7 +141,7 @@
     State.TotalWeight += Share.Weight;
   }
   for (const std::string &Service : Rule.Holders)
-    State.Holders.push_back(serviceNumber(Service));
+    State.OwnerServices.push_back(serviceNumber(Service));
   return State;
 }
 
@@ -150,8 +154,8 @@
 
 void forward_balancer::setTargets(const std::vector<target_entry> &Targets,
                                   instant Now) {
-  const bool IsFirst = Impl->Roster.size() == 0;
-  Impl->Roster.set(Targets, Now);
+  const bool IsFirst = Impl->AgentTable.size() == 0;
+  Impl->AgentTable.set(Targets, Now);
   // Agents that have started with this balancer may wait for its word.
   if (IsFirst)
     Impl->review(Now);
@@ -182,84 +186,85 @@
   routed_packet Routed;
   if (isRouted(Bytes)) {
     if (decodeRouted(Bytes, Routed) == packet_fault::None)
-      Impl->continueWalk(Routed, Now);
+      Impl->continueLookup(Routed, Now);
     return;
   }
   owner_notice Notice;
   if (decodeOwnerNotice(Bytes, Notice) != packet_fault::None)
     return;
   ++Impl->Counters.Notices;
-  Impl->Memory.note(Notice.Flow, {Notice.Owner, /*IsConfirmed=*/true}, Now);
+  Impl->FlowCache.store(Notice.Flow, {Notice.Owner, /*IsConfirmed=*/true}, Now);
 }
 
 void forward_balancer::impl::onReport(const load_report &Report, instant Now) {
-  agent_state *Agent = Roster.noteReport(Report, Now);
+  agent_state *Agent = AgentTable.noteReport(Report, Now);
   if (!Agent)
-    return tellUnlisted(Report.Agent, Now);
+    return notifyUnregistered(Report.Agent, Now);
   if (!Report.Admitting)
-    tellListed(*Agent, Now);
+    notifyRegistered(*Agent, Now);
 }
 
 /// Finds those that do not answer any more, and asks those that were not heard.
 void forward_balancer::impl::review(instant Now) {
-  std::vector<endpoint> Ask;
-  Roster.review(Now, Ask, [&](const agent_state &Agent) {
+  std::vector<endpoint> Requests;
+  AgentTable.review(Now, Requests, [&](const agent_state &Agent) {
     ++Counters.Suspicions;
-    tell(event_kind::AgentSuspected, "no report since it was sent something",
-         {}, Agent.Agent, Now);
+    logEvent(event_kind::AgentSuspected,
+             "no report since it was sent something", {}, Agent.Agent, Now);
   });
-  for (const endpoint &Agent : Ask)
-    sendQuestion(Agent, spanFor(Agent));
+  for (const endpoint &Agent : Requests)
+    sendReportRequest(Agent, reportSpanFor(Agent));
 }
 
 /// New flows are placed in the own zone by the latest loads; of others it is
 /// enough to know that they are there. Were those to go on reporting, after a
 /// loss of power all agents of a site would report to all balancers.
-report_span forward_balancer::impl::spanFor(const endpoint &Agent) {
-  const agent_state *State = Roster.find(Agent);
-  return State && State->isOwnZone() ? report_span::Lasting : report_span::Once;
+report_span forward_balancer::impl::reportSpanFor(const endpoint &Agent) {
+  const agent_state *State = AgentTable.find(Agent);
+  return State && State->isOwnZone() ? report_span::Continued
+                                     : report_span::Once;
 }
 
-void forward_balancer::impl::sendQuestion(const endpoint &Agent,
-                                          report_span Span) {
-  std::array<std::uint8_t, LoadQuestionBytes> Question;
-  encodeLoadQuestion(Span, Question);
-  ++Counters.Questions;
+void forward_balancer::impl::sendReportRequest(const endpoint &Agent,
+                                               report_span Span) {
+  std::array<std::uint8_t, LoadReportRequestBytes> Question;
+  encodeLoadReportRequest(Span, Question);
+  ++Counters.ReportRequests;
   Hooks.SendToAgent(Agent, Question);
 }
 
-void forward_balancer::impl::ask(const endpoint &Agent, instant Now) {
-  Roster.noteAsked(Agent, Now);
-  sendQuestion(Agent, report_span::Once);
+void forward_balancer::impl::requestReport(const endpoint &Agent, instant Now) {
+  AgentTable.noteReportRequested(Agent, Now);
+  sendReportRequest(Agent, report_span::Once);
 }
 
 void forward_balancer::tick(instant Now) {
   Impl->review(Now);
-  Impl->Roster.renewOrder(Now);
-  Impl->Walks.forgetOld(Now);
+  Impl->AgentTable.renewOrder(Now);
+  Impl->RecentLookups.removeExpired(Now);
   if (++Impl->Ticks % TicksPerSweep != 0)
     return;
-  Impl->Memory.forgetOld(Now);
-  Impl->tellLost(Now);
+  Impl->FlowCache.removeExpired(Now);
+  Impl->reportLostAgents(Now);
 }
 
 const forward_balancer_counters &forward_balancer::counters() const {
   return Impl->Counters;
 }
 
-std::size_t forward_balancer::flows() const { return Impl->Memory.size(); }
+std::size_t forward_balancer::flows() const { return Impl->FlowCache.size(); }
 
 std::string forward_balancer::statusJson(instant Now) const {
   nlohmann::json Agents = nlohmann::json::array();
-  for (std::size_t I = 0; I < Impl->Roster.size(); ++I) {
-    const agent_state &Agent = Impl->Roster.at(I);
+  for (std::size_t I = 0; I < Impl->AgentTable.size(); ++I) {
+    const agent_state &Agent = Impl->AgentTable.at(I);
     Agents.push_back({{"agent", toText(Agent.Agent)},
                       {"admitting", Agent.Report.Admitting},
                       {"suspect", Agent.Suspect},
                       {"flows", Agent.Report.Flows},
                       {"busy", Agent.Report.Busy}});
   }
-  return nlohmann::json{{"sure", Impl->isSure(Now)},
+  return nlohmann::json{{"sure", Impl->isKnowledgeCurrent(Now)},
                         {"routes", Impl->Routes.size()},
                         {"agents", Agents}}
       .dump();
--- a/src/forward/load_report.cpp
+++ b/src/forward/load_report.cpp
@@ -9,14 +9,14 @@
 /// u16 active | u16 slots | u32 flows | u16 busy | u32 latency us |
 /// u32 warm-up us | u16 failing | padding
 static constexpr std::uint16_t ReportMagic = 0x4d4c;
-static constexpr std::uint16_t QuestionMagic = 0x4d51;
-static constexpr std::uint16_t UnlistedMagic = 0x4d55;
-static constexpr std::uint16_t ListedMagic = 0x4d4b;
-static constexpr std::uint16_t FoundMagic = 0x4d46;
+static constexpr std::uint16_t ReportRequestMagic = 0x4d51;
+static constexpr std::uint16_t UnregisteredMagic = 0x4d55;
+static constexpr std::uint16_t RegisteredMagic = 0x4d4b;
+static constexpr std::uint16_t RegistrationFoundMagic = 0x4d46;
 /// Of a message that is a magic number and another number.
 static constexpr std::size_t NumberBytes = 8;
-static_assert(ListedNoticeBytes == NumberBytes &&
-              FoundNoticeBytes == NumberBytes);
+static_assert(RegisteredNoticeBytes == NumberBytes &&
+              RegistrationFoundNoticeBytes == NumberBytes);
 static constexpr std::uint8_t Format = 1;
 static constexpr std::uint8_t AdmittingBit = 1;
 static constexpr std::uint8_t AnsweringBit = 2;
@@ -80,34 +80,37 @@
 /// A message that is its magic number and a byte.
 static std::size_t encodeBare(std::uint16_t Magic, std::uint8_t Byte,
                               std::span<std::uint8_t> Buffer) {
-  if (Buffer.size() < LoadQuestionBytes)
+  if (Buffer.size() < LoadReportRequestBytes)
     return 0;
   byte_writer Writer(Buffer.data());
   Writer.put(Magic);
   Writer.put(Format);
   Writer.put(Byte);
-  return LoadQuestionBytes;
+  return LoadReportRequestBytes;
 }
 
-std::size_t encodeLoadQuestion(report_span Span,
-                               std::span<std::uint8_t> Buffer) {
-  return encodeBare(QuestionMagic, static_cast<std::uint8_t>(Span), Buffer);
+std::size_t encodeLoadReportRequest(report_span Span,
+                                    std::span<std::uint8_t> Buffer) {
+  return encodeBare(ReportRequestMagic, static_cast<std::uint8_t>(Span),
+                    Buffer);
 }
 
-std::optional<report_span> decodeLoadQuestion(bytes_view Bytes) {
-  if (Bytes.size() != LoadQuestionBytes || !hasMagic(Bytes, QuestionMagic))
+std::optional<report_span> decodeLoadReportRequest(bytes_view Bytes) {
+  if (Bytes.size() != LoadReportRequestBytes ||
+      !hasMagic(Bytes, ReportRequestMagic))
     return std::nullopt;
   const bool IsOnce =
       Bytes.back() == static_cast<std::uint8_t>(report_span::Once);
-  return IsOnce ? report_span::Once : report_span::Lasting;
+  return IsOnce ? report_span::Once : report_span::Continued;
 }
 
-std::size_t encodeUnlistedNotice(std::span<std::uint8_t> Buffer) {
-  return encodeBare(UnlistedMagic, 0, Buffer);
+std::size_t encodeUnregisteredNotice(std::span<std::uint8_t> Buffer) {
+  return encodeBare(UnregisteredMagic, 0, Buffer);
 }
 
-bool isUnlistedNotice(bytes_view Bytes) {
-  return Bytes.size() == UnlistedNoticeBytes && hasMagic(Bytes, UnlistedMagic);
+bool isUnregisteredNotice(bytes_view Bytes) {
+  return Bytes.size() == UnregisteredNoticeBytes &&
+         hasMagic(Bytes, UnregisteredMagic);
 }
 
 /// u16 magic | u8 format | u8 zero | u32 number
@@ -131,9 +134,10 @@
       .take<std::uint32_t>();
 }
 
-std::size_t encodeListedNotice(service_id Service,
-                               std::span<std::uint8_t> Buffer) {
-  return encodeNumber(ListedMagic, static_cast<std::uint32_t>(Service), Buffer);
+std::size_t encodeRegisteredNotice(service_id Service,
+                                   std::span<std::uint8_t> Buffer) {
+  return encodeNumber(RegisteredMagic, static_cast<std::uint32_t>(Service),
+                      Buffer);
 }
 
 static bool decodeService(bytes_view Bytes, std::uint16_t Magic,
@@ -144,17 +148,18 @@
   return Number.has_value();
 }
 
-bool decodeListedNotice(bytes_view Bytes, service_id &Service) {
-  return decodeService(Bytes, ListedMagic, Service);
+bool decodeRegisteredNotice(bytes_view Bytes, service_id &Service) {
+  return decodeService(Bytes, RegisteredMagic, Service);
 }
 
-std::size_t encodeFoundNotice(service_id Service,
-                              std::span<std::uint8_t> Buffer) {
-  return encodeNumber(FoundMagic, static_cast<std::uint32_t>(Service), Buffer);
+std::size_t encodeRegistrationFoundNotice(service_id Service,
+                                          std::span<std::uint8_t> Buffer) {
+  return encodeNumber(RegistrationFoundMagic,
+                      static_cast<std::uint32_t>(Service), Buffer);
 }
 
-bool decodeFoundNotice(bytes_view Bytes, service_id &Service) {
-  return decodeService(Bytes, FoundMagic, Service);
+bool decodeRegistrationFoundNotice(bytes_view Bytes, service_id &Service) {
+  return decodeService(Bytes, RegistrationFoundMagic, Service);
 }
 
 } // namespace marjoramrail
--- a/src/forward/walk_cursor.h
+++ b/src/forward/lookup_cursor.h
@@ -1,4 +1,5 @@
-//===- walk_cursor.h - How far a packet's walk has come ---------*- C++ -*-===//
+//===- lookup_cursor.h - How far a packet's walk has come ---------*- C++
+//-*-===//
 ///
 /// \file
 /// A service may have more targets than one list can name. The packet then
@@ -13,8 +14,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef MARJORAMRAIL_FORWARD_WALK_CURSOR_H
-#define MARJORAMRAIL_FORWARD_WALK_CURSOR_H
+#ifndef MARJORAMRAIL_FORWARD_LOOKUP_CURSOR_H
+#define MARJORAMRAIL_FORWARD_LOOKUP_CURSOR_H
 
 #include <cstdint>
 
@@ -22,36 +23,36 @@
 
 /// The last two states of who stands behind the others in walks; a walk keeps
 /// to the one that it began with.
-enum class walk_order : std::uint8_t { Even = 0, Odd = 1 };
+enum class order_parity : std::uint8_t { Even = 0, Odd = 1 };
 
-struct walk_cursor {
+struct lookup_cursor {
   /// Agents of the flow's order that were named; 15 bits.
-  std::uint16_t Named = 0;
-  walk_order State = walk_order::Even;
+  std::uint16_t Listed = 0;
+  order_parity Parity = order_parity::Even;
   /// A hash of them in their order; 48 bits.
   std::uint64_t Fingerprint = 0;
 
-  bool operator==(const walk_cursor &) const = default;
+  bool operator==(const lookup_cursor &) const = default;
 };
 
 inline constexpr int FingerprintBits = 48;
-inline constexpr int NamedShift = FingerprintBits + 1;
+inline constexpr int ListedShift = FingerprintBits + 1;
 inline constexpr std::uint64_t FingerprintMask =
     (std::uint64_t{1} << FingerprintBits) - 1;
 
 /// As routed_packet::Version carries it.
-inline std::uint64_t encodeCursor(const walk_cursor &Cursor) {
-  const auto State = static_cast<std::uint64_t>(Cursor.State);
-  return std::uint64_t{Cursor.Named} << NamedShift | State << FingerprintBits |
-         Cursor.Fingerprint;
+inline std::uint64_t encodeCursor(const lookup_cursor &Cursor) {
+  const auto Parity = static_cast<std::uint64_t>(Cursor.Parity);
+  return std::uint64_t{Cursor.Listed} << ListedShift |
+         Parity << FingerprintBits | Cursor.Fingerprint;
 }
 
-inline walk_cursor decodeCursor(std::uint64_t Version) {
-  return {static_cast<std::uint16_t>(Version >> NamedShift),
-          static_cast<walk_order>(Version >> FingerprintBits & 1),
+inline lookup_cursor decodeCursor(std::uint64_t Version) {
+  return {static_cast<std::uint16_t>(Version >> ListedShift),
+          static_cast<order_parity>(Version >> FingerprintBits & 1),
           Version & FingerprintMask};
 }
 
 } // namespace marjoramrail::internal
 
-#endif // MARJORAMRAIL_FORWARD_WALK_CURSOR_H
+#endif // MARJORAMRAIL_FORWARD_LOOKUP_CURSOR_H
--- a/src/forward/new_flows.cpp
+++ b/src/forward/new_flows.cpp
@@ -6,24 +6,26 @@
 
 /// Agents report every 200 ms while they are sent something, and then for some
 /// seconds not at all.
-static constexpr duration FreshFor = std::chrono::milliseconds(500);
+static constexpr duration FreshReportAge = std::chrono::milliseconds(500);
 
-placing_view forward_balancer::impl::viewOf(const agent_state &Agent,
-                                            std::optional<endpoint> Avoid,
-                                            instant Now) const {
-  placing_view View;
+placement_candidate
+forward_balancer::impl::viewOf(const agent_state &Agent,
+                               std::optional<endpoint> Avoid,
+                               instant Now) const {
+  placement_candidate View;
   View.OwnZone = Agent.isOwnZone();
-  const auto IsSilentFor = [&](duration Time) {
-    return Agent.isSilentFor(Time, Now) &&
-           !Settings.Without.has(mechanism::Suspicion);
+  const auto IsUnresponsiveFor = [&](duration Time) {
+    return Agent.isUnresponsiveFor(Time, Now) &&
+           !Settings.DisabledMechanisms.has(mechanism::Suspicion);
   };
-  View.Reported = Agent.ReportedAt && !IsSilentFor(agent_roster::DoubtAfter);
-  View.Fresh = View.Reported && Now - *Agent.ReportedAt <= FreshFor;
+  View.Reported =
+      Agent.ReportedAt && !IsUnresponsiveFor(agent_table::UnverifiedAfter);
+  View.Fresh = View.Reported && Now - *Agent.ReportedAt <= FreshReportAge;
   View.Admitting = Agent.Report.Admitting && !Agent.Draining;
-  View.Suspect =
-      (Agent.Suspect && !Settings.Without.has(mechanism::Suspicion)) ||
-      IsSilentFor(agent_roster::SuspectAfter) || !Agent.Report.Answering ||
-      Avoid == Agent.Agent;
+  View.Suspect = (Agent.Suspect &&
+                  !Settings.DisabledMechanisms.has(mechanism::Suspicion)) ||
+                 IsUnresponsiveFor(agent_table::SuspectAfter) ||
+                 !Agent.Report.Answering || Avoid == Agent.Agent;
   View.Slots = Agent.Report.Slots;
   View.Flows = Agent.Report.Flows;
   View.Placed = Agent.Placed;
@@ -38,10 +40,10 @@
 std::optional<std::size_t>
 forward_balancer::impl::placeAt(service_id Service, const flow_key &Flow,
                                 std::optional<endpoint> Avoid, instant Now) {
-  const std::vector<std::size_t> &Agents = Roster.ofService(Service);
+  const std::vector<std::size_t> &Agents = AgentTable.ofService(Service);
   Views.clear();
   for (const std::size_t Index : Agents)
-    Views.push_back(viewOf(Roster.at(Index), Avoid, Now));
+    Views.push_back(viewOf(AgentTable.at(Index), Avoid, Now));
   const auto Chosen = Placement.choose(Views, Order.forFlow(Agents, Flow));
   if (!Chosen)
     return std::nullopt;
@@ -52,38 +54,39 @@
 /// without targets must not cost callers their flow while another one may take
 /// it.
 std::vector<service_id>
-forward_balancer::impl::servicesInTurn(const route_state &Route,
-                                       const flow_key &Flow) const {
-  std::vector<service_id> Turn;
+forward_balancer::impl::servicesByPreference(const route_state &Route,
+                                             const flow_key &Flow) const {
+  std::vector<service_id> Services;
   if (Route.TotalWeight > 0) {
     std::uint64_t Point = hashOf(Flow, 1) % Route.TotalWeight;
     for (const weighted_service &Share : Route.Shares) {
       if (Point < Share.Weight) {
-        Turn.push_back(Share.Service);
+        Services.push_back(Share.Service);
         break;
       }
       Point -= Share.Weight;
     }
   }
   for (const weighted_service &Share : Route.Shares)
-    if (Share.Weight > 0 &&
-        std::find(Turn.begin(), Turn.end(), Share.Service) == Turn.end())
-      Turn.push_back(Share.Service);
-  return Turn;
+    if (Share.Weight > 0 && std::find(Services.begin(), Services.end(),
+                                      Share.Service) == Services.end())
+      Services.push_back(Share.Service);
+  return Services;
 }
 
 std::optional<std::size_t>
 forward_balancer::impl::place(const route_state &Route, const segment &Segment,
                               std::optional<endpoint> Avoid, instant Now) {
-  for (const service_id Service : servicesInTurn(Route, Segment.Head.Flow))
+  for (const service_id Service :
+       servicesByPreference(Route, Segment.Head.Flow))
     if (const auto Chosen = placeAt(Service, Segment.Head.Flow, Avoid, Now))
       return Chosen;
   return std::nullopt;
 }
 
 std::optional<endpoint>
-forward_balancer::impl::whereBefore(const flow_key &Flow, instant Now) {
-  const auto Place = Memory.find(Flow, Now);
+forward_balancer::impl::previousPlacement(const flow_key &Flow, instant Now) {
+  const auto Place = FlowCache.find(Flow, Now);
   if (!Place)
     return std::nullopt;
   return Place->Agent;
@@ -95,21 +98,21 @@
   const flow_key &Flow = Segment.Head.Flow;
   // A caller sends its SYN again when nobody answered: then whoever got the
   // first one is the last to get this one.
-  const auto Before = whereBefore(Flow, Now);
+  const auto Before = previousPlacement(Flow, Now);
   const auto Chosen = place(Route, Segment, Before, Now);
   if (!Chosen) {
-    if (Route.Shares.empty() || !isSure(Now))
-      return forward_outcome::Unsure;
+    if (Route.Shares.empty() || !isKnowledgeCurrent(Now))
+      return forward_outcome::Indeterminate;
     return refuse(Segment, forward_outcome::NoTarget, "no target admits", Now);
   }
-  agent_state &Agent = Roster.at(*Chosen);
+  agent_state &Agent = AgentTable.at(*Chosen);
   ++Agent.Placed;
-  Memory.note(Flow, {Agent.Agent, /*IsConfirmed=*/false}, Now);
-  holder_list List(Bytes.size());
+  FlowCache.store(Flow, {Agent.Agent, /*IsConfirmed=*/false}, Now);
+  candidate_list List(Bytes.size());
   List.add(Agent.Agent);
   addSubstitutes(Agent, Flow, List);
-  tell(event_kind::FlowRouted, Before ? "again" : "new", Flow, Agent.Agent, Now,
-       static_cast<double>(Agent.Report.Flows + Agent.Placed));
+  logEvent(event_kind::FlowRouted, Before ? "again" : "new", Flow, Agent.Agent,
+           Now, static_cast<double>(Agent.Report.Flows + Agent.Placed));
   send(List, Agent.Service, {}, Hooks.Clock ? Hooks.Clock() : 0, Bytes, Now);
   return forward_outcome::Placed;
 }
@@ -120,19 +123,22 @@
 /// the same next one.
 void forward_balancer::impl::addSubstitutes(const agent_state &Chosen,
                                             const flow_key &Flow,
-                                            holder_list &List) {
-  const auto &Agents = Roster.ofService(Chosen.Service);
+                                            candidate_list &List) {
+  const auto &Agents = AgentTable.ofService(Chosen.Service);
   const std::vector<std::size_t> &Positions = Order.forFlow(Agents, Flow);
-  enum class turn { SameZone, OtherZones, NotAnswering };
-  for (const turn Turn : {turn::SameZone, turn::OtherZones, turn::NotAnswering})
+  enum class substitute_group { SameZone, OtherZones, NotAnswering };
+  for (const substitute_group Group :
+       {substitute_group::SameZone, substitute_group::OtherZones,
+        substitute_group::NotAnswering})
     for (const std::size_t Position : Positions) {
-      const agent_state &Other = Roster.at(Agents[Position]);
+      const agent_state &Other = AgentTable.at(Agents[Position]);
       const bool IsUsable = Other.Report.Admitting && !Other.Draining &&
                             !Other.Suspect && Other.Agent != Chosen.Agent;
-      const turn Own = !Other.Report.Answering ? turn::NotAnswering
-                       : Other.ZoneOrder == Chosen.ZoneOrder ? turn::SameZone
-                                                             : turn::OtherZones;
-      if (IsUsable && Own == Turn)
+      const substitute_group OwnGroup =
+          !Other.Report.Answering               ? substitute_group::NotAnswering
+          : Other.ZoneOrder == Chosen.ZoneOrder ? substitute_group::SameZone
+                                                : substitute_group::OtherZones;
+      if (IsUsable && OwnGroup == Group)
         List.add(Other.Agent);
     }
 }
--- a/src/forward/placement.cpp
+++ b/src/forward/placement.cpp
@@ -23,12 +23,12 @@
 // failing four requests in ten, 263 requests fail instead of 809 with the hash
 // alone and 1,026 with the least loaded.
 
-/// Choices compared for a flow.
-static constexpr std::size_t Choices = 2;
+/// ChoicesPerFlow compared for a flow.
+static constexpr std::size_t ChoicesPerFlow = 2;
 
-/// Latency is relative to the service's typical one; a factor beyond says
-/// nothing more than "much slower".
-static constexpr double MostSlowdown = 4.0;
+/// Latency is relative to the service's typical_values one; a factor beyond
+/// says nothing more than "much slower".
+static constexpr double MaxSlowdown = 4.0;
 /// Targets say that they are warming up, not by how much it slows them; users'
 /// targets take about this much longer.
 static constexpr double WarmupSlowdown = 1.6;
@@ -38,37 +38,37 @@
 /// as it delays each of their requests.
 static constexpr double QueueWeight = 0.5;
 /// A service with few flows: a flow a slot is the least that counts as usual.
-static constexpr double LeastFlowsPerSlot = 1.0;
+static constexpr double MinFlowsPerSlot = 1.0;
 
 /// Own zone is left when requests queue there, a slot, for so many others: each
 /// makes a caller wait as long as a request takes, several times the way to
 /// another zone,
-constexpr double FullZone = 1.0;
+constexpr double OverflowQueue = 1.0;
 /// and the queue that it would get in another zone is shorter by this.
-constexpr double WorthTheWay = 0.75;
+constexpr double MinQueueGain = 0.75;
 
 /// So many targets of other zones tell how full these are.
-constexpr std::size_t EnoughToTell = 3;
+constexpr std::size_t MinRecentReports = 3;
 
 /// A target counts as failing if it fails this much more often than the median
 /// of its service, in thousandths: two failures of its own among some twenty
 /// answers are chance, three are not. Measured against the median, a service
 /// whose targets all fail alike keeps them all, and at most half are left out.
-constexpr std::uint16_t FailingAbove = 100;
+constexpr std::uint16_t FailingMargin = 100;
 
-static double slotsOf(const placing_view &Target) {
+static double slotsOf(const placement_candidate &Target) {
   return std::max<std::uint32_t>(Target.Slots, 1);
 }
 
 /// Requests that wait for a slot, for each slot.
-static double queueOf(const placing_view &Target) {
+static double queueOf(const placement_candidate &Target) {
   return (Target.Active + Target.Placed - slotsOf(Target)) / slotsOf(Target);
 }
 
 namespace {
 
 /// What is usual among the targets of a service.
-struct typical {
+struct typical_values {
   duration Latency = duration::zero();
   double FlowsPerSlot = 0;
   /// The median, in thousandths.
@@ -86,9 +86,9 @@
 /// Who is asked before whom.
 enum class rank {
   /// Has reported and answers.
-  Well,
+  Healthy,
   /// Not heard yet: may not admit.
-  New,
+  Unreported,
   /// Answers much of what it is asked with a failure.
   Failing,
   /// Says nothing, or takes nothing.
@@ -98,28 +98,28 @@
 /// The choice for one flow.
 class flow_choice {
 public:
-  flow_choice(const std::vector<placing_view> &Targets,
+  flow_choice(const std::vector<placement_candidate> &Targets,
               const std::vector<std::size_t> &Order,
-              const mechanism_set &Without);
+              const mechanism_set &DisabledMechanisms);
 
   std::optional<std::size_t> choose() const;
 
 private:
   candidate_set candidates(rank Rank) const;
-  rank rankOf(const placing_view &Target) const;
-  bool isFailing(const placing_view &Target) const;
-  double loadOf(const placing_view &Target) const;
-  double slowdownOf(const placing_view &Target) const;
+  rank rankOf(const placement_candidate &Target) const;
+  bool isFailing(const placement_candidate &Target) const;
+  double loadOf(const placement_candidate &Target) const;
+  double slowdownOf(const placement_candidate &Target) const;
   double shortestQueue(const std::vector<std::size_t> &Positions) const;
   std::size_t lessLoaded(const std::vector<std::size_t> &Positions) const;
-  std::size_t withinZones(const candidate_set &Set) const;
+  std::size_t chooseByZone(const candidate_set &Set) const;
   std::vector<std::size_t>
-  knownLoads(const std::vector<std::size_t> &Positions) const;
+  recentlyReported(const std::vector<std::size_t> &Positions) const;
 
-  const std::vector<placing_view> &Targets;
+  const std::vector<placement_candidate> &Targets;
   const std::vector<std::size_t> &Order;
-  const mechanism_set &Without;
-  typical Typical;
+  const mechanism_set &DisabledMechanisms;
+  typical_values Typical;
 };
 
 } // namespace
@@ -133,13 +133,14 @@
   return *Middle;
 }
 
-static typical typicalOf(const std::vector<placing_view> &Targets) {
-  typical Typical;
+static typical_values
+typicalOf(const std::vector<placement_candidate> &Targets) {
+  typical_values Typical;
   std::vector<duration> Latencies;
   std::vector<std::uint16_t> Failing;
   double Flows = 0;
   double Slots = 0;
-  for (const placing_view &Target : Targets) {
+  for (const placement_candidate &Target : Targets) {
     if (!Target.Reported)
       continue;
     Flows += Target.Flows;
@@ -155,54 +156,56 @@
   return Typical;
 }
 
-flow_choice::flow_choice(const std::vector<placing_view> &Targets,
+flow_choice::flow_choice(const std::vector<placement_candidate> &Targets,
                          const std::vector<std::size_t> &Order,
-                         const mechanism_set &Without)
-    : Targets(Targets), Order(Order), Without(Without),
+                         const mechanism_set &DisabledMechanisms)
+    : Targets(Targets), Order(Order), DisabledMechanisms(DisabledMechanisms),
       Typical(typicalOf(Targets)) {}
 
 /// How much longer than usual the target takes.
-double flow_choice::slowdownOf(const placing_view &Target) const {
+double flow_choice::slowdownOf(const placement_candidate &Target) const {
   double Slowdown = 1;
   const bool IsSlow =
       Target.Latency > Typical.Latency && Typical.Latency > duration::zero();
-  if (IsSlow && !Without.has(mechanism::Latency))
+  if (IsSlow && !DisabledMechanisms.has(mechanism::Latency))
     Slowdown = std::min(static_cast<double>(Target.Latency.count()) /
                             static_cast<double>(Typical.Latency.count()),
-                        MostSlowdown);
-  if (Target.Warmup > duration::zero() && !Without.has(mechanism::WarmUp))
+                        MaxSlowdown);
+  if (Target.Warmup > duration::zero() &&
+      !DisabledMechanisms.has(mechanism::WarmUp))
     Slowdown = std::max(Slowdown, WarmupSlowdown);
   return Slowdown;
 }
 
 /// The load of a target relative to what it can do: open flows a slot, and
 /// requests beyond the slots; more for one that is slow or warming up.
-double flow_choice::loadOf(const placing_view &Target) const {
+double flow_choice::loadOf(const placement_candidate &Target) const {
   const double Flows = (Target.Flows + Target.Placed + 1) / slotsOf(Target);
-  const double Queued =
-      Without.has(mechanism::QueueWeight) ? 0 : std::max(queueOf(Target), 0.0);
-  const double Usual = std::max(Typical.FlowsPerSlot, LeastFlowsPerSlot);
+  const double Queued = DisabledMechanisms.has(mechanism::QueueWeight)
+                            ? 0
+                            : std::max(queueOf(Target), 0.0);
+  const double Usual = std::max(Typical.FlowsPerSlot, MinFlowsPerSlot);
   return (Flows + Queued * QueueWeight * Usual) * slowdownOf(Target);
 }
 
 /// Whether the target fails its callers much more often than is usual.
-bool flow_choice::isFailing(const placing_view &Target) const {
-  return Target.Failing > Typical.Failing + FailingAbove &&
-         !Without.has(mechanism::FailurePlacing);
+bool flow_choice::isFailing(const placement_candidate &Target) const {
+  return Target.Failing > Typical.Failing + FailingMargin &&
+         !DisabledMechanisms.has(mechanism::FailurePlacing);
 }
 
-rank flow_choice::rankOf(const placing_view &Target) const {
+rank flow_choice::rankOf(const placement_candidate &Target) const {
   if (Target.Suspect)
     return rank::Suspect;
   if (isFailing(Target))
     return rank::Failing;
-  return Target.Reported ? rank::Well : rank::New;
+  return Target.Reported ? rank::Healthy : rank::Unreported;
 }
 
 candidate_set flow_choice::candidates(rank Rank) const {
   candidate_set Set;
   for (const std::size_t Position : Order) {
-    const placing_view &Target = Targets[Position];
+    const placement_candidate &Target = Targets[Position];
     if (!Target.Admitting || rankOf(Target) != Rank)
       continue;
     (Target.OwnZone ? Set.OwnZone : Set.OtherZones).push_back(Position);
@@ -220,7 +223,8 @@
 
 std::size_t
 flow_choice::lessLoaded(const std::vector<std::size_t> &Positions) const {
-  const std::size_t Compared = Without.has(mechanism::TwoChoices) ? 1 : Choices;
+  const std::size_t Compared =
+      DisabledMechanisms.has(mechanism::TwoChoices) ? 1 : ChoicesPerFlow;
   std::size_t Best = Positions.front();
   double Least = loadOf(Targets[Best]);
   for (std::size_t I = 1; I < std::min(Positions.size(), Compared); ++I) {
@@ -233,55 +237,56 @@
   return Best;
 }
 
-std::size_t flow_choice::withinZones(const candidate_set &Set) const {
+std::size_t flow_choice::chooseByZone(const candidate_set &Set) const {
   if (Set.OwnZone.empty())
     return lessLoaded(Set.OtherZones);
-  const std::size_t Home = lessLoaded(Set.OwnZone);
+  const std::size_t OwnZoneBest = lessLoaded(Set.OwnZone);
   const double Own = shortestQueue(Set.OwnZone);
-  if (Own < FullZone || Set.OtherZones.empty() ||
-      Without.has(mechanism::ZoneOverflow))
-    return Home;
-  const std::vector<std::size_t> Others = knownLoads(Set.OtherZones);
-  const std::size_t Away = lessLoaded(Others);
-  const double Gain = queueOf(Targets[Home]) - queueOf(Targets[Away]);
-  const bool IsWorth =
-      shortestQueue(Others) + WorthTheWay <= Own && Gain >= WorthTheWay;
-  return IsWorth ? Away : Home;
+  if (Own < OverflowQueue || Set.OtherZones.empty() ||
+      DisabledMechanisms.has(mechanism::ZoneOverflow))
+    return OwnZoneBest;
+  const std::vector<std::size_t> Others = recentlyReported(Set.OtherZones);
+  const std::size_t OtherZoneBest = lessLoaded(Others);
+  const double Gain =
+      queueOf(Targets[OwnZoneBest]) - queueOf(Targets[OtherZoneBest]);
+  const bool IsWorthLeaving =
+      shortestQueue(Others) + MinQueueGain <= Own && Gain >= MinQueueGain;
+  return IsWorthLeaving ? OtherZoneBest : OwnZoneBest;
 }
 
 /// Those that have reported just now, if they are enough to tell how full their
 /// zones are. The others were idle when they were last heard, and would have to
 /// be found full one by one.
 std::vector<std::size_t>
-flow_choice::knownLoads(const std::vector<std::size_t> &Positions) const {
-  std::vector<std::size_t> Known;
+flow_choice::recentlyReported(const std::vector<std::size_t> &Positions) const {
+  std::vector<std::size_t> Recent;
   for (const std::size_t Position : Positions)
     if (Targets[Position].Fresh)
-      Known.push_back(Position);
-  return Known.size() >= EnoughToTell ? Known : Positions;
+      Recent.push_back(Position);
+  return Recent.size() >= MinRecentReports ? Recent : Positions;
 }
 
 std::optional<std::size_t> flow_choice::choose() const {
   // A target of the own zone that was not heard yet goes before one of another
   // zone that was: after a restart of the balancer none was.
-  candidate_set Heard = candidates(rank::Well);
-  const candidate_set New = candidates(rank::New);
-  if (Heard.OwnZone.empty())
-    Heard.OwnZone = New.OwnZone;
-  if (Heard.OtherZones.empty())
-    Heard.OtherZones = New.OtherZones;
-  if (!Heard.empty())
-    return withinZones(Heard);
+  candidate_set Healthy = candidates(rank::Healthy);
+  const candidate_set Unreported = candidates(rank::Unreported);
+  if (Healthy.OwnZone.empty())
+    Healthy.OwnZone = Unreported.OwnZone;
+  if (Healthy.OtherZones.empty())
+    Healthy.OtherZones = Unreported.OtherZones;
+  if (!Healthy.empty())
+    return chooseByZone(Healthy);
   for (const rank Rank : {rank::Failing, rank::Suspect})
     if (const candidate_set Left = candidates(Rank); !Left.empty())
-      return withinZones(Left);
+      return chooseByZone(Left);
   return std::nullopt;
 }
 
 std::optional<std::size_t>
-placement::choose(const std::vector<placing_view> &Targets,
+placement::choose(const std::vector<placement_candidate> &Targets,
                   const std::vector<std::size_t> &Order) const {
-  return flow_choice(Targets, Order, Without).choose();
+  return flow_choice(Targets, Order, DisabledMechanisms).choose();
 }
 
 } // namespace marjoramrail
--- a/src/forward/recent_walks.h
+++ b/src/forward/recent_lookups.h
@@ -1,4 +1,5 @@
-//===- recent_walks.h - Flows that are being looked for ---------*- C++ -*-===//
+//===- recent_lookups.h - Flows that are being looked for ---------*- C++
+//-*-===//
 ///
 /// \file
 /// After a loss of power thousands of flows belong to nobody, and each of their
@@ -15,8 +16,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef MARJORAMRAIL_FORWARD_RECENT_WALKS_H
-#define MARJORAMRAIL_FORWARD_RECENT_WALKS_H
+#ifndef MARJORAMRAIL_FORWARD_RECENT_LOOKUPS_H
+#define MARJORAMRAIL_FORWARD_RECENT_LOOKUPS_H
 
 #include "marjoramrail/base.h"
 
@@ -26,56 +27,57 @@
 
 namespace marjoramrail::internal {
 
-class recent_walks {
+class recent_lookups {
 public:
   /// Longer than callers wait between their first copies of a packet.
-  static constexpr duration RememberedFor = std::chrono::seconds(2);
+  static constexpr duration RetentionTime = std::chrono::seconds(2);
   /// No walk is waited for longer.
-  static constexpr duration LongestWait = std::chrono::milliseconds(500);
+  static constexpr duration MaxLookupTimeout = std::chrono::milliseconds(500);
 
   /// A walk through so many targets that has not ended by then has lost its
   /// packet at one of its hops.
-  static constexpr duration longestWalk(std::size_t Targets) {
-    constexpr duration Way = std::chrono::milliseconds(100);
-    constexpr duration Hop = std::chrono::microseconds(2500);
-    return std::min(Way + Hop * static_cast<duration::rep>(Targets),
-                    LongestWait);
+  static constexpr duration lookupTimeout(std::size_t Targets) {
+    constexpr duration BaseTime = std::chrono::milliseconds(100);
+    constexpr duration TimePerTarget = std::chrono::microseconds(2500);
+    return std::min(BaseTime +
+                        TimePerTarget * static_cast<duration::rep>(Targets),
+                    MaxLookupTimeout);
   }
 
   /// True if no walk for \p Flow, through so many targets, is under way; then
   /// one begins.
   bool begin(const flow_key &Flow, std::size_t Targets, instant Now) {
     const auto [Place, IsNew] =
-        Walks.try_emplace(Flow, walk{Now, std::nullopt});
-    walk &Walk = Place->second;
-    if (IsNew || Now - Walk.BeganAt < longestWalk(Targets))
+        Lookups.try_emplace(Flow, lookup{Now, std::nullopt});
+    lookup &Lookup = Place->second;
+    if (IsNew || Now - Lookup.BeganAt < lookupTimeout(Targets))
       return IsNew;
-    Walk = {Now, Walk.BeganAt};
+    Lookup = {Now, Lookup.BeganAt};
     return true;
   }
 
   /// When the walk before this one for \p Flow began. It found nothing: it may
   /// have ended at a VM that is gone.
-  std::optional<instant> earlier(const flow_key &Flow) const {
-    const auto Found = Walks.find(Flow);
-    return Found == Walks.end() ? std::nullopt : Found->second.EarlierAt;
+  std::optional<instant> previous(const flow_key &Flow) const {
+    const auto Found = Lookups.find(Flow);
+    return Found == Lookups.end() ? std::nullopt : Found->second.PreviousAt;
   }
 
-  void forgetOld(instant Now) {
-    std::erase_if(Walks, [&](const auto &Item) {
-      return Now - Item.second.BeganAt >= RememberedFor;
+  void removeExpired(instant Now) {
+    std::erase_if(Lookups, [&](const auto &Item) {
+      return Now - Item.second.BeganAt >= RetentionTime;
     });
   }
 
 private:
-  struct walk {
+  struct lookup {
     instant BeganAt;
-    std::optional<instant> EarlierAt;
+    std::optional<instant> PreviousAt;
   };
 
-  std::unordered_map<flow_key, walk, flow_key_hash> Walks;
+  std::unordered_map<flow_key, lookup, flow_key_hash> Lookups;
 };
 
 } // namespace marjoramrail::internal
 
-#endif // MARJORAMRAIL_FORWARD_RECENT_WALKS_H
+#endif // MARJORAMRAIL_FORWARD_RECENT_LOOKUPS_H
--- a/src/forward/routed_packets.cpp
+++ b/src/forward/routed_packets.cpp
@@ -32,8 +32,8 @@
 agent_outcome forward_agent::impl::onNewFlow(const routed_packet &Routed,
                                              const segment &Segment,
                                              instant Now) {
-  if (Hooks.Witness && Routed.Version != 0)
-    Hooks.Witness(Routed.Version);
+  if (Hooks.ObserveClock && Routed.Version != 0)
+    Hooks.ObserveClock(Routed.Version);
   // An address is used again by other services; the balancer's list may be of
   // before.
   if (Routed.Service != Settings.Service)
@@ -78,8 +78,8 @@
 /// packet must get there.
 void forward_agent::impl::passOnUnsure(routed_packet Routed,
                                        const tcp_packet &Head) {
-  Routed.Flags &= ~(static_cast<std::uint8_t>(routed_flag::Whole) |
-                    static_cast<std::uint8_t>(routed_flag::WholeSoFar));
+  Routed.Flags &= ~(static_cast<std::uint8_t>(routed_flag::Complete) |
+                    static_cast<std::uint8_t>(routed_flag::CompleteSoFar));
   passOn(Routed, Head, "target silent");
 }
 
@@ -154,13 +154,13 @@
          Head.Flow, Routed.Balancer);
     return askForMore(Routed);
   }
-  if (Head.Rst || (!IsNew && !Routed.has(routed_flag::Whole))) {
+  if (Head.Rst || (!IsNew && !Routed.has(routed_flag::Complete))) {
     tell(event_kind::FlowPassedOn, "to nobody: its list may not be whole",
          Head.Flow, {});
-    return agent_outcome::Unsure;
+    return agent_outcome::Indeterminate;
   }
   if (!sendReset(Head))
-    return agent_outcome::Unsure;
+    return agent_outcome::Indeterminate;
   tell(IsNew ? event_kind::FlowRefused : event_kind::FlowReset, Why, Head.Flow,
        {});
   return IsNew ? agent_outcome::Refused : agent_outcome::Reset;
@@ -170,7 +170,7 @@
 /// wrote it knows the rest.
 agent_outcome forward_agent::impl::askForMore(routed_packet Routed) {
   if (Routed.Balancer == endpoint())
-    return agent_outcome::Unsure;
+    return agent_outcome::Indeterminate;
   Routed.Position = 0;
   Routed.Count = 1;
   Routed.Owners[0] = Settings.Self;
--- a/src/forward/target_packets.cpp
+++ b/src/forward/target_packets.cpp
@@ -10,7 +10,7 @@
   Silent = false;
   offered_packet *Packet = Offered.declined(Segment.Tag, Segment.Head.Flow);
   if (!Packet)
-    return agent_outcome::Unsure;
+    return agent_outcome::Indeterminate;
   const bool WasHeld = Load.heldOpen(Segment.Head);
   if (Segment.Head.opensFlow())
     noteDeclined(Segment.Head.Flow, Now);
@@ -74,7 +74,7 @@
   tell(event_kind::FlowLost, "its target does not hold it any more", Head.Flow,
        {});
   return !Head.Rst && sendReset(Head) ? agent_outcome::Reset
-                                      : agent_outcome::Unsure;
+                                      : agent_outcome::Indeterminate;
 }
 
 agent_outcome forward_agent::impl::onAnswer(segment Segment, bytes_view Bytes,
--- a/test/forward/agent_roster_test.cpp
+++ b/test/forward/agent_table_test.cpp
@@ -1,4 +1,4 @@
-#include "forward/agent_roster.h"
+#include "forward/agent_table.h"
 
 #include <doctest/doctest.h>
 #include <set>
@@ -23,10 +23,10 @@
   return Targets;
 }
 
-std::vector<endpoint> askedBy(agent_roster &Roster, instant Now) {
-  std::vector<endpoint> Asked;
-  Roster.review(Now, Asked, [](const agent_state &) {});
-  return Asked;
+std::vector<endpoint> requestedBy(agent_table &AgentTable, instant Now) {
+  std::vector<endpoint> Requested;
+  AgentTable.review(Now, Requested, [](const agent_state &) {});
+  return Requested;
 }
 
 } // namespace
@@ -37,15 +37,15 @@
   // zone of thousands would hear of them after a minute and a half.
   const std::vector<target_entry> Targets = zoneOfAgents();
   const instant Now{10s};
-  std::set<endpoint> Asked;
+  std::set<endpoint> Requested;
   for (unsigned Balancer = 0; Balancer < 100; ++Balancer) {
-    agent_roster Roster("brugge",
-                        endpoint_hash()({0x0a000900 + Balancer, 7000}));
-    Roster.set(Targets, Now);
-    for (const endpoint &Agent : askedBy(Roster, Now))
-      Asked.insert(Agent);
+    agent_table AgentTable("brugge",
+                           endpoint_hash()({0x0a000900 + Balancer, 7000}));
+    AgentTable.set(Targets, Now);
+    for (const endpoint &Agent : requestedBy(AgentTable, Now))
+      Requested.insert(Agent);
   }
-  CHECK(Asked.size() >= AgentsInZone * 9 / 10);
+  CHECK(Requested.size() >= AgentsInZone * 9 / 10);
 }
 
 TEST_CASE("a report counts for every entry of its address") {
@@ -55,19 +55,19 @@
   std::vector<target_entry> Targets = zoneOfAgents();
   Targets[7].Agent = Targets[3].Agent;
   Targets[7].Service = "archive";
-  agent_roster Roster("brugge", 17);
-  Roster.set(Targets, Now);
+  agent_table AgentTable("brugge", 17);
+  AgentTable.set(Targets, Now);
   load_report Report;
   Report.Agent = Targets[3].Agent;
   Report.Service = serviceNumber("archive");
   Report.Flows = 5;
-  const agent_state *Named = Roster.noteReport(Report, Now);
+  const agent_state *Reporter = AgentTable.noteReport(Report, Now);
 
-  REQUIRE(Named);
-  CHECK(Named->Service == serviceNumber("archive"));
-  CHECK(Roster.at(3).Report.Flows == 5);
-  CHECK(Roster.at(7).Report.Flows == 5);
-  CHECK(!Roster.at(4).ReportedAt);
+  REQUIRE(Reporter);
+  CHECK(Reporter->Service == serviceNumber("archive"));
+  CHECK(AgentTable.at(3).Report.Flows == 5);
+  CHECK(AgentTable.at(7).Report.Flows == 5);
+  CHECK(!AgentTable.at(4).ReportedAt);
 }
 
 TEST_CASE("silence elsewhere takes no turn from the own zone") {
@@ -78,15 +78,16 @@
   std::vector<target_entry> Targets = zoneOfAgents();
   for (unsigned Number = 16; Number < AgentsInZone; ++Number)
     Targets[Number].Zone = "oostende";
-  agent_roster Roster("brugge", 17);
+  agent_table AgentTable("brugge", 17);
   instant Now{10s};
-  Roster.set(Targets, Now);
+  AgentTable.set(Targets, Now);
   for (unsigned Number = 16; Number < AgentsInZone; ++Number)
-    Roster.noteAsked(Targets[Number].Agent, Now);
+    AgentTable.noteReportRequested(Targets[Number].Agent, Now);
   Now += 200ms;
-  const std::vector<endpoint> Asked = askedBy(Roster, Now);
+  const std::vector<endpoint> Requested = requestedBy(AgentTable, Now);
   for (unsigned Number = 0; Number < 16; ++Number)
-    CHECK(std::count(Asked.begin(), Asked.end(), Targets[Number].Agent) == 1);
+    CHECK(std::count(Requested.begin(), Requested.end(),
+                     Targets[Number].Agent) == 1);
 }
 
 TEST_CASE("a silent address is silent for every entry of it") {
@@ -98,27 +99,27 @@
   Targets.resize(8);
   Targets[7].Agent = Targets[3].Agent;
   Targets[7].Service = "archive";
-  agent_roster Roster("oostende", 17);
-  Roster.set(Targets, Now);
-  Roster.noteAsked(Targets[3].Agent, Now);
+  agent_table AgentTable("oostende", 17);
+  AgentTable.set(Targets, Now);
+  AgentTable.noteReportRequested(Targets[3].Agent, Now);
   Now += 200ms;
-  CHECK(Roster.at(3).isDoubtful(Now));
-  CHECK(Roster.at(7).isDoubtful(Now));
+  CHECK(AgentTable.at(3).isUnverified(Now));
+  CHECK(AgentTable.at(7).isUnverified(Now));
 
-  Roster.noteSent(Targets[3].Agent, Now);
+  AgentTable.noteSent(Targets[3].Agent, Now);
   Now += 600ms;
-  std::vector<endpoint> Ask;
+  std::vector<endpoint> Requests;
   int Suspected = 0;
-  Roster.review(Now, Ask, [&](const agent_state &) { ++Suspected; });
+  AgentTable.review(Now, Requests, [&](const agent_state &) { ++Suspected; });
   CHECK(Suspected == 2);
 }
 
 TEST_CASE("a balancer asks every agent of its zone in turn") {
-  agent_roster Roster("brugge", 17);
-  Roster.set(zoneOfAgents(), instant(10s));
-  std::set<endpoint> Asked;
+  agent_table AgentTable("brugge", 17);
+  AgentTable.set(zoneOfAgents(), instant(10s));
+  std::set<endpoint> Requested;
   for (unsigned Round = 0; Round < AgentsInZone / 16; ++Round)
-    for (const endpoint &Agent : askedBy(Roster, instant(10s)))
-      Asked.insert(Agent);
-  CHECK(Asked.size() == AgentsInZone);
+    for (const endpoint &Agent : requestedBy(AgentTable, instant(10s)))
+      Requested.insert(Agent);
+  CHECK(Requested.size() == AgentsInZone);
 }
--- a/test/forward/failure_watch_test.cpp
+++ b/test/forward/failure_watch_test.cpp
@@ -42,12 +42,12 @@
 
 TEST_CASE_FIXTURE(answering_target, "failure_watch lets failures be rare") {
   // One request in a hundred fails, as on any day.
-  int Believed = 0;
+  int TimesFailing = 0;
   for (int Answer = 0; Answer < 10'000; ++Answer) {
     answer(0.01);
-    Believed += Watch.share() > Failing;
+    TimesFailing += Watch.share() > Failing;
   }
-  CHECK(Believed < 100);
+  CHECK(TimesFailing < 100);
 }
 
 TEST_CASE_FIXTURE(answering_target, "failure_watch does not flap") {
@@ -79,13 +79,13 @@
 }
 
 TEST_CASE_FIXTURE(answering_target, "failure_watch tells each change once") {
-  int Told = 0;
+  int StateChanges = 0;
   for (int Answer = 0; Answer < 400; ++Answer) {
     answer(0.15);
-    Told += Watch.review();
+    StateChanges += Watch.review();
   }
   CHECK(Watch.fails());
-  CHECK(Told <= 3);
+  CHECK(StateChanges <= 3);
   for (int Answer = 0; Answer < 100; ++Answer) {
     answer(0.0);
     Watch.review();
--- a/test/forward/flows_test.cpp
+++ b/test/forward/flows_test.cpp
@@ -14,7 +14,7 @@
   CHECK(answers() == 1);
   Received.clear();
   CHECK(packet(1, data(flowOf(1001), Ack, 42)) ==
-        forward_outcome::SentByMemory);
+        forward_outcome::SentFromCache);
   REQUIRE(Received.size() == 1);
   CHECK(Received[0].Body == 42);
 }
@@ -62,7 +62,7 @@
   packet(1, data(Flow, Ack));
   const unsigned Owner = ownerOf(Flow);
   Hosts[Owner].Target = {};
-  losePlatform();
+  expireKnowledge();
   Received.clear();
   Hops = 0;
   packet(1, data(Flow, Ack + 50));
@@ -97,7 +97,7 @@
   const unsigned Owner = ownerOf(Flow);
   Hosts[Owner].Target = {};
   startAgent(Owner);
-  losePlatform();
+  expireKnowledge();
   Received.clear();
   packet(1, data(Flow, Ack));
 
@@ -113,7 +113,7 @@
   Hosts[Owner].Cut = true;
   Received.clear();
   for (int Try = 0; Try < 10; ++Try) {
-    tellBalancers();
+    updateBalancers();
     packet(1, data(Flow, Ack));
     packet(2, data(Flow, Ack));
     pass(200ms);
@@ -132,7 +132,7 @@
   Hosts[Owner].Target.Frozen = true;
   Received.clear();
   for (int Try = 0; Try < 10; ++Try) {
-    tellBalancers();
+    updateBalancers();
     packet(2, data(Flow, Ack));
     pass(200ms);
   }
@@ -156,7 +156,7 @@
   for (std::uint16_t Port = 3001; Port < 3020; ++Port)
     packet(1, syn(flowOf(Port)));
   pass(1s);
-  tellBalancers();
+  updateBalancers();
   for (const auto &[Port, Ack] : Acks) {
     if (ownerOf(flowOf(Port)) == Frozen)
       continue;
@@ -211,7 +211,7 @@
   const unsigned Gone = ownerOf(flowOf(1001));
   Held = Hosts[Gone].Target.Flows.size();
   Received.clear();
-  Hosts[Gone].Agent->setTargetGone(true, Now);
+  Hosts[Gone].Agent->setTargetStopped(true, Now);
 
   CHECK(resets() == Held);
 }
@@ -279,7 +279,7 @@
   }
   Site.Received.clear();
   Site.pass(1s);
-  Site.tellBalancers();
+  Site.updateBalancers();
   CHECK(Site.open(2, flowOf(5000)) > 1);
 }
 
--- a/test/forward/forward_world.h
+++ b/test/forward/forward_world.h
@@ -122,15 +122,15 @@
     bool InStore = true;
     /// A balancer wrote its entry.
     bool ByPeer = false;
-    bool LookedAt = false;
+    bool ProbeRequested = false;
     /// Times that a balancer said that the list lacks it.
-    int Unlisted = 0;
+    int Unregistered = 0;
     /// Times that it had not heard any balancer for long.
-    int Unheard = 0;
+    int NoBalancerContact = 0;
     /// Times that a balancer said that the list has held it for long.
-    int Listed = 0;
+    int Registered = 0;
     /// Times that a balancer said that it found the entry at its start.
-    int Found = 0;
+    int RegistrationFound = 0;
   };
 
   static constexpr duration FlowLife = std::chrono::seconds(20);
@@ -143,7 +143,7 @@
   /// Agents that a balancer has called lost.
   std::vector<endpoint> Lost;
   /// Called before a balancer gets a datagram of an agent.
-  std::function<void()> BeforeBalancer;
+  std::function<void()> BeforeBalancerReceives;
   /// Datagrams between processes, for the price of a walk.
   std::uint64_t Hops = 0;
   /// Their bytes.
@@ -157,7 +157,7 @@
     startAgent(Number);
     Host.Agent->setAdmitting(true);
     Host.Agent->setTarget(4, duration::zero(), Now);
-    tellBalancers();
+    updateBalancers();
   }
 
   /// As after a restart: the agent knows nothing of its target's flows.
@@ -173,11 +173,11 @@
     Hooks.SendToCaller = [this](const endpoint &, bytes_view Bytes) {
       Received.push_back({frameOf(Bytes).Segment, frameOf(Bytes).Body});
     };
-    Hooks.Unlisted = [&Host] { ++Host.Unlisted; };
-    Hooks.Unheard = [&Host] { ++Host.Unheard; };
-    Hooks.Listed = [&Host] { ++Host.Listed; };
-    Hooks.Found = [&Host] { ++Host.Found; };
-    Hooks.TargetSilent = [&Host] { Host.LookedAt = true; };
+    Hooks.Unregistered = [&Host] { ++Host.Unregistered; };
+    Hooks.NoBalancerContact = [&Host] { ++Host.NoBalancerContact; };
+    Hooks.Registered = [&Host] { ++Host.Registered; };
+    Hooks.RegistrationFound = [&Host] { ++Host.RegistrationFound; };
+    Hooks.TargetUnresponsive = [&Host] { Host.ProbeRequested = true; };
     Hooks.OnEvent = [this](const flow_event &Event) {
       Events.push_back(Event);
     };
@@ -204,7 +204,7 @@
         forward_balancer_settings{balancerAt(Number), Zone, 1000, FlowLife},
         testCodec(), Hooks);
     Balancers[Number]->setRoutes({{RouteAddress, {{"ledger", 1}}, {"ledger"}}});
-    tellBalancers();
+    updateBalancers();
   }
 
   void setRoutes(const std::vector<route_rule> &Rules) {
@@ -212,7 +212,7 @@
       Balancer->setRoutes(Rules);
   }
 
-  void tellBalancers() {
+  void updateBalancers() {
     std::vector<target_entry> Targets;
     for (const auto &[Number, Host] : Hosts)
       if (Host.InStore)
@@ -225,7 +225,7 @@
   }
 
   /// What balancers know gets old.
-  void losePlatform() {
+  void expireKnowledge() {
     for (auto &[Number, Balancer] : Balancers)
       Balancer->setKnownAsOf(Now - std::chrono::minutes(1));
   }
@@ -333,8 +333,8 @@
            Copy = std::vector<std::uint8_t>(Bytes.begin(), Bytes.end())] {
       for (auto &[Number, Balancer] : Balancers)
         if (balancerAt(Number) == To) {
-          if (BeforeBalancer)
-            BeforeBalancer();
+          if (BeforeBalancerReceives)
+            BeforeBalancerReceives();
           return Balancer->onAgentMessage(From, Copy, Now);
         }
       for (auto &[Number, Host] : Hosts)
--- a/test/forward/long_walks_test.cpp
+++ b/test/forward/long_lookups_test.cpp
@@ -25,7 +25,7 @@
     for (unsigned Number = 6; Number <= Targets; ++Number)
       addHost(Number, "ledger", Number % 2 == 0 ? "brugge" : "oostende");
     pass(1s);
-    tellBalancers();
+    updateBalancers();
   }
 
   /// A flow whose target has lost it and whose agent remembers nothing.
@@ -53,8 +53,9 @@
 
   /// A target that a new balancer's walk asks before the flow's owner, and to
   /// which the balancer itself sends nothing.
-  std::optional<unsigned> askedOnTheWay(std::uint16_t Port, std::uint32_t Ack,
-                                        unsigned Balancer) {
+  std::optional<unsigned> targetAskedBeforeOwner(std::uint16_t Port,
+                                                 std::uint32_t Ack,
+                                                 unsigned Balancer) {
     for (auto &[Number, Host] : Hosts)
       Host.Target.Declined = 0;
     Events.clear();
@@ -71,7 +72,7 @@
     return std::nullopt;
   }
 
-  std::size_t asked() const {
+  std::size_t askedTargets() const {
     std::size_t Count = 0;
     for (const auto &[Number, Host] : Hosts)
       Count += Host.Target.Declined > 0;
@@ -87,7 +88,7 @@
   // owner is in the first list: without the rest of the walk their requests
   // would time out one after the other, although the targets are well.
   addBalancer(3, "oostende");
-  tellBalancers();
+  updateBalancers();
   for (std::uint16_t Port = 1001; Port < 1101; ++Port) {
     const std::uint32_t Ack = open(3, flowOf(Port));
     Received.clear();
@@ -105,7 +106,7 @@
   packet(2, data(Flow, Ack));
 
   CHECK(resets() == 1);
-  CHECK(asked() == Targets);
+  CHECK(askedTargets() == Targets);
 }
 
 TEST_CASE_FIXTURE(large_service, "packets of a known flow carry a short list") {
@@ -127,7 +128,7 @@
   Received.clear();
   packet(1, data(Flow, Ack));
   CHECK(resets() == 1);
-  CHECK(asked() == Targets);
+  CHECK(askedTargets() == Targets);
 }
 
 TEST_CASE_FIXTURE(large_service, "copies stay near behind a known owner too") {
@@ -169,15 +170,15 @@
   // is counted from another beginning, and the owner may be the one left out.
   const flow_key Flow = flowOf(1001);
   const std::uint32_t Ack = openAndLose(Flow);
-  BeforeBalancer = [this] {
-    BeforeBalancer = nullptr;
+  BeforeBalancerReceives = [this] {
+    BeforeBalancerReceives = nullptr;
     for (unsigned Number = 1; Number < 40; ++Number)
       Hosts[Number].InStore = false;
-    tellBalancers();
+    updateBalancers();
   };
   packet(2, data(Flow, Ack));
 
-  CHECK(BeforeBalancer == nullptr);
+  CHECK(BeforeBalancerReceives == nullptr);
   CHECK(resets() == 0);
 }
 
@@ -187,7 +188,7 @@
   // may hold the flow.
   const flow_key Flow = flowOf(1001);
   const std::uint32_t Ack = openAndLose(Flow);
-  BeforeBalancer = [this] { losePlatform(); };
+  BeforeBalancerReceives = [this] { expireKnowledge(); };
   packet(2, data(Flow, Ack));
 
   CHECK(resets() == 0);
@@ -202,8 +203,8 @@
   Hosts[Silent].Target.Frozen = true;
   offerDirectly(Silent, syn(flowOf(2001)));
   pass(100ms);
-  REQUIRE(Hosts[Silent].LookedAt);
-  tellBalancers();
+  REQUIRE(Hosts[Silent].ProbeRequested);
+  updateBalancers();
   Received.clear();
   packet(2, data(Flow, Ack));
   pass(100ms);
@@ -237,7 +238,7 @@
   const flow_key Flow = flowOf(1001);
   const std::uint32_t Ack = openAndLose(Flow);
   addBalancer(3, "zeebrugge");
-  tellBalancers();
+  updateBalancers();
   packet(3, data(Flow, Ack));
   const std::uint64_t Answered = Balancers[3]->counters().Reports;
   pass(3s);
@@ -251,14 +252,14 @@
   // All power was lost, or balancers are restarted in turn, and a balancer
   // looks for many flows at once. Were each walk to ask all whom it names,
   // every balancer would ask every agent several times a second.
-  constexpr std::uint64_t AtOnce = 16;
+  constexpr std::uint64_t MaxBurst = 16;
   for (std::uint16_t Port = 1001; Port < 1021; ++Port)
     openAndLose(flowOf(Port));
   addBalancer(3, "zeebrugge");
-  const std::uint64_t Before = Balancers[3]->counters().Questions;
+  const std::uint64_t Before = Balancers[3]->counters().ReportRequests;
   for (std::uint16_t Port = 1001; Port < 1021; ++Port)
     packet(3, data(flowOf(Port), 1));
-  CHECK(Balancers[3]->counters().Questions - Before <= AtOnce);
+  CHECK(Balancers[3]->counters().ReportRequests - Before <= MaxBurst);
 }
 
 TEST_CASE_FIXTURE(large_service, "a VM that is gone hides no owner in a long "
@@ -271,7 +272,7 @@
   addBalancer(Balancer, "oostende");
   for (std::uint16_t Port = 1001; Port < 1021; ++Port) {
     const std::uint32_t Ack = open(10, flowOf(Port));
-    const auto Gone = askedOnTheWay(Port, Ack, ++Balancer);
+    const auto Gone = targetAskedBeforeOwner(Port, Ack, ++Balancer);
     if (!Gone)
       continue;
     ++Hidden;
--- a/test/forward/new_flows_test.cpp
+++ b/test/forward/new_flows_test.cpp
@@ -14,7 +14,7 @@
       addHost(Number);
     addBalancer(1);
     pass(1s);
-    tellBalancers();
+    updateBalancers();
   }
 };
 
@@ -65,7 +65,7 @@
   for (auto &[Number, Host] : Hosts)
     Host.Agent->setAdmitting(false);
   pass(600ms);
-  tellBalancers();
+  updateBalancers();
   Received.clear();
   CHECK(packet(1, syn(flowOf(2))) == forward_outcome::NoTarget);
   CHECK(resets() == 1);
@@ -83,7 +83,7 @@
     Opened += Received.size() == 1;
   }
   CHECK(Opened == 30);
-  CHECK(Hosts[1].LookedAt);
+  CHECK(Hosts[1].ProbeRequested);
 }
 
 TEST_CASE_FIXTURE(small_site, "a VM that dies gets no more new flows") {
@@ -91,7 +91,7 @@
   std::size_t Lost = 0;
   for (std::uint16_t Port = 1; Port <= 60; ++Port) {
     Received.clear();
-    tellBalancers();
+    updateBalancers();
     packet(1, syn(flowOf(Port)));
     Lost += Received.empty();
     pass(40ms);
@@ -101,7 +101,7 @@
 
   Hosts[1].Cut = false;
   pass(1s);
-  tellBalancers();
+  updateBalancers();
   for (std::uint16_t Port = 101; Port <= 160; ++Port)
     open(1, flowOf(Port));
   CHECK(Hosts[1].Target.Flows.size() > 5);
@@ -133,8 +133,8 @@
 TEST_CASE_FIXTURE(small_site, "a route not heard of yet is not denied") {
   // This balancer is behind; another one may have opened the flow.
   setRoutes({});
-  losePlatform();
-  CHECK(packet(1, data(flowOf(1), 7)) == forward_outcome::Unsure);
+  expireKnowledge();
+  CHECK(packet(1, data(flowOf(1), 7)) == forward_outcome::Indeterminate);
   CHECK(resets() == 0);
 }
 
@@ -160,10 +160,10 @@
   Hosts[3].InStore = false;
   for (int Second = 0; Second < 8; ++Second) {
     pass(1s);
-    tellBalancers();
+    updateBalancers();
   }
-  CHECK(Hosts[3].Unlisted > 0);
-  CHECK(Hosts[1].Unlisted == 0);
+  CHECK(Hosts[3].Unregistered > 0);
+  CHECK(Hosts[1].Unregistered == 0);
 }
 
 TEST_CASE_FIXTURE(small_site, "a full target's flows spread over the others") {
@@ -199,9 +199,9 @@
   addHost(5);
   Hosts[5].Agent->setAdmitting(false);
   pass(SettleTime - 200ms);
-  CHECK(Hosts[5].Listed == 0);
+  CHECK(Hosts[5].Registered == 0);
   pass(1s);
-  CHECK(Hosts[5].Listed > 0);
+  CHECK(Hosts[5].Registered > 0);
 }
 
 TEST_CASE_FIXTURE(small_site, "a target that all know hears it") {
@@ -212,8 +212,8 @@
   startAgent(3);
   Hosts[3].Agent->setAdmitting(false);
   pass(2s);
-  CHECK(Hosts[3].Listed > 0);
-  CHECK(Hosts[1].Listed == 0);
+  CHECK(Hosts[3].Registered > 0);
+  CHECK(Hosts[1].Registered == 0);
 }
 
 TEST_CASE_FIXTURE(small_site, "a former entry makes no new target known") {
@@ -224,7 +224,7 @@
   startAgent(3);
   Hosts[3].Agent->setAdmitting(false);
   pass(2s);
-  CHECK(Hosts[3].Listed == 0);
+  CHECK(Hosts[3].Registered == 0);
 }
 
 TEST_CASE_FIXTURE(small_site, "a balancer that starts tells whom it finds") {
@@ -236,9 +236,9 @@
   Hosts[3].Agent->setAdmitting(false);
   addBalancer(2);
   pass(40ms);
-  CHECK(Hosts[3].Found > 0);
-  CHECK(Hosts[1].Found == 0);
-  CHECK(Hosts[3].Listed == 0);
+  CHECK(Hosts[3].RegistrationFound > 0);
+  CHECK(Hosts[1].RegistrationFound == 0);
+  CHECK(Hosts[3].Registered == 0);
 }
 
 TEST_CASE_FIXTURE(small_site, "a target that came later was not found") {
@@ -246,7 +246,7 @@
   addHost(5);
   Hosts[5].Agent->setAdmitting(false);
   pass(SettleTime - 200ms);
-  CHECK(Hosts[5].Found == 0);
+  CHECK(Hosts[5].RegistrationFound == 0);
 }
 
 TEST_CASE_FIXTURE(small_site, "what a balancer announced was not found") {
@@ -256,7 +256,7 @@
   Hosts[3].Agent->setAdmitting(false);
   addBalancer(2);
   pass(SettleTime - 200ms);
-  CHECK(Hosts[3].Found == 0);
+  CHECK(Hosts[3].RegistrationFound == 0);
 }
 
 TEST_CASE_FIXTURE(small_site, "a target that takes nothing draws no flows") {
--- a/test/forward/placement_test.cpp
+++ b/test/forward/placement_test.cpp
@@ -11,13 +11,13 @@
 namespace {
 
 /// Places flows as several balancers do that hear reports now and then.
-class placing_model {
+class placement_model {
 public:
-  std::vector<placing_view> Real;
+  std::vector<placement_candidate> Real;
   std::minstd_rand Random{5};
 
-  explicit placing_model(std::size_t Targets) : Real(Targets) {
-    for (placing_view &Target : Real) {
+  explicit placement_model(std::size_t Targets) : Real(Targets) {
+    for (placement_candidate &Target : Real) {
       Target.OwnZone = true;
       Target.Slots = 4;
     }
@@ -26,9 +26,9 @@
   /// \p Flows new flows between two reports, by \p Balancers that each know
   /// only their own placements.
   void round(std::size_t Flows, std::size_t Balancers) {
-    std::vector<std::vector<placing_view>> Views(Balancers, Real);
+    std::vector<std::vector<placement_candidate>> Views(Balancers, Real);
     for (std::size_t I = 0; I < Flows; ++I) {
-      std::vector<placing_view> &View = Views[I % Balancers];
+      std::vector<placement_candidate> &View = Views[I % Balancers];
       std::vector<std::size_t> Order(Real.size());
       for (std::size_t Position = 0; Position < Order.size(); ++Position)
         Order[Position] = Position;
@@ -45,10 +45,10 @@
   std::vector<std::size_t> Taken;
 };
 
-double imbalance(const std::vector<placing_view> &Targets) {
+double imbalance(const std::vector<placement_candidate> &Targets) {
   double Most = 0;
   double Sum = 0;
-  for (const placing_view &Target : Targets) {
+  for (const placement_candidate &Target : Targets) {
     Most = std::max<double>(Most, Target.Flows);
     Sum += Target.Flows;
   }
@@ -58,7 +58,7 @@
 } // namespace
 
 TEST_CASE("many flows spread evenly over equal targets") {
-  placing_model Model(7);
+  placement_model Model(7);
   for (int Round = 0; Round < 50; ++Round)
     Model.round(10, 3);
 
@@ -69,8 +69,8 @@
   // A target joins a zone of 15 where each has 100 flows. Seven balancers with
   // the same report all see it empty; sent there by all, 50 flows of a fifth of
   // a second would overflow its queue of 8.
-  placing_model Model(15);
-  for (placing_view &Target : Model.Real)
+  placement_model Model(15);
+  for (placement_candidate &Target : Model.Real)
     Target.Flows = 100;
   Model.Real[14].Flows = 0;
   Model.round(50, 7);
@@ -80,8 +80,8 @@
 }
 
 TEST_CASE("a queue outweighs an even count of flows") {
-  std::vector<placing_view> Targets(2);
-  for (placing_view &Target : Targets) {
+  std::vector<placement_candidate> Targets(2);
+  for (placement_candidate &Target : Targets) {
     Target.OwnZone = true;
     Target.Slots = 4;
     Target.Flows = 40;
@@ -93,8 +93,8 @@
 }
 
 TEST_CASE("a slow target gets less") {
-  placing_model Model(4);
-  for (placing_view &Target : Model.Real)
+  placement_model Model(4);
+  for (placement_candidate &Target : Model.Real)
     Target.Latency = 30ms;
   Model.Real[0].Latency = 90ms;
   for (int Round = 0; Round < 60; ++Round)
@@ -104,7 +104,7 @@
 }
 
 TEST_CASE("a target that warms up gets less") {
-  placing_model Model(4);
+  placement_model Model(4);
   Model.Real[0].Warmup = 2s;
   for (int Round = 0; Round < 60; ++Round)
     Model.round(10, 3);
@@ -113,7 +113,7 @@
 }
 
 TEST_CASE("flows stay in their zone while it has room") {
-  std::vector<placing_view> Targets(4);
+  std::vector<placement_candidate> Targets(4);
   Targets[0].OwnZone = Targets[1].OwnZone = true;
   Targets[0].Flows = Targets[1].Flows = 50;
   Targets[0].Active = Targets[1].Active = 1;
@@ -124,9 +124,9 @@
 TEST_CASE("a full zone hands over to one that has room") {
   // A burst fills one zone while the next one is half idle. Kept at home, its
   // callers would wait or be refused.
-  std::vector<placing_view> Targets(4);
+  std::vector<placement_candidate> Targets(4);
   Targets[0].OwnZone = Targets[1].OwnZone = true;
-  for (placing_view &Target : Targets)
+  for (placement_candidate &Target : Targets)
     Target.Slots = 4;
   Targets[0].Active = Targets[1].Active = 12;
   Targets[2].Active = Targets[3].Active = 2;
@@ -144,7 +144,7 @@
   static constexpr std::size_t Zones = 5;
   static constexpr std::uint16_t Queue = 8;
 
-  std::vector<placing_view> Targets{OfZone * Zones};
+  std::vector<placement_candidate> Targets{OfZone * Zones};
   std::minstd_rand Random{7};
 
   full_site() {
@@ -194,7 +194,7 @@
   for (std::size_t I = OfZone; I < OfZone + 3; ++I)
     Targets[I].Active = 0;
   for (int Flow = 0; Flow < 500; ++Flow) {
-    const placing_view &Chosen = Targets[place()];
+    const placement_candidate &Chosen = Targets[place()];
     CHECK((Chosen.OwnZone || Chosen.Active == 0));
   }
 }
@@ -210,7 +210,7 @@
 }
 
 TEST_CASE("suspects come last, those that do not admit never") {
-  std::vector<placing_view> Targets(3);
+  std::vector<placement_candidate> Targets(3);
   Targets[0].Admitting = false;
   Targets[1].Suspect = true;
   CHECK(*placement().choose(Targets, {0, 1, 2}) == 2);
@@ -224,7 +224,7 @@
 TEST_CASE("one that was not heard yet waits behind those that were") {
   // A target's entry is in the store a second before it takes flows; a flow
   // sent there would be passed on.
-  std::vector<placing_view> Targets(2);
+  std::vector<placement_candidate> Targets(2);
   Targets[0].OwnZone = Targets[1].OwnZone = true;
   Targets[0].Reported = false;
   Targets[1].Flows = 90;
@@ -257,10 +257,10 @@
 
 /// Targets of one service, all in the caller's zone, that differ only in how
 /// they answer.
-std::vector<placing_view> answering(const std::vector<int> &Failing) {
-  std::vector<placing_view> Targets;
+std::vector<placement_candidate> answering(const std::vector<int> &Failing) {
+  std::vector<placement_candidate> Targets;
   for (const int Thousandths : Failing) {
-    placing_view Target;
+    placement_candidate Target;
     Target.OwnZone = true;
     Target.Slots = 4;
     Target.Flows = 20;
@@ -271,7 +271,7 @@
 }
 
 /// How often each target is chosen for flows whose orders are drawn anew.
-std::vector<int> chosenOf(const std::vector<placing_view> &Targets,
+std::vector<int> chosenOf(const std::vector<placement_candidate> &Targets,
                           int Flows = 600) {
   std::minstd_rand Random(7);
   std::vector<int> Chosen(Targets.size());
--- a/test/forward/small_site.h
+++ b/test/forward/small_site.h
@@ -14,7 +14,7 @@
     for (const unsigned Number : {1U, 2U})
       addBalancer(Number);
     pass(std::chrono::seconds(1));
-    tellBalancers();
+    updateBalancers();
   }
 };
 
--- a/test/forward/silent_hops_test.cpp
+++ b/test/forward/unresponsive_agents_test.cpp
@@ -1,4 +1,4 @@
-#include "forward/agent_roster.h"
+#include "forward/agent_table.h"
 #include "forward/forward_world.h"
 
 #include <doctest/doctest.h>
@@ -27,11 +27,11 @@
     for (unsigned Zone = 0; Zone < 3; ++Zone)
       addBalancer(Zone + 1, Zones[Zone]);
     pass(1s);
-    tellBalancers();
+    updateBalancers();
   }
 
   /// A VM is gone without a word; its entry stays in the store.
-  void loseVm(unsigned Number) { Hosts[Number].Cut = true; }
+  void cutOffVm(unsigned Number) { Hosts[Number].Cut = true; }
 
   struct opened {
     flow_key Flow;
@@ -67,7 +67,7 @@
     const unsigned Number = NextBalancer++;
     addBalancer(Number, "brugge");
     pass(1s);
-    tellBalancers();
+    updateBalancers();
     return Number;
   }
 
@@ -98,7 +98,7 @@
   std::size_t unanswered(const std::set<unsigned> &Gone) {
     const std::vector<opened> Flows = openFlows(Gone);
     for (const unsigned Number : Gone)
-      loseVm(Number);
+      cutOffVm(Number);
     std::size_t Count = 0;
     for (const opened &Opened : Flows)
       Count += !isAnsweredInTime(startBalancer(), Opened);
@@ -128,7 +128,7 @@
   // A target's VM is gone before a balancer of its zone has started: no flow is
   // placed there, so nothing is sent there first. Its entry would stand in
   // every list for ever.
-  loseVm(2);
+  cutOffVm(2);
   const unsigned Balancer = startBalancer();
   pass(FlowLife + 25s);
   CHECK(Balancers[Balancer]->counters().Suspicions == 1);
@@ -136,14 +136,14 @@
 }
 
 TEST_CASE("an agent that answers no question is suspected") {
-  agent_roster Roster("brugge", 17);
+  agent_table AgentTable("brugge", 17);
   const endpoint Agent = agentAt(1);
   instant Now{10s};
-  Roster.set({{"target.1", "ledger", Agent, "brugge", 4, false}}, Now);
+  AgentTable.set({{"target.1", "ledger", Agent, "brugge", 4, false}}, Now);
   std::vector<endpoint> Suspected;
   for (int Round = 0; Round < 5; ++Round, Now += 200ms) {
-    std::vector<endpoint> Asked;
-    Roster.review(Now, Asked, [&](const agent_state &State) {
+    std::vector<endpoint> Requested;
+    AgentTable.review(Now, Requested, [&](const agent_state &State) {
       Suspected.push_back(State.Agent);
     });
   }
@@ -160,7 +160,7 @@
     Hosts[3].Cut = false;
     const unsigned Balancer = startBalancer();
     Balancers[Balancer]->onAgentMessage(agentAt(3), reportOf(3), Now);
-    loseVm(3);
+    cutOffVm(3);
     pass(500ms);
     Unanswered += !isAnsweredInTime(Balancer, Opened);
   }
@@ -172,7 +172,7 @@
   // and only another balancer saw the rest of the handshake. When the full
   // target's VM is gone, the first balancer's packets must not go there alone.
   constexpr unsigned Chosen = 1;
-  std::size_t Guessed = 0;
+  std::size_t Attempts = 0;
   std::size_t Unanswered = 0;
   for (std::uint16_t Port = 1001; Port < 1031; ++Port) {
     const flow_key Flow = flowOf(Port);
@@ -181,13 +181,13 @@
     const std::uint32_t Ack = openThrough(Balancer, 2, Flow);
     Hosts[Chosen].Target.Full = false;
     pass(3s);
-    loseVm(Chosen);
-    ++Guessed;
+    cutOffVm(Chosen);
+    ++Attempts;
     Unanswered += !isAnsweredInTime(Balancer, {Flow, Ack});
     Hosts[Chosen].Cut = false;
     pass(1s);
   }
-  CHECK(Guessed > 0);
+  CHECK(Attempts > 0);
   CHECK(Unanswered == 0);
 }
 
@@ -196,7 +196,7 @@
   // is gone and was never heard; callers whose SYN ends there three times give
   // up, although other targets are free.
   Hosts[1].Target.Full = Hosts[2].Target.Full = true;
-  loseVm(3);
+  cutOffVm(3);
   std::size_t Refused = 0;
   for (std::uint16_t Port = 1001; Port < 1031; ++Port) {
     const unsigned Balancer = startBalancer();
@@ -217,14 +217,14 @@
   // An agent was cut off until its entry was taken out, and the one balancer
   // that it knows is gone meanwhile. Nobody asks what is not in the list: its
   // target, which is well, would never get a flow again.
-  CHECK(Hosts[6].Unheard == 0);
+  CHECK(Hosts[6].NoBalancerContact == 0);
   Balancers.clear();
   pass(59s);
-  CHECK(Hosts[6].Unheard == 0);
+  CHECK(Hosts[6].NoBalancerContact == 0);
   pass(4s);
-  CHECK(Hosts[6].Unheard == 1);
+  CHECK(Hosts[6].NoBalancerContact == 1);
   pass(30s);
-  CHECK(Hosts[6].Unheard == 1);
+  CHECK(Hosts[6].NoBalancerContact == 1);
 }
 
 TEST_CASE_FIXTURE(three_zones, "a balancer that was held up reaches owners") {
@@ -254,7 +254,7 @@
   const unsigned Balancer = startBalancer();
   Now += 3s;
   Balancers[Balancer]->tick(Now);
-  tellBalancers();
+  updateBalancers();
   for (const opened &Opened : Flows)
     CHECK(isAnsweredInTime(Balancer, Opened));
 }
