--- a/include/marjoramrail/forward.h
+++ b/include/marjoramrail/forward.h
@@ -1,25 +1,29 @@
-//===- forward.h - Flows that end at the targets themselves -----*- C++ -*-===//
+//===- forward.h - Packet forwarding of L4 flows ----------------*- C++ -*-===//
 ///
 /// \file
-/// The path of packets whose flows the targets end themselves: the balancer's
-/// and the agent's core. Both pure: packets, messages and the time in, packets
-/// and messages out through hooks.
+/// Forwards the packets of TCP flows to targets that terminate the flows
+/// themselves. Contains the packet-processing core of the balancer and of the
+/// agent, the process beside each target that all of the target's packets pass
+/// through. Both classes do no input or output: they receive packets, messages
+/// and the current time as arguments and send packets and messages through
+/// hooks.
 ///
-/// Any packet of a flow may land on any balancer. A balancer remembers where it
-/// sent a flow, but nothing rests on that memory: every packet carries the list
-/// of all agents whose target may hold its flow, the likeliest first. An agent
-/// offers the packet to its target; a target that does not hold the flow
-/// declines, and the agent sends the packet on to the next in the list. The
-/// target's word alone tells who holds a flow, so balancers and agents may be
-/// restarted at any time.
+/// Any packet of a flow may arrive at any balancer. A balancer caches where it
+/// sent a flow, but correctness does not depend on the cache: every packet
+/// carries a list of all agents whose target may own its flow, the most likely
+/// owner first. An agent offers the packet to its target. A target that does
+/// not own the flow declines the packet, and the agent passes it to the next
+/// agent in the list. Only the targets decide who owns a flow, so balancers and
+/// agents can be restarted at any time. Looking for a flow's owner in this way
+/// is called an owner lookup.
 ///
-/// A list holds as many agents as fit into a datagram. Where a service has
-/// more, the last agent gives the packet back to its balancer, which lists the
-/// next ones (routed_flag::Continues).
+/// A list holds as many agents as fit into one datagram. If a service has more,
+/// the last agent returns the packet to its balancer, which sends it on with a
+/// list of the next agents (routed_flag::Continues).
 ///
-/// A packet that all have declined belongs to no one. Its caller
-/// is told so at once by a reset, if the balancer was sure that its list was
-/// whole (routed_flag::Complete); silence would cost the caller its time limit.
+/// A packet that all agents have declined has no owner. If the balancer knew
+/// that its list was complete (routed_flag::Complete), the caller gets a reset
+/// immediately; without it the caller would wait until its request times out.
 ///
 /// Usage:
 /// \code
@@ -55,56 +59,60 @@
 // Packets
 //===----------------------------------------------------------------------===//
 
-/// One packet of a flow, as the platform frames it.
+/// One packet of a flow, decoded from the platform's framing.
 struct segment {
   /// Flow.Caller is the packet's source, Flow.Service its destination.
   tcp_packet Head;
-  /// A target gives the packet back: it does not hold the flow, or takes no
-  /// new one.
+  /// Set by a target that returns the packet because it does not own the flow
+  /// or accepts no new one.
   bool Declined = false;
-  /// What the agent wrote into the packet for itself; a target that declines
-  /// leaves it as it is.
+  /// A number that the agent writes into the packet for its own use. A target
+  /// that declines the packet returns it unchanged.
   std::uint32_t Tag = 0;
 };
 
-/// How packets are framed on this platform.
+/// Reads and writes packets in the platform's framing.
 struct segment_codec {
-  /// False if \p Bytes is no packet.
+  /// Returns false if \p Bytes is not a valid packet.
   std::function<bool(bytes_view Bytes, segment &Segment)> Parse;
-  /// Marks a packet on its way to the target.
+  /// Writes \p Tag into a packet that is about to be sent to the target.
   std::function<void(std::span<std::uint8_t> Packet, std::uint32_t Tag)> SetTag;
-  /// Makes a declined packet what it was when its sender wrote it.
+  /// Undoes the changes made to a declined packet, so that it is again as its
+  /// sender wrote it.
   std::function<void(std::span<std::uint8_t> Packet)> Restore;
-  /// Writes the reset that answers \p Packet; returns its size.
+  /// Writes the reset that answers \p Packet and returns its size.
   std::function<std::size_t(const tcp_packet &Packet,
                             std::span<std::uint8_t> Buffer)>
       WriteReset;
 };
 
 //===----------------------------------------------------------------------===//
-// What agents tell balancers
+// Messages between agents and balancers
 //===----------------------------------------------------------------------===//
 
-/// An agent's word on its target, to the balancers that send there.
+/// Load and state of an agent's target, sent to the balancers that send packets
+/// to the agent.
 struct load_report {
   service_id Service{};
   endpoint Agent;
-  /// New flows are taken: the target is there, heard of, and stays.
+  /// New flows are accepted: the target is running, its registration is known
+  /// to the balancers, and it is not being drained.
   bool Admitting = false;
-  /// The target answers what is put to it, and takes new flows.
+  /// The target responds to packets that are offered to it and accepts new
+  /// flows.
   bool Answering = true;
-  /// Requests at the target now, and how many it runs at once.
+  /// Requests at the target now, and how many it can process at once.
   std::uint16_t Active = 0;
   std::uint16_t Slots = 1;
-  /// Open flows.
+  /// Number of open flows.
   std::uint32_t Flows = 0;
-  /// Share of the slots in use, smoothed over about a second, in thousandths.
+  /// Share of the slots in use, smoothed over about one second, in thousandths.
   std::uint16_t Busy = 0;
-  /// Smoothed time to an answer's first byte.
+  /// Smoothed time to the first byte of an answer.
   duration Latency = duration::zero();
-  /// How long the target is still slower after its start.
+  /// Remaining time for which the target is slower because it has just started.
   duration Warmup = duration::zero();
-  /// Failures among its last answers, in thousandths.
+  /// Share of failures among the target's recent answers, in thousandths.
   std::uint16_t Failing = 0;
 
   bool operator==(const load_report &) const = default;
@@ -118,74 +126,78 @@
 bool isLoadReport(bytes_view Bytes);
 bool decodeLoadReport(bytes_view Bytes, load_report &Report);
 
-/// How long an agent that is asked for a load_report goes on reporting. An
-/// agent that does not know Once yet takes it for Lasting.
+/// For how long an agent reports after a request for a load_report. An agent of
+/// an older version that does not know Once treats it as Continued.
 enum class report_span : std::uint8_t { Continued = 0, Once = 1 };
 
-/// Asks an agent for a load_report.
+/// Requests a load_report from an agent.
 inline constexpr std::size_t LoadReportRequestBytes = 4;
 std::size_t encodeLoadReportRequest(report_span Span,
                                     std::span<std::uint8_t> Buffer);
 std::optional<report_span> decodeLoadReportRequest(bytes_view Bytes);
 
-/// Tells an agent that reports that the store's list does not hold it: its
-/// entry was taken out while it was cut off, and it has to announce itself
+/// Informs an agent that it is not in the store's registry. Its entry was
+/// removed while the agent was unreachable, and the agent has to register
 /// again.
 inline constexpr std::size_t UnregisteredNoticeBytes = 4;
 std::size_t encodeUnregisteredNotice(std::span<std::uint8_t> Buffer);
 bool isUnregisteredNotice(bytes_view Bytes);
 
-/// Tells an agent that admits no flows that its entry, for this service, has
-/// been known for SettleTime: it needs the store's word no more.
+/// Informs an agent that does not admit flows that its registration for this
+/// service has been known for SettleTime, so it need not wait for confirmation
+/// by the store.
 inline constexpr std::size_t RegisteredNoticeBytes = 8;
 std::size_t encodeRegisteredNotice(service_id Service,
                                    std::span<std::uint8_t> Buffer);
 bool decodeRegisteredNotice(bytes_view Bytes, service_id &Service);
 
-/// Tells an agent that admits no flows that its entry, for this service, stood
-/// in the first list that this balancer got after its start. It was written
-/// before then: if not by this run of the agent, then by a former one, and all
-/// know it.
+/// Informs an agent that does not admit flows that its registration for this
+/// service was in the first registry this balancer read after its start. The
+/// entry was written earlier, by this run of the agent or a previous one, so
+/// all balancers know it.
 inline constexpr std::size_t RegistrationFoundNoticeBytes = 8;
 std::size_t encodeRegistrationFoundNotice(service_id Service,
                                           std::span<std::uint8_t> Buffer);
 bool decodeRegistrationFoundNotice(bytes_view Bytes, service_id &Service);
 
 //===----------------------------------------------------------------------===//
-// Where new flows go
+// Placement of new flows
 //===----------------------------------------------------------------------===//
 
 /// What a balancer knows of one target when it places a flow.
 struct placement_candidate {
   bool OwnZone = false;
-  /// It has reported since it came into the list.
+  /// A load report has arrived since the target was registered.
   bool Reported = true;
-  /// Its last report is of now, not of some seconds ago.
+  /// The last load report is recent enough for its load figures to be used;
+  /// otherwise it may be seconds old.
   bool Fresh = true;
   bool Admitting = true;
-  /// It does not answer, or does not confirm what is sent to it.
+  /// The target does not respond, or no load report confirms the packets that
+  /// were sent to it.
   bool Suspect = false;
   std::uint32_t Slots = 1;
   std::uint32_t Flows = 0;
-  /// Flows placed there since its last report.
+  /// Number of flows placed at the target since its last report.
   std::uint32_t Placed = 0;
   std::uint16_t Active = 0;
   std::uint16_t Busy = 0;
   duration Latency = duration::zero();
   duration Warmup = duration::zero();
-  /// Failures among its last answers, in thousandths.
+  /// Share of failures among the target's recent answers, in thousandths.
   std::uint16_t Failing = 0;
 };
 
-/// Chooses among the targets of one service; see placement.cpp for the loads
-/// it answers.
+/// Chooses a target of one service for a new flow. See placement.cpp for the
+/// load patterns it handles.
 class placement {
 public:
   explicit placement(const mechanism_set &DisabledMechanisms = {})
       : DisabledMechanisms(DisabledMechanisms) {}
 
-  /// \p Order: positions in \p Targets, the flow's own order of preference.
-  /// Returns a position in \p Targets, or nothing if no target takes flows.
+  /// \p Order holds positions in \p Targets in the flow's own order of
+  /// preference. Returns a position in \p Targets, or nothing if no target
+  /// accepts flows.
   std::optional<std::size_t>
   choose(const std::vector<placement_candidate> &Targets,
          const std::vector<std::size_t> &Order) const;
@@ -198,14 +210,15 @@
 // The balancer
 //===----------------------------------------------------------------------===//
 
-/// What became of a caller's packet.
+/// What the balancer did with a packet from a caller.
 enum class forward_outcome {
   Placed,
   Sent,
   SentFromCache,
   NoRoute,
   NoTarget,
-  /// The list of holders is empty or not known well enough to say so.
+  /// The list of owner candidates is empty, or knowledge of routes and targets
+  /// is not current enough to reset the flow.
   Indeterminate,
   Malformed,
 };
@@ -220,40 +233,42 @@
     {forward_outcome::Malformed, "malformed"},
 }};
 
-/// One decision about a flow, for the log.
+/// One decision about a flow, for the event log.
 struct flow_event {
   event_kind What{};
   std::string_view Why;
   flow_key Flow;
   /// The agent concerned, if any.
   endpoint Agent;
-  /// Figures that decided it, and the age of what was known.
+  /// The load figure behind the decision, and the age of the knowledge it was
+  /// based on.
   double Load = 0;
   duration Age = duration::zero();
 };
 
 struct forward_balancer_settings {
-  /// Where agents send notices and reports.
+  /// The address to which agents send owner notices and load reports.
   endpoint Self;
   std::string Zone;
-  /// Flows remembered at most; 32 bytes each, taken as they come.
+  /// Maximum number of cached flows. Each takes 32 bytes, allocated on demand.
   std::size_t MaxFlows = 200'000;
-  /// The longest life of a flow.
+  /// Maximum lifetime of a flow.
   duration FlowLife = std::chrono::minutes(1);
-  /// Switched off for an experiment.
+  /// Mechanisms that are disabled for an experiment.
   mechanism_set DisabledMechanisms = {};
 };
 
 struct forward_balancer_hooks {
   std::function<void(const endpoint &Agent, bytes_view)> SendToAgent;
-  /// A packet for a caller, by the route's own address.
+  /// Sends a packet to a caller, with the route's own address as the source.
   std::function<void(const endpoint &Caller, bytes_view)> SendToCaller;
   std::function<void(const flow_event &)> OnEvent;
-  /// The time line's clock, which a new flow's first packet carries; may be
-  /// empty.
+  /// Returns the logical clock of the event log, which the first packet of a
+  /// new flow carries. May be empty.
   std::function<std::uint64_t()> Clock;
-  /// An agent of the own zone has not answered for \p Silence, and every flow
-  /// that its target held is over. May be empty.
+  /// Called when an agent of the own zone has not responded for \p
+  /// UnresponsiveFor, long enough for every flow of its target to have ended.
+  /// May be empty.
   std::function<void(const endpoint &Agent, duration UnresponsiveFor)>
       OnAgentLost;
 };
@@ -265,7 +280,7 @@
   std::uint64_t Reports = 0;
   std::uint64_t ReportRequests = 0;
   std::uint64_t Suspicions = 0;
-  /// Lists after the first one of a packet.
+  /// Lists sent after the first one for the same packet.
   std::uint64_t LookupsContinued = 0;
 };
 
@@ -279,18 +294,19 @@
   forward_balancer(const forward_balancer &) = delete;
   forward_balancer &operator=(const forward_balancer &) = delete;
 
-  /// From now on these are all routes.
+  /// Replaces all routes.
   void setRoutes(const std::vector<route_rule> &Routes);
-  /// All others stay as they are.
+  /// Applies \p Changes; all other routes stay as they are.
   void changeRoutes(const rule_changes &Changes);
   void setTargets(const std::vector<target_entry> &Targets, instant Now);
-  /// Routes and targets miss nothing from before \p Moment.
+  /// Sets the time up to which routes and targets include every change.
   void setKnownAsOf(std::optional<instant> Moment);
 
   forward_outcome onCallerPacket(bytes_view Bytes, instant Now);
-  /// A datagram from an agent: an owner's notice or a load report.
+  /// Handles a datagram from an agent: a load report, an owner notice, or a
+  /// packet whose owner lookup is to continue with the next list.
   void onAgentMessage(const endpoint &From, bytes_view Bytes, instant Now);
-  /// Call it every TickPeriod.
+  /// Has to be called every TickPeriod.
   void tick(instant Now);
 
   const forward_balancer_counters &counters() const;
@@ -308,52 +324,55 @@
 
 struct forward_agent_settings {
   service_id Service{};
-  /// Where this agent takes routed packets.
+  /// The address at which this agent receives routed packets.
   endpoint Self;
-  /// Switched off for an experiment.
+  /// Mechanisms that are disabled for an experiment.
   mechanism_set DisabledMechanisms = {};
 };
 
 struct forward_agent_hooks {
   std::function<void(bytes_view)> SendToTarget;
-  /// A routed packet to another agent, or a message to a balancer.
+  /// Sends a routed packet to another agent, or a message to a balancer.
   std::function<void(const endpoint &To, bytes_view)> SendToPeer;
   std::function<void(const endpoint &Caller, bytes_view)> SendToCaller;
-  /// Something put to the target got no answer: look whether it is there.
+  /// A packet offered to the target was not answered in time; the callee should
+  /// check whether the target is running.
   std::function<void()> TargetUnresponsive;
-  /// A packet's text may name a request: for the log.
+  /// The payload of \p Packet may contain a request identifier, for the event
+  /// log.
   std::function<void(const flow_key &, bytes_view Packet)> OnRequest;
-  /// \p Packet begins the answer to a request that came \p Took ago.
+  /// \p Packet begins the answer to a request that arrived \p Took ago.
   std::function<void(const flow_key &, bytes_view Packet, duration Took)>
       OnAnswer;
   std::function<void(const flow_event &)> OnEvent;
-  /// The time line's clock of the balancer that placed a flow; may be empty.
+  /// Receives the logical clock of the balancer that placed a flow. May be
+  /// empty.
   std::function<void(std::uint64_t)> ObserveClock;
-  /// A balancer says that the store does not hold this agent's entry; may be
+  /// A balancer reports that this agent is not in the store's registry. May be
   /// empty.
   std::function<void()> Unregistered;
-  /// No balancer has sent or asked anything for a minute, and the last one
-  /// known may be gone: only the store can say whether the entry still stands.
-  /// May be empty.
+  /// No balancer has sent a packet or a request for one minute, and the last
+  /// known one may have stopped. The registration may have been removed
+  /// unnoticed, so the callee has to check it in the store. May be empty.
   std::function<void()> NoBalancerContact;
-  /// A balancer says that this agent's entry has been known for SettleTime; may
-  /// be empty.
+  /// A balancer reports that this agent's registration has been known for
+  /// SettleTime. May be empty.
   std::function<void()> Registered;
-  /// A balancer found this agent's entry when it started; may be empty.
+  /// A balancer found this agent's registration when it started. May be empty.
   std::function<void()> RegistrationFound;
 };
 
-/// What became of a packet at an agent.
+/// What the agent did with a packet.
 enum class agent_outcome {
   Delivered,
   PassedOn,
   /// The target answered the caller.
   Answered,
-  /// Nobody holds the flow, and the caller was told.
+  /// No target owns the flow; the caller was sent a reset.
   Reset,
-  /// A new flow that no target takes, and the caller was told.
+  /// No target accepts this new flow; the caller was sent a reset.
   Refused,
-  /// Nobody in the list holds the flow, but the list may not be whole.
+  /// No target in the list owns the flow, but the list may be incomplete.
   Indeterminate,
   Malformed,
 };
@@ -386,38 +405,41 @@
   forward_agent(const forward_agent &) = delete;
   forward_agent &operator=(const forward_agent &) = delete;
 
-  /// Whether new flows may be offered to the target. Takes effect with the
+  /// Sets whether new flows may be offered to the target, starting with the
   /// next packet.
   void setAdmitting(bool Admitting);
   bool admitting() const;
-  /// The target's process is gone, or there: while it is gone, it holds no
-  /// flow and every packet counts as declined.
+  /// Sets whether the target's process has stopped. A stopped target owns no
+  /// flow, and every packet counts as declined.
   void setTargetStopped(bool Gone, instant Now);
   bool targetStopped() const;
-  /// The target runs so many requests at once and is slow for that long.
+  /// Sets how many requests the target processes at once and for how long it is
+  /// slower after its start.
   void setTarget(std::uint32_t Slots, duration Warmup, instant Now);
-  /// The target has answered a request on \p Flow; \p Failed: not with what was
-  /// asked for.
+  /// The target has answered a request on \p Flow. \p Failed is true if the
+  /// answer was an error.
   void noteAnswer(const flow_key &Flow, bool Failed, instant Now);
   void setIdleFlow(duration IdleFlow);
 
-  /// Open flows whose handshake was seen by \p Moment, the oldest first.
+  /// Returns the open flows whose handshake was seen by \p Moment, the oldest
+  /// first.
   std::vector<open_flow> openFlows(instant Moment) const;
-  /// Tells the callers of flows that a former run of the target held. A flow
-  /// that was seen since this agent started is another one under the same
-  /// addresses, and is left alone.
+  /// Sends resets to the callers of flows that a previous run of the target
+  /// owned. A flow that was seen since this agent started is a different flow
+  /// with the same addresses and is not reset.
   void resetPreviousFlows(const std::vector<open_flow> &Flows);
 
-  /// A datagram of a balancer or of another agent.
+  /// Handles a datagram from a balancer or another agent.
   agent_outcome onRouted(const endpoint &From, bytes_view Bytes, instant Now);
   agent_outcome onTargetPacket(bytes_view Bytes, instant Now);
 
-  /// Call it every TickPeriod.
+  /// Has to be called every TickPeriod.
   void tick(instant Now);
-  /// Passes on what the target has not answered in time; when to call it next,
-  /// if anything waits.
+  /// Passes on packets that the target has not answered in time. Returns when
+  /// it has to be called next, or nothing if no packet is waiting.
   std::optional<instant> expire(instant Now);
-  /// Tells every balancer heard lately where this agent stands, now.
+  /// Sends a load report immediately to every balancer that sent something
+  /// recently.
   void reportNow(instant Now);
 
   const forward_agent_counters &counters() const;
--- a/src/forward/agent_table.h
+++ b/src/forward/agent_table.h
@@ -1,20 +1,22 @@
-//===- agent_table.h - The agents that a balancer sends to -----*- C++ -*-===//
+//===- agent_table.h - State of the agents a balancer uses ------*- C++ -*-===//
 ///
 /// \file
-/// What a balancer knows of each agent: its entry in the store, its last
-/// report, and whether it still confirms what is sent to it.
+/// Keeps what a balancer knows of each agent: its registration in the store,
+/// its last load report, and whether it still confirms the packets sent to it.
 ///
-/// A VM that dies or is cut off says nothing; packets sent there vanish, and a
-/// list that is walked through it ends there. Agents therefore report as long
-/// as packets come. One that got packets, or a question, and has not reported
-/// for SuspectAfter goes to the end of every list and gets no new flows until
-/// it reports again.
+/// A VM that fails or loses its connection sends nothing; packets sent there
+/// are lost, and an owner lookup that reaches it ends there. Agents therefore
+/// send load reports while they receive packets. An agent that was sent
+/// packets, or a request for a report, and has not reported for SuspectAfter is
+/// moved to the end of every candidate list and gets no new flows until it
+/// reports again.
 ///
-/// A list names agents that were sent nothing for long. Whether those are there
-/// is asked when a walk begins; who has not answered by the caller's next
-/// packet stands behind the others in the next walk. Without the question a VM
-/// that is gone would swallow every packet of a flow whose owner stands behind
-/// it.
+/// A candidate list also contains agents that were sent nothing for a long
+/// time. When an owner lookup begins, the balancer requests a load report from
+/// these. Agents that have not answered by the time the caller retransmits are
+/// placed behind the others in the next lookup. Without the request, a failed
+/// VM would swallow every packet of a flow whose owner comes after it in the
+/// list.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -40,35 +42,38 @@
 struct agent_state {
   endpoint Agent;
   service_id Service{};
-  /// The zone's place in the order of zones: 0 is the balancer's own. Lists go
-  /// zone by zone, so that a walk crosses each link between zones once.
+  /// Position of the zone in the order of zones; 0 is the balancer's own zone.
+  /// Lists are sorted by zone, so that a lookup crosses each link between zones
+  /// once.
   std::uint32_t ZoneOrder = 0;
   bool Draining = false;
-  /// Since when the store's list names this agent for this service.
+  /// Since when the store's registry has this agent for this service.
   instant RegisteredSince;
-  /// It stood in the first list that this balancer got, and the agent itself,
-  /// not a balancer for it, had written the entry.
+  /// The agent was in the first registry that this balancer read, and the entry
+  /// was written by the agent itself, not by a balancer on its behalf.
   bool FoundAtStart = false;
-  /// In the store's list; others are only remembered for their flows.
+  /// The agent is in the store's registry.
   bool Registered = true;
   load_report Report;
   std::optional<instant> ReportedAt;
-  /// The first packet sent since the last report.
+  /// When the first packet since the last report was sent.
   std::optional<instant> FirstSentAt;
-  /// The first question since the last report.
+  /// When the first request since the last report was sent.
   std::optional<instant> FirstRequestedAt;
   std::uint32_t Placed = 0;
   bool Suspect = false;
-  /// Since when it has been suspect.
+  /// Since when the agent has been suspect.
   instant SuspectSince;
-  /// Whether it stands behind the others in walks, for each order_parity.
+  /// Whether the agent comes after the others in owner lookups, for each
+  /// order_parity.
   std::array<bool, 2> Deprioritized{};
 
-  /// A question is answered within this time, the way to another zone and back
-  /// included; less than a caller waits before it sends again.
+  /// Time within which a request for a report is answered, including the round
+  /// trip to another zone. Shorter than the time after which a caller
+  /// retransmits.
   static constexpr duration ReportResponseTime = std::chrono::milliseconds(100);
-  /// Agents that packets come to report every 200 ms. One that has not reported
-  /// within this time may be gone since.
+  /// Agents that receive packets report every 200 ms. One that has not reported
+  /// within this time may have failed since.
   static constexpr duration RecentReportWindow = std::chrono::milliseconds(300);
 
   bool isOwnZone() const { return ZoneOrder == 0; }
@@ -78,8 +83,8 @@
   bool hasReportedRecently(instant Now) const {
     return hasReportedSince(Now - RecentReportWindow);
   }
-  /// Packets were sent there for \p Time, or a question that long ago, and no
-  /// report has come since.
+  /// Returns true if packets, or a request for a report, were first sent more
+  /// than \p Time ago and no report has arrived since.
   bool isUnresponsiveFor(duration Time, instant Now) const {
     return (FirstSentAt && Now - *FirstSentAt > Time) ||
            (FirstRequestedAt && Now - *FirstRequestedAt > Time);
@@ -87,7 +92,8 @@
   bool isDeprioritized(order_parity Parity) const {
     return Deprioritized[static_cast<std::size_t>(Parity)];
   }
-  /// It may be gone: a walk that goes there may end there.
+  /// Returns true if the agent may have failed, so that a lookup that goes
+  /// there may end there.
   bool isUnverified(instant Now) const {
     return Suspect ||
            (FirstRequestedAt && Now - *FirstRequestedAt > ReportResponseTime);
@@ -96,26 +102,28 @@
 
 class agent_table {
 public:
-  /// Two reports and a late timer.
+  /// Two report periods plus the delay of a late timer.
   static constexpr duration SuspectAfter = std::chrono::milliseconds(500);
-  /// One report that is missing: others are preferred for new flows.
+  /// One missing report; other agents are then preferred for new flows.
   static constexpr duration UnverifiedAfter = std::chrono::milliseconds(300);
-  /// Agents of the own zone are asked when they have not reported for so long:
-  /// idle ones report nothing by themselves.
+  /// A report is requested from agents of the own zone that have not reported
+  /// for this time, because idle agents send none by themselves.
   static constexpr duration ReportRequestDelay = std::chrono::seconds(1);
-  /// Questions in one round to the own zone: bounds the control traffic of a
-  /// zone of thousands.
+  /// Requests per round to agents of the own zone. Bounds the control traffic
+  /// in a zone with thousands of agents.
   static constexpr std::size_t ReportRequestsPerRound = 16;
-  /// And to others, where only those are asked again that have not answered.
+  /// Requests per round to agents of other zones. Only agents that have not
+  /// answered an earlier request are asked again.
   static constexpr std::size_t RemoteReportRequestsPerRound = 4;
-  /// Agents that went or came back since the order was renewed. With more of
-  /// them, as after a loss of power, the order is renewed seldom:
+  /// Up to this many changed agents, the order is renewed at once. With more,
+  /// as after a power failure, it is renewed once per BulkRenewalInterval.
   static constexpr std::ptrdiff_t SmallChangeCount = 4;
-  /// a walk through hundreds of targets then takes most of this time.
+  /// A lookup through hundreds of targets takes most of this time.
   static constexpr duration BulkRenewalInterval = std::chrono::seconds(1);
 
-  /// \p Seed: unlike that of other balancers, which would otherwise all ask
-  /// the same agents first, while the others of a large zone wait for minutes.
+  /// \p Seed has to differ between balancers. Otherwise all of them would start
+  /// with the same agents, and the other agents of a large zone would wait for
+  /// minutes.
   agent_table(std::string Zone, std::uint64_t Seed)
       : Zone(std::move(Zone)), Seed(Seed) {}
 
@@ -126,22 +134,25 @@
   const agent_state &at(std::size_t Index) const { return Agents[Index]; }
   std::size_t size() const { return Agents.size(); }
 
-  /// What walks that begin now go by.
+  /// The parity of the order that new owner lookups use.
   order_parity orderParity() const { return Parity; }
-  /// Takes over who is doubtful now for walks that begin from now on. Those
-  /// under way keep their order, unless it is renewed twice meanwhile: in one
-  /// that changes, an agent may be left out, and a flow that nobody holds
-  /// cannot be told so. After a loss of power many agents change at every look,
-  /// and the order is renewed seldom.
+  /// Updates the order of new owner lookups by which agents are unverified now.
+  /// Lookups in progress keep their order unless it is renewed twice in the
+  /// meantime. If the order changes during a lookup, an agent may be skipped,
+  /// and a flow without an owner can then not be reset. After a power failure
+  /// many agents change state in every round, so the order is renewed less
+  /// often.
   void renewOrder(instant Now);
 
   void noteSent(const endpoint &Agent, instant Now);
-  /// A question was sent there.
+  /// Records that a report was requested from \p Agent.
   void noteReportRequested(const endpoint &Agent, instant Now);
-  /// Returns the agent that reports, or null if the list does not name it for
-  /// its service.
+  /// Returns the agent that sent \p Report, or null if the registry does not
+  /// have it for its service.
   agent_state *noteReport(const load_report &Report, instant Now);
-  /// Finds the suspects and whom to ask; true if a suspicion changed.
+  /// Marks unresponsive agents as suspect, calls \p OnSuspicion for each, and
+  /// adds the agents to request a report from to \p Requests. Returns true if
+  /// an agent became suspect.
   bool review(instant Now, std::vector<endpoint> &Requests,
               const std::function<void(const agent_state &)> &OnSuspicion);
 
@@ -149,22 +160,25 @@
   static void applyReport(agent_state &State, const load_report &Report,
                           instant Now);
   static bool needsReportRequest(const agent_state &State, instant Now);
-  /// Adds to \p Requests who is to be asked in this round, from \p Next on.
+  /// Adds the agents to request a report from in this round to \p Requests,
+  /// starting at \p Next.
   void collectReportRequests(instant Now, bool OwnZone, std::size_t Most,
                              std::size_t &Next,
                              std::vector<endpoint> &Requests);
-  /// Calls \p Each for every entry of the address.
+  /// Calls \p Each for every entry with this address.
   template <typename Function>
   void forEachAt(const endpoint &Agent, const Function &Each);
 
   std::string Zone;
   std::uint64_t Seed;
   std::vector<agent_state> Agents;
-  /// The first entry of each address, and where several have one, the others.
+  /// The first entry of each address; if several entries have the same address,
+  /// MoreByEndpoint holds the others.
   std::unordered_map<endpoint, std::size_t, endpoint_hash> ByEndpoint;
   std::unordered_multimap<endpoint, std::size_t, endpoint_hash> MoreByEndpoint;
   std::map<service_id, std::vector<std::size_t>> ByService;
-  /// Where the next round of questions begins, in the own zone and elsewhere.
+  /// Where the next round of requests begins, for the own zone and for other
+  /// zones.
   std::size_t NextRequested = 0;
   std::size_t NextRemoteRequested = 0;
   order_parity Parity = order_parity::Even;
--- a/src/forward/candidate_list.h
+++ b/src/forward/candidate_list.h
@@ -1,9 +1,10 @@
-//===- candidate_list.h - Who may hold a flow, likeliest first -----*- C++
+//===- candidate_list.h - Owner candidates in order -------------*- C++ -*-===//
 //-*-===//
 ///
 /// \file
-/// Writes the list of agents that a packet carries. Fixed arrays and scratch
-/// space that is kept: this runs for every packet.
+/// Writes the list of agents that a packet carries: the agents whose targets
+/// may own the flow, the most likely owner first. Uses fixed arrays and reuses
+/// its buffers because this code runs for every packet.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,14 +18,14 @@
 
 namespace marjoramrail::internal {
 
-/// The agents of a packet, as many as its head can name.
+/// The agents listed in one packet, at most as many as fit into its header.
 class candidate_list {
 public:
-  /// For a packet of \p PacketBytes.
+  /// \p PacketBytes is the size of the packet that follows the list.
   explicit candidate_list(std::size_t PacketBytes)
       : Limit(std::max<std::size_t>(ownersThatFit(PacketBytes), 1)) {}
 
-  /// False if the list is full.
+  /// Returns false if the list is full.
   bool add(const endpoint &Agent) {
     if (Count == Limit)
       return false;
@@ -45,40 +46,42 @@
   std::size_t Count = 0;
 };
 
-/// Orders the agents of a roster for one flow.
+/// Sorts the agents of an agent table for one flow.
 class candidate_order {
 public:
   explicit candidate_order(const agent_table &AgentTable)
       : AgentTable(AgentTable) {}
 
-  /// Rendezvous order of \p Agents (positions in the roster) for \p Flow: alike
-  /// on every balancer, so that one that has not heard of a flow looks for it
-  /// first where it was most likely placed. Positions in \p Agents; valid until
-  /// the next call.
+  /// Returns the rendezvous hashing order of \p Agents (positions in the table)
+  /// for \p Flow, as positions in \p Agents. The order is the same on every
+  /// balancer, so a balancer that has not seen a flow looks for it first where
+  /// it was most likely placed. The result is valid until the next call.
   const std::vector<std::size_t> &
   forFlow(const std::vector<std::size_t> &Agents, const flow_key &Flow);
 
-  /// Works out the order in which a walk asks \p Agents: own zone before
-  /// others, zone by zone, and those that do not answer at the end, where a
-  /// walk that they swallow has already asked everyone else. \p OwnOrder: in
-  /// the flow's own order within each zone.
+  /// Sorts \p Agents for an owner lookup: the own zone first, then zone by
+  /// zone, and unverified agents at the end, so that a packet lost there has
+  /// already been offered to all others. If \p OwnOrder is set, agents within a
+  /// zone are in the flow's rendezvous order.
   void sortForLookup(const std::vector<std::size_t> &Agents,
                      const flow_key &Flow, bool OwnOrder, instant Now);
-  /// The same, in the flow's own order, for a walk that one list does not hold:
-  /// those stand at the end who did when \p Parity was current.
+  /// Like sortForLookup, in the flow's own order, for a lookup that needs
+  /// several lists. The agents at the end are those that were there when \p
+  /// Parity was current.
   void sortForContinuedLookup(const std::vector<std::size_t> &Agents,
                               const flow_key &Flow, order_parity Parity);
-  /// Of that order, those who come after \p Listed, as many as fit; \p First
-  /// (if any) in front. Returns where the next list begins, or nothing if it
-  /// names everyone.
+  /// Adds to \p List the agents after the first \p Listed of that order, as
+  /// many as fit, with \p First (if any) in front. Returns where the next list
+  /// begins, or nothing if all agents are listed.
   std::optional<lookup_cursor> list(std::size_t Listed,
                                     const std::optional<endpoint> &First,
                                     candidate_list &List) const;
-  /// Where a walk begins that has asked nobody of any order.
+  /// Returns the cursor of a lookup that has listed no agent yet.
   lookup_cursor initialCursor() const {
     return {0, AgentTable.orderParity(), fingerprint(0)};
   }
-  /// Whether that order begins as it did when \p Cursor was written.
+  /// Returns true if the agents listed so far are the same as when \p Cursor
+  /// was written.
   bool hasSamePrefix(const lookup_cursor &Cursor) const;
 
 private:
@@ -94,7 +97,7 @@
 
   const agent_table &AgentTable;
   std::vector<scored> Scores;
-  /// By which they were sorted.
+  /// The parity that the agents were sorted by.
   order_parity Parity = order_parity::Even;
   std::vector<std::size_t> Order;
 };
--- a/src/forward/failure_watch.h
+++ b/src/forward/failure_watch.h
@@ -1,13 +1,13 @@
-//===- failure_watch.h - How often a target fails its callers ---*- C++ -*-===//
+//===- failure_watch.h - Failure rate of a target's answers -----*- C++ -*-===//
 ///
 /// \file
-/// The load: a target answers part of its requests with an error, at once. It
-/// has nothing in its queue and its answers come quickly, so by load alone it
-/// is the best choice of its zone, and the more it fails, the more it is given.
-/// Its own health says nothing of it.
+/// Measures how often a target answers requests with an error. A target that
+/// fails part of its requests at once has an empty queue and low latency, so by
+/// load alone it is the best choice of its zone, and the more it fails, the
+/// more flows it gets. Its own health check does not show this.
 ///
 /// The agent sees every answer on its way to the caller and reports the share
-/// of failures among the last ones; see placement.cpp for what becomes of it.
+/// of failures among recent answers; see placement.cpp for how it is used.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,15 +23,16 @@
 
 class failure_watch {
 public:
-  /// Weight of an answer: the last twenty or so count. One failure now and then
+  /// Weight of one answer, so that about the last twenty count. One failure
   /// moves the share by a twentieth; a target that fails half of its requests
-  /// passes a tenth within five answers.
+  /// exceeds a tenth within five answers.
   static constexpr double Smoothing = 0.05;
-  /// A target that has answered nothing for so long is believed less and less,
-  /// or it could never show that it is well again,
+  /// If a target has answered nothing for this time, its failure share decays.
+  /// Otherwise it would get no flows and could not show that it has recovered.
   static constexpr duration IdleDecayDelay = std::chrono::seconds(1);
-  /// by this share with each tick, five a second: a target that failed all is
-  /// tried again after three seconds, one that failed a third after two.
+  /// Factor applied with each tick, five times a second: a target that failed
+  /// every request is tried again after three seconds, one that failed a third
+  /// after two.
   static constexpr double IdleDecayPerTick = 0.8;
 
   void onAnswer(bool Failed, instant Now) {
@@ -39,22 +40,23 @@
     AnsweredAt = Now;
   }
 
-  /// Call it every forward_agent::TickPeriod.
+  /// Has to be called every forward_agent::TickPeriod.
   void tick(instant Now) {
     if (Now - AnsweredAt >= IdleDecayDelay)
       Share *= IdleDecayPerTick;
   }
 
-  /// Failures among the last answers, 0 to 1.
+  /// Share of failures among recent answers, 0 to 1.
   double share() const { return Share; }
-  /// The same as reports carry it.
+  /// The same in thousandths, as load reports carry it.
   std::uint16_t thousandths() const {
     return static_cast<std::uint16_t>(Share * 1000);
   }
 
-  /// What the log tells: whether the target counts as failing, by this share
-  /// alone. It goes at half of where it came, so that a share that stays near
-  /// the limit does not fill the log. True if that has changed.
+  /// Updates fails(), the failure state for the event log, which depends on
+  /// this share alone. The state is cleared at half the threshold at which it
+  /// is set, so that a share near the threshold does not fill the log. Returns
+  /// true if the state has changed.
   bool review() {
     const bool Fails =
         Share > (LoggedFailing ? LogThreshold / 2 : LogThreshold);
@@ -63,8 +65,8 @@
   bool fails() const { return LoggedFailing; }
 
 private:
-  /// Where the median of the service is zero, balancers avoid a target from
-  /// here on.
+  /// If the median of the service is zero, balancers avoid a target above this
+  /// share.
   static constexpr double LogThreshold = 0.1;
 
   bool LoggedFailing = false;
--- a/src/forward/flow_cache.h
+++ b/src/forward/flow_cache.h
@@ -1,8 +1,9 @@
-//===- flow_cache.h - Where a balancer sent a flow -------------*- C++ -*-===//
+//===- flow_cache.h - Cached owners of flows --------------------*- C++ -*-===//
 ///
 /// \file
-/// Spares packets the walk through their list. Soft state: losing it costs a
-/// detour and breaks nothing.
+/// Caches to which agent a balancer sent each flow, so that most packets need
+/// no owner lookup. This is soft state: a lost entry costs a lookup and breaks
+/// no flow.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -15,18 +16,18 @@
 
 namespace marjoramrail::internal {
 
-/// Where a flow's packets go.
+/// The agent that a flow's packets are sent to.
 struct flow_place {
   endpoint Agent;
-  /// The agent named itself as the owner, or got packets of the open flow while
-  /// it was there and another owner would have named itself. If not, the flow
-  /// was only placed there, and another one may have taken it.
+  /// The agent reported itself as the owner, or received packets of the open
+  /// flow while it was running and no other agent reported itself. If false,
+  /// the flow was only placed there, and another target may have accepted it.
   bool IsConfirmed = false;
 };
 
 class flow_cache {
 public:
-  /// Flows that say nothing for longer are walked for again.
+  /// A flow without packets for longer needs an owner lookup again.
   static constexpr duration IdleRetention = std::chrono::seconds(60);
 
   explicit flow_cache(std::size_t MaxFlows) : MaxFlows(MaxFlows) {}
--- a/src/forward/forward_balancer_impl.h
+++ b/src/forward/forward_balancer_impl.h
@@ -1,9 +1,9 @@
-//===- forward_balancer_impl.h - The parts of the balancer ------*- C++ -*-===//
+//===- forward_balancer_impl.h - Implementation of the balancer -*- C++ -*-===//
 ///
 /// \file
-/// The balancer's core behind its public face. new_flows.cpp places flows,
-/// flow_walk.cpp sends the packets of open ones to whoever may hold them,
-/// forward_balancer.cpp does the rest.
+/// The implementation class behind forward_balancer. new_flows.cpp places new
+/// flows, owner_lookup.cpp sends packets of open flows to their owner or to the
+/// owner candidates, and forward_balancer.cpp does the rest.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -26,7 +26,7 @@
 struct route_state {
   std::vector<weighted_service> Shares;
   std::uint64_t TotalWeight = 0;
-  /// Every service that may still hold flows of the route.
+  /// Every service whose targets may still own flows of the route.
   std::vector<service_id> OwnerServices;
 };
 
@@ -102,15 +102,16 @@
   internal::candidate_order Order{AgentTable};
   internal::flow_cache FlowCache;
   internal::recent_lookups RecentLookups;
-  /// Scratch space of one packet's decision.
+  /// Buffers that are reused for each packet.
   std::vector<placement_candidate> Views;
   std::vector<std::size_t> Candidates;
   placement Placement{Settings.DisabledMechanisms};
   std::map<endpoint, internal::route_state> Routes;
   std::optional<instant> KnownAsOf;
-  /// Questions a second, and at once: those of a small site.
+  /// Report requests of first lookups: requests per second, and the largest
+  /// burst, which covers a small site.
   token_bucket FirstLookupRequests{8, 16};
-  /// And those of a whole list.
+  /// The same for repeated lookups; the burst covers one full list.
   token_bucket RepeatedLookupRequests{40, MaxRoutedOwners};
   forward_balancer_counters Counters;
   int Ticks = 0;
--- a/src/forward/lookup_cursor.h
+++ b/src/forward/lookup_cursor.h
@@ -1,16 +1,16 @@
-//===- lookup_cursor.h - How far a packet's walk has come ---------*- C++
+//===- lookup_cursor.h - Position of an owner lookup ------------*- C++ -*-===//
 //-*-===//
 ///
 /// \file
 /// A service may have more targets than one list can name. The packet then
-/// carries how many of the flow's order the lists have named so far, and a
-/// fingerprint of them. The balancer keeps nothing of it: it works the order
-/// out again when the packet comes back, and the fingerprint tells whether
-/// those left out until now are still exactly the rest.
+/// carries how many agents of the flow's order the lists have named so far, and
+/// a fingerprint of these. The balancer stores nothing: it computes the order
+/// again when the packet comes back, and the fingerprint shows whether the
+/// agents not yet listed are still exactly the rest of that order.
 ///
-/// Without the fingerprint a target that joins or leaves in between would shift
-/// the order, the flow's owner might be asked by no list, and the flow be reset
-/// although its owner is well.
+/// Without the fingerprint, a target that joins or leaves during the lookup
+/// would shift the order. The flow's owner could then be in none of the lists,
+/// and the flow would be reset although its owner is running.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,15 +21,15 @@
 
 namespace marjoramrail::internal {
 
-/// The last two states of who stands behind the others in walks; a walk keeps
-/// to the one that it began with.
+/// Identifies one of the last two versions of the order of agents in lookups. A
+/// lookup keeps the version it began with.
 enum class order_parity : std::uint8_t { Even = 0, Odd = 1 };
 
 struct lookup_cursor {
-  /// Agents of the flow's order that were named; 15 bits.
+  /// Number of agents of the flow's order that were listed; 15 bits.
   std::uint16_t Listed = 0;
   order_parity Parity = order_parity::Even;
-  /// A hash of them in their order; 48 bits.
+  /// A hash of these agents in their order; 48 bits.
   std::uint64_t Fingerprint = 0;
 
   bool operator==(const lookup_cursor &) const = default;
@@ -40,7 +40,7 @@
 inline constexpr std::uint64_t FingerprintMask =
     (std::uint64_t{1} << FingerprintBits) - 1;
 
-/// As routed_packet::Version carries it.
+/// Encodes \p Cursor for routed_packet::Version.
 inline std::uint64_t encodeCursor(const lookup_cursor &Cursor) {
   const auto Parity = static_cast<std::uint64_t>(Cursor.Parity);
   return std::uint64_t{Cursor.Listed} << ListedShift |
--- a/src/forward/recent_lookups.h
+++ b/src/forward/recent_lookups.h
@@ -1,18 +1,20 @@
-//===- recent_lookups.h - Flows that are being looked for ---------*- C++
+//===- recent_lookups.h - Owner lookups in progress -------------*- C++ -*-===//
 //-*-===//
 ///
 /// \file
-/// After a loss of power thousands of flows belong to nobody, and each of their
-/// callers sends again every few hundred milliseconds. A walk through all
-/// targets of a large service takes longer than that. Were every copy to walk
-/// for itself, the walks would keep agents and the links between zones busy,
-/// and callers would be told the later. So one walk at a time goes through all
-/// zones for a flow; other packets are only shown to the targets of the own
-/// zone, where an owner most likely is.
+/// Limits the owner lookups for each flow. After a power failure thousands of
+/// flows have no owner, and each caller retransmits every few hundred
+/// milliseconds. A lookup through all targets of a large service takes longer
+/// than that. If every retransmitted packet started a lookup, the lookups would
+/// overload agents and the links between zones, and callers would get their
+/// resets later. So only one lookup at a time goes through all zones for a
+/// flow; other packets of the flow are only offered to the targets of the own
+/// zone, where an owner is most likely.
 ///
-/// How long that is depends on how many are asked. A walk through a few targets
-/// is over before the caller sends again; if it does, the walk has lost its
-/// packet, and the copy has to walk as well, or its request is given up.
+/// The time-out of a lookup depends on the number of targets. A lookup through
+/// a few targets ends before the caller retransmits. If the caller does
+/// retransmit, the packet of the lookup was lost, and the retransmitted one has
+/// to start a new lookup, or the request would time out.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -29,13 +31,13 @@
 
 class recent_lookups {
 public:
-  /// Longer than callers wait between their first copies of a packet.
+  /// Longer than the time between a caller's first retransmissions.
   static constexpr duration RetentionTime = std::chrono::seconds(2);
-  /// No walk is waited for longer.
+  /// Upper bound of lookupTimeout.
   static constexpr duration MaxLookupTimeout = std::chrono::milliseconds(500);
 
-  /// A walk through so many targets that has not ended by then has lost its
-  /// packet at one of its hops.
+  /// Returns the time after which a lookup through \p Targets targets that has
+  /// not ended must have lost its packet at one of them.
   static constexpr duration lookupTimeout(std::size_t Targets) {
     constexpr duration BaseTime = std::chrono::milliseconds(100);
     constexpr duration TimePerTarget = std::chrono::microseconds(2500);
@@ -44,8 +46,8 @@
                     MaxLookupTimeout);
   }
 
-  /// True if no walk for \p Flow, through so many targets, is under way; then
-  /// one begins.
+  /// Returns true, and begins a lookup, if none is in progress for \p Flow. \p
+  /// Targets is the number of targets that it goes through.
   bool begin(const flow_key &Flow, std::size_t Targets, instant Now) {
     const auto [Place, IsNew] =
         Lookups.try_emplace(Flow, lookup{Now, std::nullopt});
@@ -56,8 +58,8 @@
     return true;
   }
 
-  /// When the walk before this one for \p Flow began. It found nothing: it may
-  /// have ended at a VM that is gone.
+  /// Returns when the previous lookup for \p Flow began, if there was one. It
+  /// found no owner; its packet may have been lost at a failed VM.
   std::optional<instant> previous(const flow_key &Flow) const {
     const auto Found = Lookups.find(Flow);
     return Found == Lookups.end() ? std::nullopt : Found->second.PreviousAt;
