--- a/src/forward/agent_table.cpp
+++ b/src/forward/agent_table.cpp
@@ -40,8 +40,9 @@
           std::min<std::uint32_t>(Target.Slots, UINT16_MAX));
       State.Report.Admitting = true;
     }
-    // Two entries of one address: a VM was replaced and its address used again.
-    // Either may be the one that lives; its service is checked by the agent.
+    // Two entries can have the same address if a VM was replaced and its
+    // address was reused. Either of them may be the running one; the agent
+    // checks the service.
     if (!ByEndpoint.try_emplace(Target.Agent, Agents.size()).second)
       MoreByEndpoint.emplace(Target.Agent, Agents.size());
     ByService[State.Service].push_back(Agents.size());
@@ -77,8 +78,8 @@
         State.isUnverified(Now);
 }
 
-/// Without a pass over all agents: those of a large zone report tens of
-/// thousands of times a second.
+/// Does not search all agents: those of a large zone send tens of thousands of
+/// reports a second.
 template <typename Function>
 void agent_table::forEachAt(const endpoint &Agent, const Function &Each) {
   const auto First = ByEndpoint.find(Agent);
@@ -124,11 +125,12 @@
   return Reporter;
 }
 
-/// The own zone's turns are its own: new flows are placed there, and after a
-/// loss of power its agents wait for the word of a balancer, while thousands in
-/// other zones may not have answered yet.
+/// The own zone has its own quota of requests, because new flows are placed
+/// there. After a power failure its agents wait for a balancer's notice before
+/// they admit flows, while thousands of agents in other zones may not have
+/// answered yet.
 bool agent_table::needsReportRequest(const agent_state &State, instant Now) {
-  // A datagram may have been lost.
+  // The request or its answer may have been lost.
   if (State.Suspect || State.FirstRequestedAt)
     return true;
   const bool IsReportOld =
--- a/src/forward/candidate_list.cpp
+++ b/src/forward/candidate_list.cpp
@@ -18,8 +18,8 @@
   return Order;
 }
 
-/// The rank of an agent in every list: its zone, and behind all zones the same
-/// for agents that do not answer.
+/// Sort key of an agent in every list: its zone, or a position after all zones
+/// for agents that do not respond.
 static std::uint64_t rankOf(const agent_state &Agent, bool IsDeprioritized) {
   constexpr std::uint64_t BehindAllZones = std::uint64_t{1} << 32;
   return Agent.ZoneOrder + (IsDeprioritized ? BehindAllZones : 0);
@@ -78,7 +78,7 @@
 }
 
 std::uint64_t candidate_order::fingerprint(std::size_t Listed) const {
-  // Any odd multiplier mixes; this is the 64-bit golden ratio.
+  // Any odd multiplier mixes the bits; this is the 64-bit golden ratio.
   constexpr std::uint64_t Multiplier = 0x9E3779B97F4A7C15ULL;
   std::uint64_t Hash = Listed;
   for (std::size_t I = 0; I < Listed; ++I) {
--- a/src/forward/forward_balancer.cpp
+++ b/src/forward/forward_balancer.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 
-/// A list is only called whole if what it rests on is known to be younger. New
-/// services and targets wait SettleTime before they get flows; the difference
-/// covers a packet's way and a late timer.
+/// A list is marked as complete only if the balancer's knowledge is younger
+/// than this. New services and targets get no flows for SettleTime; the
+/// difference covers the transit time of a packet and a late timer.
 constexpr duration KnowledgeValidity =
     SettleTime - std::chrono::milliseconds(100);
 
-/// How often old flows and agents are looked through, in ticks: every ten
+/// How often old flows and lost agents are checked for, in ticks: every ten
 /// seconds.
 constexpr int TicksPerSweep = 50;
 
-/// A flow may have been opened just before its agent fell silent, and its
-/// caller send for some seconds more.
+/// A flow may have been opened just before its agent stopped responding, and
+/// its caller may send for some more seconds.
 constexpr duration LostSlack = std::chrono::seconds(10);
 
 } // namespace
@@ -28,8 +28,8 @@
   return KnownAsOf && Now - *KnownAsOf <= KnowledgeValidity;
 }
 
-/// Only on fresh knowledge: an agent that joined a moment ago is not in an old
-/// list.
+/// Sent only if knowledge is current, because an outdated registry does not
+/// contain an agent that has just joined.
 void forward_balancer::impl::notifyUnregistered(const endpoint &Agent,
                                                 instant Now) {
   if (!isKnowledgeCurrent(Now))
@@ -39,15 +39,17 @@
   Hooks.SendToAgent(Agent, Notice);
 }
 
-/// An agent that was restarted while the store is away cannot read its own
-/// entry, and gives its target no new flows before it knows that everyone has
-/// it. A balancer that has had the entry for SettleTime is the proof.
+/// An agent that is restarted while the store is unavailable cannot read its
+/// own registration, and does not admit flows before it knows that all
+/// balancers have it. A balancer that has had the registration for SettleTime
+/// can confirm this.
 ///
-/// After a loss of all power no balancer has had it for so long, and each agent
-/// is on its own with a store that has just come back: at the pace of their
-/// retries the first one to be served would take every flow of the site, and
-/// its target refuse most. A balancer's first list is the proof for all who
-/// stand in it, for a datagram each.
+/// After a complete power failure no balancer has had it for that long. Without
+/// a notice, each agent would have to wait for a store that has just recovered.
+/// Their retries succeed at different times, so the first agent would get every
+/// flow of the site, and its target would refuse most of them. The first
+/// registry a balancer reads is sufficient proof for all agents in it, at the
+/// cost of one datagram each.
 void forward_balancer::impl::notifyRegistered(const agent_state &Agent,
                                               instant Now) {
   if (Agent.Draining)
@@ -62,9 +64,9 @@
   Hooks.SendToAgent(Agent.Agent, Notice);
 }
 
-/// VMs die every day and take their entries with them to no one. Left in the
-/// store, each would stand at the end of every list for ever, and no flow that
-/// is lost could be told so, because the dead one never declines.
+/// VMs fail every day and leave their registrations behind. If these stayed in
+/// the store, each would remain at the end of every list, and no lost flow
+/// could be reset, because a failed agent never declines a packet.
 void forward_balancer::impl::reportLostAgents(instant Now) {
   if (!Hooks.OnAgentLost)
     return;
@@ -156,7 +158,8 @@
                                   instant Now) {
   const bool IsFirst = Impl->AgentTable.size() == 0;
   Impl->AgentTable.set(Targets, Now);
-  // Agents that have started with this balancer may wait for its word.
+  // Agents that started together with this balancer may be waiting for its
+  // notices.
   if (IsFirst)
     Impl->review(Now);
 }
@@ -204,21 +207,24 @@
     notifyRegistered(*Agent, Now);
 }
 
-/// Finds those that do not answer any more, and asks those that were not heard.
+/// Marks agents that no longer respond as suspect, and requests reports from
+/// those that have not sent one.
 void forward_balancer::impl::review(instant Now) {
   std::vector<endpoint> Requests;
   AgentTable.review(Now, Requests, [&](const agent_state &Agent) {
     ++Counters.Suspicions;
     logEvent(event_kind::AgentSuspected,
-             "no report since it was sent something", {}, Agent.Agent, Now);
+             "no report since a packet or request was sent", {}, Agent.Agent,
+             Now);
   });
   for (const endpoint &Agent : Requests)
     sendReportRequest(Agent, reportSpanFor(Agent));
 }
 
-/// New flows are placed in the own zone by the latest loads; of others it is
-/// enough to know that they are there. Were those to go on reporting, after a
-/// loss of power all agents of a site would report to all balancers.
+/// New flows are placed in the own zone by the latest loads; for other zones it
+/// is enough to know that the agents are running. If those reported
+/// continuously, after a power failure all agents of a site would report to all
+/// balancers.
 report_span forward_balancer::impl::reportSpanFor(const endpoint &Agent) {
   const agent_state *State = AgentTable.find(Agent);
   return State && State->isOwnZone() ? report_span::Continued
--- a/src/forward/load_report.cpp
+++ b/src/forward/load_report.cpp
@@ -5,6 +5,7 @@
 
 using namespace internal;
 
+/// Layout of a load report:
 /// u16 magic | u8 format | u8 flags | u32 service | u32, u16 agent |
 /// u16 active | u16 slots | u32 flows | u16 busy | u32 latency us |
 /// u32 warm-up us | u16 failing | padding
@@ -13,7 +14,8 @@
 static constexpr std::uint16_t UnregisteredMagic = 0x4d55;
 static constexpr std::uint16_t RegisteredMagic = 0x4d4b;
 static constexpr std::uint16_t RegistrationFoundMagic = 0x4d46;
-/// Of a message that is a magic number and another number.
+/// Size of a message that consists of the magic number, the format and one
+/// number.
 static constexpr std::size_t NumberBytes = 8;
 static_assert(RegisteredNoticeBytes == NumberBytes &&
               RegistrationFoundNoticeBytes == NumberBytes);
@@ -77,7 +79,8 @@
   return true;
 }
 
-/// A message that is its magic number and a byte.
+/// Encodes a message that consists of the magic number, the format and one
+/// byte.
 static std::size_t encodeBare(std::uint16_t Magic, std::uint8_t Byte,
                               std::span<std::uint8_t> Buffer) {
   if (Buffer.size() < LoadReportRequestBytes)
@@ -113,7 +116,7 @@
          hasMagic(Bytes, UnregisteredMagic);
 }
 
-/// u16 magic | u8 format | u8 zero | u32 number
+/// Layout: u16 magic | u8 format | u8 zero | u32 number
 static std::size_t encodeNumber(std::uint16_t Magic, std::uint32_t Number,
                                 std::span<std::uint8_t> Buffer) {
   if (Buffer.size() < NumberBytes)
--- a/src/forward/new_flows.cpp
+++ b/src/forward/new_flows.cpp
@@ -4,8 +4,8 @@
 
 using namespace internal;
 
-/// Agents report every 200 ms while they are sent something, and then for some
-/// seconds not at all.
+/// Agents report every 200 ms while they are sent packets; without packets,
+/// reports can be seconds apart.
 static constexpr duration FreshReportAge = std::chrono::milliseconds(500);
 
 placement_candidate
@@ -50,9 +50,9 @@
   return Agents[*Chosen];
 }
 
-/// The service that the weights give the flow, then the others: a service
-/// without targets must not cost callers their flow while another one may take
-/// it.
+/// Returns the service chosen by the weights for this flow, then the others. If
+/// a service has no targets, callers must not lose their flow while another
+/// service can take it.
 std::vector<service_id>
 forward_balancer::impl::servicesByPreference(const route_state &Route,
                                              const flow_key &Flow) const {
@@ -96,8 +96,8 @@
                                              const segment &Segment,
                                              bytes_view Bytes, instant Now) {
   const flow_key &Flow = Segment.Head.Flow;
-  // A caller sends its SYN again when nobody answered: then whoever got the
-  // first one is the last to get this one.
+  // A caller retransmits its SYN when it got no answer. The agent that got the
+  // first one is then the last choice.
   const auto Before = previousPlacement(Flow, Now);
   const auto Chosen = place(Route, Segment, Before, Now);
   if (!Chosen) {
@@ -117,10 +117,10 @@
   return forward_outcome::Placed;
 }
 
-/// Who else may take the flow if the chosen one does not: its own zone first,
-/// in the flow's own order, and last those whose target takes nothing. In one
-/// order for all flows, everything that a full target declines would fall upon
-/// the same next one.
+/// Adds the agents that may take the flow if the chosen target does not: the
+/// same zone first, in the flow's own order, and last the agents whose target
+/// accepts nothing. If the order were the same for all flows, everything that a
+/// full target declines would go to the same next target.
 void forward_balancer::impl::addSubstitutes(const agent_state &Chosen,
                                             const flow_key &Flow,
                                             candidate_list &List) {
--- a/src/forward/owner_lookup.cpp
+++ b/src/forward/owner_lookup.cpp
@@ -4,8 +4,9 @@
 
 using namespace internal;
 
-/// Of so many targets all are named behind a known owner: coming back to the
-/// balancer would cost more than their few bytes.
+/// For services with up to this many targets, all are listed after a cached
+/// owner. Returning the packet to the balancer would cost more than the few
+/// additional bytes.
 static constexpr std::size_t ShortLookupTargets = 8;
 
 std::optional<endpoint>
@@ -14,16 +15,18 @@
   if (!Place)
     return std::nullopt;
   const agent_state *Agent = AgentTable.find(Place->Agent);
-  // An agent that has left the store's list took its flows along; one that has
-  // not got there yet may still name itself to a balancer that is behind.
+  // If the agent was removed from the registry, its flows are lost too. If
+  // knowledge is not current, the agent may be new and have reported ownership
+  // to a balancer that does not know its registration yet.
   if (!Agent && isKnowledgeCurrent(Now)) {
     FlowCache.remove(Flow);
     return std::nullopt;
   }
   if (!Agent || Place->IsConfirmed)
     return Place->Agent;
-  // The flow was placed there, and may have been handed on. Should the VM be
-  // gone since, all its packets would end there although its owner is well.
+  // The flow was only placed at this agent, and another target may have
+  // accepted it. If the agent's VM has failed since, all packets of the flow
+  // would be lost there although its owner is running.
   if (Agent->isUnverified(Now))
     return std::nullopt;
   if (Agent->hasReportedRecently(Now))
@@ -49,7 +52,7 @@
     sendToOwner(Route, *CachedOwner, isKnowledgeCurrent(Now), Bytes, Now);
     return forward_outcome::SentFromCache;
   }
-  // A flow whose holder is remembered needs no order of its own behind it.
+  // Behind a cached owner, the flow's own order is not needed.
   if (CachedOwner)
     Order.sortForLookup(Candidates, Flow, /*OwnOrder=*/false, Now);
   else
@@ -59,8 +62,9 @@
   return CachedOwner ? forward_outcome::SentFromCache : forward_outcome::Sent;
 }
 
-/// A walk of one list goes by who is doubtful now; a longer one keeps to the
-/// order that it began with, or agents would change places between its lists.
+/// A lookup with a single list places the agents that are unverified now at the
+/// end. A lookup with several lists keeps the order it began with; otherwise
+/// agents would change places between its lists.
 void forward_balancer::impl::sortFromCursor(const lookup_cursor &Cursor,
                                             const flow_key &Flow,
                                             bytes_view Bytes, instant Now) {
@@ -71,9 +75,10 @@
       Candidates, Flow, Begins ? AgentTable.orderParity() : Cursor.Parity);
 }
 
-/// To the owner alone. If it has lost the flow, the packet comes back and walks
-/// through all of them. Almost all packets are of flows whose owner is known;
-/// with everyone in their list they would be several times as long.
+/// Sends the packet to the owner alone. If the owner has lost the flow, the
+/// packet comes back and goes through all candidates. Almost all packets belong
+/// to flows with a known owner; with the complete list they would be several
+/// times as long.
 void forward_balancer::impl::sendToOwner(const route_state &Route,
                                          const endpoint &Owner, bool IsCurrent,
                                          bytes_view Bytes, instant Now) {
@@ -95,8 +100,9 @@
       [&](std::size_t Index) { return !AgentTable.at(Index).isOwnZone(); });
 }
 
-/// Shows a packet of a flow that is being looked for to the targets of the own
-/// zone. What they decline proves nothing.
+/// Offers a packet of a flow whose owner is already being looked up to the
+/// targets of the own zone. If all of them decline, this proves nothing, so no
+/// reset follows.
 forward_outcome forward_balancer::impl::sendWithinZone(const route_state &Route,
                                                        const flow_key &Flow,
                                                        bytes_view Bytes,
@@ -110,19 +116,22 @@
   Order.sortForLookup(Candidates, Flow, /*OwnOrder=*/true, Now);
   candidate_list List(Bytes.size());
   Order.list(/*Listed=*/0, std::nullopt, List);
-  logLookup("in the own zone, as a walk has just begun", Flow, List, Now);
+  logLookup("in the own zone only, as an owner lookup is in progress", Flow,
+            List, Now);
   send(List, Route.OwnerServices.front(), {}, 0, Bytes, Now);
   return forward_outcome::Sent;
 }
 
-/// Asks those of \p List whether they are there that were not heard lately: a
-/// walk ends at the first VM that is gone. True if there were any.
+/// Requests a load report from the agents in \p List that have not reported
+/// recently, because a lookup ends at the first failed VM. Returns true if
+/// there were any.
 ///
-/// Mostly the first walk finds the owner, and the questions are for nothing;
-/// where balancers are restarted in turn, or after a loss of power, there are
-/// thousands of walks. So most of the budget is for walks that are repeated.
-/// Agents that the earlier one came by have reported since, and only the others
-/// are asked: the VM that is gone, and those behind it.
+/// Usually the first lookup finds the owner and the requests are not needed.
+/// When balancers are restarted one after the other, or after a power failure,
+/// there are thousands of lookups. So most of the request budget is for
+/// repeated lookups. The agents that the previous lookup reached have reported
+/// since, and requests go only to the others: the failed VM and the agents
+/// after it.
 bool forward_balancer::impl::requestMissingReports(const flow_key &Flow,
                                                    const candidate_list &List,
                                                    instant Now) {
@@ -143,8 +152,9 @@
   return AnyMissing;
 }
 
-/// Figure of the event: agents named. The first of them says where the hops
-/// begin, which the agents' own lines tell from there on.
+/// The load figure of the event is the number of agents listed. Its agent is
+/// the first of them, where the lookup begins; the log events of the agents
+/// show the further hops.
 void forward_balancer::impl::logLookup(std::string_view Where,
                                        const flow_key &Flow,
                                        const candidate_list &List,
@@ -153,7 +163,7 @@
            static_cast<double>(List.size()));
 }
 
-/// Everyone who may hold a flow of \p Route.
+/// Collects all agents whose targets may own a flow of \p Route.
 void forward_balancer::impl::collectCandidates(const route_state &Route) {
   Candidates.clear();
   for (const service_id Service : Route.OwnerServices) {
@@ -162,8 +172,8 @@
   }
 }
 
-/// Sends to those of Order that come after \p Listed. \p IsCurrent: nobody was
-/// left out up to there, and what is known now is fresh.
+/// Sends the packet to the agents of Order after the first \p Listed. \p
+/// IsCurrent: no agent was skipped among these, and knowledge is current.
 void forward_balancer::impl::sendToCandidates(
     const route_state &Route, const flow_key &Flow,
     const std::optional<endpoint> &First, std::size_t Listed, bool IsCurrent,
@@ -174,7 +184,7 @@
     return;
   if (!First)
     logLookup(requestMissingReports(Flow, List, Now)
-                  ? "in all zones, by way of agents that were not heard lately"
+                  ? "in all zones, including agents without a recent report"
                   : "in all zones",
               Flow, List, Now);
   const service_id Service =
@@ -193,10 +203,10 @@
     send(List, Service, {}, 0, Bytes, Now);
 }
 
-/// All in a list have declined, and the list was cut to fit into a datagram.
-/// Without this a balancer that has not seen a flow before could never reach an
-/// owner beyond the first list: the caller's packets would all end there, and
-/// its requests time out although the owner is well.
+/// Called when all agents in a list that was limited by the size of a datagram
+/// have declined. Without continuing the lookup, a balancer that has not seen a
+/// flow could never reach an owner beyond the first list. The caller's packets
+/// would be lost and its requests time out although the owner is running.
 void forward_balancer::impl::continueLookup(const routed_packet &Routed,
                                             instant Now) {
   segment Segment;
--- a/src/forward/placement.cpp
+++ b/src/forward/placement.cpp
@@ -5,69 +5,74 @@
 
 namespace marjoramrail {
 
-// The load: callers open a flow and keep it for many requests, or open one for
-// each; targets differ in slots, warm up, and turn slow; zones fill unevenly.
+// Load pattern: callers open a flow and keep it for many requests, or open one
+// for each; targets differ in slots, are slower after their start, and may
+// become slow; zones fill unevenly.
 //
-// Without a choice by load, the hash of the flow alone spreads a few hundred
-// flows so unevenly that some targets queue while others idle. With a choice of
-// the least loaded by all balancers alike, a target that has just come takes
-// every new flow of the moment, and its queue overflows before its next report.
-// So a flow chooses between the first two of its own order: a new target gets
-// at most two flows in n. Without the preference for the zone every second
-// packet crosses to another one; without its limit a burst in one zone is
-// refused while the next one has free slots.
+// If flows were placed by their hash alone, a few hundred flows would be spread
+// so unevenly that some targets queue while others idle. If all balancers chose
+// the least loaded target, a target that has just joined would get every new
+// flow, and its queue would overflow before its next report. So a flow chooses
+// between the first two targets of its own order: a new target then gets at
+// most two flows in n. Without the preference for the own zone every second
+// packet would cross to another one; without its limit a burst in one zone
+// would be refused while the next one has free slots.
 //
-// How a target answers goes before how loaded it is: one that fails its
-// requests at once is idle and quick, and by load alone gets more of them the
-// more it fails. In the model of bench/forward, with two of fifteen targets
-// failing four requests in ten, 263 requests fail instead of 809 with the hash
-// alone and 1,026 with the least loaded.
+// The failure rate of a target takes precedence over its load. A target that
+// fails its requests at once is idle and fast, and by load alone gets more
+// requests the more it fails. In the model of bench/forward, with two of
+// fifteen targets failing four requests in ten, 263 requests fail instead of
+// 809 with the hash alone and 1,026 with the least loaded.
 
-/// ChoicesPerFlow compared for a flow.
+/// Number of targets compared for a flow.
 static constexpr std::size_t ChoicesPerFlow = 2;
 
-/// Latency is relative to the service's typical_values one; a factor beyond
-/// says nothing more than "much slower".
+/// Latency is relative to the typical latency of the service. A larger factor
+/// carries no more information than "much slower".
 static constexpr double MaxSlowdown = 4.0;
-/// Targets say that they are warming up, not by how much it slows them; users'
-/// targets take about this much longer.
+/// Targets report that they are warming up, but not by how much it slows them
+/// down; typical targets take about this much longer.
 static constexpr double WarmupSlowdown = 1.6;
 
-/// What a request in the queue, a slot, counts relative to the usual number of
-/// flows a slot: a queue of two a slot outweighs a whole target's usual flows,
-/// as it delays each of their requests.
+/// Weight of one queued request per slot, relative to the usual number of flows
+/// per slot. With a queue of two per slot, the queue outweighs a target's usual
+/// number of flows, because it delays each of their requests.
 static constexpr double QueueWeight = 0.5;
-/// A service with few flows: a flow a slot is the least that counts as usual.
+/// Lower bound of the usual number of flows per slot, for services with few
+/// flows.
 static constexpr double MinFlowsPerSlot = 1.0;
 
-/// Own zone is left when requests queue there, a slot, for so many others: each
-/// makes a caller wait as long as a request takes, several times the way to
-/// another zone,
+/// Queued requests per slot in the own zone from which other zones are
+/// considered. Each makes a caller wait for the duration of a request, which is
+/// several times the transit time to another zone.
 constexpr double OverflowQueue = 1.0;
-/// and the queue that it would get in another zone is shorter by this.
+/// A flow leaves its zone only if the queue per slot in the other zone is
+/// shorter by at least this.
 constexpr double MinQueueGain = 0.75;
 
-/// So many targets of other zones tell how full these are.
+/// Number of recent reports from other zones that suffices to estimate their
+/// load.
 constexpr std::size_t MinRecentReports = 3;
 
-/// A target counts as failing if it fails this much more often than the median
-/// of its service, in thousandths: two failures of its own among some twenty
-/// answers are chance, three are not. Measured against the median, a service
-/// whose targets all fail alike keeps them all, and at most half are left out.
+/// A target counts as failing if its failure share exceeds the median of its
+/// service by this much, in thousandths: two failures among some twenty answers
+/// are chance, three are not. Because of the comparison with the median, a
+/// service whose targets all fail equally keeps them all, and at most half are
+/// excluded.
 constexpr std::uint16_t FailingMargin = 100;
 
 static double slotsOf(const placement_candidate &Target) {
   return std::max<std::uint32_t>(Target.Slots, 1);
 }
 
-/// Requests that wait for a slot, for each slot.
+/// Requests waiting for a slot, per slot.
 static double queueOf(const placement_candidate &Target) {
   return (Target.Active + Target.Placed - slotsOf(Target)) / slotsOf(Target);
 }
 
 namespace {
 
-/// What is usual among the targets of a service.
+/// Typical values among the targets of a service.
 struct typical_values {
   duration Latency = duration::zero();
   double FlowsPerSlot = 0;
@@ -75,7 +80,7 @@
   std::uint16_t Failing = 0;
 };
 
-/// Positions of targets that a flow may be placed at, in its own order.
+/// Positions of targets that a flow may be placed at, in the flow's own order.
 struct candidate_set {
   std::vector<std::size_t> OwnZone;
   std::vector<std::size_t> OtherZones;
@@ -83,19 +88,19 @@
   bool empty() const { return OwnZone.empty() && OtherZones.empty(); }
 };
 
-/// Who is asked before whom.
+/// Classes of targets, in order of preference.
 enum class rank {
-  /// Has reported and answers.
+  /// Has reported, and responds.
   Healthy,
-  /// Not heard yet: may not admit.
+  /// Has not reported yet, and may not admit flows.
   Unreported,
-  /// Answers much of what it is asked with a failure.
+  /// Answers many requests with an error.
   Failing,
-  /// Says nothing, or takes nothing.
+  /// Does not respond, or accepts no flows.
   Suspect,
 };
 
-/// The choice for one flow.
+/// Chooses a target for one flow.
 class flow_choice {
 public:
   flow_choice(const std::vector<placement_candidate> &Targets,
@@ -124,7 +129,8 @@
 
 } // namespace
 
-/// The median, or a value-initialized one of none; reorders \p Values.
+/// Returns the median, or a value-initialized value if \p Values is empty.
+/// Reorders \p Values.
 template <typename Value> static Value medianOf(std::vector<Value> &Values) {
   if (Values.empty())
     return Value();
@@ -162,7 +168,7 @@
     : Targets(Targets), Order(Order), DisabledMechanisms(DisabledMechanisms),
       Typical(typicalOf(Targets)) {}
 
-/// How much longer than usual the target takes.
+/// Returns the factor by which the target is slower than usual.
 double flow_choice::slowdownOf(const placement_candidate &Target) const {
   double Slowdown = 1;
   const bool IsSlow =
@@ -177,8 +183,8 @@
   return Slowdown;
 }
 
-/// The load of a target relative to what it can do: open flows a slot, and
-/// requests beyond the slots; more for one that is slow or warming up.
+/// Returns the load of a target relative to its capacity: open flows per slot
+/// plus weighted queued requests, multiplied by the slowdown.
 double flow_choice::loadOf(const placement_candidate &Target) const {
   const double Flows = (Target.Flows + Target.Placed + 1) / slotsOf(Target);
   const double Queued = DisabledMechanisms.has(mechanism::QueueWeight)
@@ -188,7 +194,7 @@
   return (Flows + Queued * QueueWeight * Usual) * slowdownOf(Target);
 }
 
-/// Whether the target fails its callers much more often than is usual.
+/// Returns true if the target's failure share is far above the usual one.
 bool flow_choice::isFailing(const placement_candidate &Target) const {
   return Target.Failing > Typical.Failing + FailingMargin &&
          !DisabledMechanisms.has(mechanism::FailurePlacing);
@@ -254,9 +260,9 @@
   return IsWorthLeaving ? OtherZoneBest : OwnZoneBest;
 }
 
-/// Those that have reported just now, if they are enough to tell how full their
-/// zones are. The others were idle when they were last heard, and would have to
-/// be found full one by one.
+/// Returns the targets that have reported recently, if they suffice to estimate
+/// the load of their zones. The others were idle at their last report, and
+/// would otherwise be found to be full one by one.
 std::vector<std::size_t>
 flow_choice::recentlyReported(const std::vector<std::size_t> &Positions) const {
   std::vector<std::size_t> Recent;
@@ -267,16 +273,16 @@
 }
 
 std::optional<std::size_t> flow_choice::choose() const {
-  // A target of the own zone that was not heard yet goes before one of another
-  // zone that was: after a restart of the balancer none was.
-  candidate_set Healthy = candidates(rank::Healthy);
+  // A target of the own zone that has not reported yet is preferred to one of
+  // another zone that has: after a restart of the balancer none has reported.
+  candidate_set Preferred = candidates(rank::Healthy);
   const candidate_set Unreported = candidates(rank::Unreported);
-  if (Healthy.OwnZone.empty())
-    Healthy.OwnZone = Unreported.OwnZone;
-  if (Healthy.OtherZones.empty())
-    Healthy.OtherZones = Unreported.OtherZones;
-  if (!Healthy.empty())
-    return chooseByZone(Healthy);
+  if (Preferred.OwnZone.empty())
+    Preferred.OwnZone = Unreported.OwnZone;
+  if (Preferred.OtherZones.empty())
+    Preferred.OtherZones = Unreported.OtherZones;
+  if (!Preferred.empty())
+    return chooseByZone(Preferred);
   for (const rank Rank : {rank::Failing, rank::Suspect})
     if (const candidate_set Left = candidates(Rank); !Left.empty())
       return chooseByZone(Left);
