--- a/test/forward/agent_table_test.cpp
+++ b/test/forward/agent_table_test.cpp
@@ -31,10 +31,10 @@
 
 } // namespace
 
-TEST_CASE("balancers that start ask different agents first") {
-  // All VMs have lost power. Each agent waits for the word of any balancer; if
-  // all balancers went through the list from its head, the last agents of a
-  // zone of thousands would hear of them after a minute and a half.
+TEST_CASE("balancers that start request reports from different agents first") {
+  // After a power failure, each agent waits for a notice from any balancer. If
+  // all balancers went through the table from its beginning, the last agents of
+  // a zone of thousands would get theirs after a minute and a half.
   const std::vector<target_entry> Targets = zoneOfAgents();
   const instant Now{10s};
   std::set<endpoint> Requested;
@@ -49,8 +49,8 @@
 }
 
 TEST_CASE("a report counts for every entry of its address") {
-  // A VM was replaced and its address used again: two entries stand for it, and
-  // either may be the one that lives.
+  // A VM was replaced and its address reused. Two entries have this address,
+  // and either may be the running one.
   const instant Now{10s};
   std::vector<target_entry> Targets = zoneOfAgents();
   Targets[7].Agent = Targets[3].Agent;
@@ -70,11 +70,11 @@
   CHECK(!AgentTable.at(4).ReportedAt);
 }
 
-TEST_CASE("silence elsewhere takes no turn from the own zone") {
-  // All power was lost. Hundreds of agents in other zones have not answered
-  // yet; were they asked again in the own zone's turns, its agents would wait
-  // for seconds for the word that lets their targets take new flows, and
-  // callers' flows go to other zones meanwhile.
+TEST_CASE("agents of other zones do not use the own zone's quota") {
+  // After a power failure, hundreds of agents in other zones have not answered
+  // yet. If requests to them used the quota of the own zone, its agents would
+  // wait for seconds for the notice that lets their targets accept new flows,
+  // and callers' flows would go to other zones in the meantime.
   std::vector<target_entry> Targets = zoneOfAgents();
   for (unsigned Number = 16; Number < AgentsInZone; ++Number)
     Targets[Number].Zone = "oostende";
@@ -90,10 +90,10 @@
                      Targets[Number].Agent) == 1);
 }
 
-TEST_CASE("a silent address is silent for every entry of it") {
-  // Two entries of different services stand for one address, and its VM is
-  // gone. With only one of them found silent, the walks for the other one's
-  // flows go on to end there.
+TEST_CASE("an unresponsive address is unresponsive for every entry of it") {
+  // Two entries of different services have the same address, and its VM has
+  // failed. If only one of them were marked unresponsive, owner lookups for
+  // flows of the other one would continue to end there.
   instant Now{10s};
   std::vector<target_entry> Targets = zoneOfAgents();
   Targets.resize(8);
@@ -114,7 +114,7 @@
   CHECK(Suspected == 2);
 }
 
-TEST_CASE("a balancer asks every agent of its zone in turn") {
+TEST_CASE("a balancer requests a report from every agent of its zone in turn") {
   agent_table AgentTable("brugge", 17);
   AgentTable.set(zoneOfAgents(), instant(10s));
   std::set<endpoint> Requested;
--- a/test/forward/failure_watch_test.cpp
+++ b/test/forward/failure_watch_test.cpp
@@ -25,14 +25,16 @@
   int Answers = 0;
 };
 
-/// What placement takes for failing where the others fail nothing.
+/// The share above which placement treats a target as failing if the others
+/// fail nothing.
 constexpr double Failing = 0.1;
 
 } // namespace
 
-TEST_CASE_FIXTURE(answering_target, "failure_watch notices within a moment") {
-  // Four requests in ten fail from now on; callers should not have to find out
-  // for seconds.
+TEST_CASE_FIXTURE(answering_target,
+                  "failure_watch detects failures within a few answers") {
+  // From now on four requests in ten fail; this must not affect callers for
+  // seconds.
   int Needed = 0;
   while (Watch.share() <= Failing) {
     answer(0.4);
@@ -40,8 +42,9 @@
   }
 }
 
-TEST_CASE_FIXTURE(answering_target, "failure_watch lets failures be rare") {
-  // One request in a hundred fails, as on any day.
+TEST_CASE_FIXTURE(answering_target, "failure_watch ignores rare failures") {
+  // One request in a hundred fails, which is normal and must not exclude a
+  // target.
   int TimesFailing = 0;
   for (int Answer = 0; Answer < 10'000; ++Answer) {
     answer(0.01);
@@ -51,8 +54,8 @@
 }
 
 TEST_CASE_FIXTURE(answering_target, "failure_watch does not flap") {
-  // Half of the requests fail; a row of good ones in between must not bring the
-  // target back each second.
+  // Half of the requests fail; a few successful ones in a row must not bring
+  // the target back every second.
   for (int Answer = 0; Answer < 50; ++Answer)
     answer(0.5);
   int Cleared = 0;
@@ -63,22 +66,22 @@
   CHECK(Cleared == 0);
 }
 
-TEST_CASE_FIXTURE(answering_target, "failure_watch believes a target again") {
+TEST_CASE_FIXTURE(answering_target, "failure_watch recovers") {
   for (int Answer = 0; Answer < 50; ++Answer)
     answer(1.0);
-  SUBCASE("by its answers") {
+  SUBCASE("by successful answers") {
     for (int Answer = 0; Answer < 60; ++Answer)
       answer(0.0);
     CHECK(Watch.share() <= Failing);
   }
-  SUBCASE("that nobody asks any more, to try it") {
+  SUBCASE("by decay while it gets no requests") {
     for (int Tick = 0; Tick < 20; ++Tick)
       Watch.tick(Now += 200ms);
     CHECK(Watch.share() <= Failing);
   }
 }
 
-TEST_CASE_FIXTURE(answering_target, "failure_watch tells each change once") {
+TEST_CASE_FIXTURE(answering_target, "failure_watch signals few state changes") {
   int StateChanges = 0;
   for (int Answer = 0; Answer < 400; ++Answer) {
     answer(0.15);
--- a/test/forward/flows_test.cpp
+++ b/test/forward/flows_test.cpp
@@ -19,9 +19,9 @@
   CHECK(Received[0].Body == 42);
 }
 
-TEST_CASE_FIXTURE(small_site, "a flow lives on through any balancer") {
-  // The fabric moves a flow to a balancer that has never seen it, because its
-  // former one is gone. Nothing of the former one's memory may be needed.
+TEST_CASE_FIXTURE(small_site, "a flow continues through any balancer") {
+  // The fabric moves a flow to a balancer that has never seen it because the
+  // previous one has stopped. No state of the previous one may be needed.
   for (std::uint16_t Port = 1001; Port < 1041; ++Port) {
     const std::uint32_t Ack = open(1, flowOf(Port));
     Received.clear();
@@ -31,7 +31,8 @@
   }
 }
 
-TEST_CASE_FIXTURE(small_site, "after a detour packets come straight") {
+TEST_CASE_FIXTURE(small_site,
+                  "after an owner lookup packets go straight to the owner") {
   const flow_key Flow = flowOf(1001);
   const std::uint32_t Ack = open(1, Flow);
   packet(2, data(Flow, Ack));
@@ -41,9 +42,10 @@
   CHECK(Hops <= 1);
 }
 
-TEST_CASE_FIXTURE(small_site, "what nobody holds is reset at once") {
-  // A target crashed and was started again: its flows are lost. Without a word
-  // the caller waits for its time limit.
+TEST_CASE_FIXTURE(small_site,
+                  "a packet of a flow without owner is reset at once") {
+  // A target crashed and was restarted, so its flows are lost. Without a reset
+  // the caller waits until its request times out.
   const flow_key Flow = flowOf(1001);
   const std::uint32_t Ack = open(1, Flow);
   Hosts[ownerOf(Flow)].Target = {};
@@ -54,9 +56,11 @@
   CHECK(Received[0].Segment.Head.Sequence == Ack);
 }
 
-TEST_CASE_FIXTURE(small_site, "a lost flow's own agent tells at once") {
-  // A target crashed; its agent knows that it held the flow, and nobody else
-  // can. No other target needs to be asked, and no fresh knowledge is needed.
+TEST_CASE_FIXTURE(small_site,
+                  "the agent of a lost flow sends the reset itself") {
+  // A target crashed. Its agent knows that the target owned the flow and that
+  // no other target can own it. No other target needs to be asked, and the
+  // balancer's knowledge need not be current.
   const flow_key Flow = flowOf(1001);
   const std::uint32_t Ack = open(1, Flow);
   packet(1, data(Flow, Ack));
@@ -71,10 +75,9 @@
   CHECK(Hops == 1);
 }
 
-TEST_CASE_FIXTURE(small_site,
-                  "a port used again is not taken for the old flow") {
-  // A caller uses a port again; its new flow was placed elsewhere. The agent of
-  // the old one remembers that its target held a flow of these addresses.
+TEST_CASE_FIXTURE(small_site, "a reused port is not taken for the old flow") {
+  // A caller reuses a port, and its new flow was placed at another target. The
+  // agent of the old flow has it in its records as owned by its target.
   const flow_key Flow = flowOf(1001);
   open(1, Flow);
   const unsigned Before = ownerOf(Flow);
@@ -89,9 +92,10 @@
   CHECK(answers() == 1);
 }
 
-TEST_CASE_FIXTURE(small_site, "nothing is reset on old knowledge") {
-  // The store cannot be asked. A target that joined since may hold the flow,
-  // and a reset would break it; silence costs the caller time, not its session.
+TEST_CASE_FIXTURE(small_site, "no flow is reset on outdated knowledge") {
+  // The store is unavailable. A target that joined since may own the flow, and
+  // a reset would break it; without a reset the caller loses time but not its
+  // session.
   const flow_key Flow = flowOf(1001);
   const std::uint32_t Ack = open(1, Flow);
   const unsigned Owner = ownerOf(Flow);
@@ -104,9 +108,9 @@
   CHECK(resets() == 0);
 }
 
-TEST_CASE_FIXTURE(small_site, "an owner that is cut off is waited for") {
-  // The owner's VM is cut off for a while. All others decline the packet, but
-  // the owner has not, and its flow lives.
+TEST_CASE_FIXTURE(small_site, "no flow is reset while its owner is cut off") {
+  // The owner's VM is cut off for some time. All other targets decline the
+  // packet, but the owner has not, and its flow still exists.
   const flow_key Flow = flowOf(1001);
   const std::uint32_t Ack = open(1, Flow);
   const unsigned Owner = ownerOf(Flow);
@@ -125,7 +129,7 @@
   CHECK(answers() == 1);
 }
 
-TEST_CASE_FIXTURE(small_site, "an owner that is frozen is waited for") {
+TEST_CASE_FIXTURE(small_site, "no flow is reset while its owner is frozen") {
   const flow_key Flow = flowOf(1001);
   const std::uint32_t Ack = open(1, Flow);
   const unsigned Owner = ownerOf(Flow);
@@ -143,10 +147,11 @@
   CHECK(answers() == 1);
 }
 
-TEST_CASE_FIXTURE(small_site,
-                  "a frozen target does not swallow others' flows") {
-  // One target hangs. Packets of other targets' flows, looked for by a balancer
-  // that does not know them, must not end there.
+TEST_CASE_FIXTURE(
+    small_site,
+    "a frozen target does not swallow packets of other targets' flows") {
+  // One target hangs. Packets of other targets' flows, looked up by a balancer
+  // that does not know their owners, must not be lost there.
   std::map<std::uint16_t, std::uint32_t> Acks;
   for (std::uint16_t Port = 1001; Port < 1021; ++Port)
     Acks[Port] = open(1, flowOf(Port));
@@ -167,8 +172,8 @@
 }
 
 TEST_CASE_FIXTURE(small_site, "an agent's restart breaks no flow") {
-  // The agent forgets everything; its target holds its flows and has the last
-  // word.
+  // The agent loses its state. Its target still owns the flow, and only the
+  // target decides on ownership.
   const flow_key Flow = flowOf(1001);
   const std::uint32_t Ack = open(1, Flow);
   const unsigned Owner = ownerOf(Flow);
@@ -183,9 +188,9 @@
 }
 
 TEST_CASE_FIXTURE(small_site,
-                  "the target whose answer was taken has the flow") {
-  // Copies of one SYN reach two targets, and both answer. The caller takes one
-  // answer; its next packets may reach the other target's agent first.
+                  "the target whose answer was accepted owns the flow") {
+  // Copies of one SYN reach two targets, and both answer. The caller accepts
+  // one answer; its next packets may reach the other target's agent first.
   const flow_key Flow = flowOf(1001);
   packet(1, syn(Flow));
   pass(200ms);
@@ -202,9 +207,9 @@
   CHECK(resets() == 0);
 }
 
-TEST_CASE_FIXTURE(small_site, "the flows of a process that is gone are reset") {
-  // A target's process has died. Callers that are told before they send lose
-  // nothing; a request sent into a dead flow may not be repeated.
+TEST_CASE_FIXTURE(small_site, "the flows of a stopped process are reset") {
+  // A target's process has crashed. Callers that get a reset before they send
+  // lose nothing; a request sent into a lost flow may not be safe to repeat.
   std::size_t Held = 0;
   for (std::uint16_t Port = 1001; Port < 1031; ++Port)
     open(1, flowOf(Port));
@@ -216,8 +221,8 @@
   CHECK(resets() == Held);
 }
 
-TEST_CASE_FIXTURE(small_site, "a former service's flow is found there") {
-  // A route has moved to another service. Its old flows live on.
+TEST_CASE_FIXTURE(small_site, "a flow of a previous service is found there") {
+  // A route has moved to another service. Its existing flows must not break.
   const flow_key Flow = flowOf(1001);
   const std::uint32_t Ack = open(1, Flow);
   addHost(8, "archive");
@@ -230,7 +235,7 @@
   CHECK(ownerOf(flowOf(1002)) == 8);
 }
 
-TEST_CASE_FIXTURE(small_site, "a walk asks each target once") {
+TEST_CASE_FIXTURE(small_site, "a lookup asks each target once") {
   const flow_key Flow = flowOf(1001);
   const std::uint32_t Ack = open(1, Flow);
   const unsigned Owner = ownerOf(Flow);
@@ -244,7 +249,7 @@
     CHECK(Host.Target.Declined == 1);
 }
 
-TEST_CASE("mutated datagrams are dropped or passed on, never worse") {
+TEST_CASE("mutated datagrams are dropped or passed on and break nothing") {
   small_site Site;
   std::minstd_rand Random(11);
   std::vector<std::vector<std::uint8_t>> Samples;
@@ -283,10 +288,12 @@
   CHECK(Site.open(2, flowOf(5000)) > 1);
 }
 
-TEST_CASE_FIXTURE(small_site, "callers who give up count as failures") {
-  // A target takes requests and answers none. It refuses nothing and fails
-  // nothing; only its callers' patience shows that it is not well, and without
-  // it new flows would go on to it as to any other.
+TEST_CASE_FIXTURE(small_site,
+                  "a flow closed without an answer counts as a failure") {
+  // A target accepts requests and answers none. It refuses nothing and reports
+  // no errors; only callers that close the flow without an answer show the
+  // fault. If these were not counted, the target would get as many new flows as
+  // any other.
   const std::uint32_t Next = open(1, flowOf(2001));
   const unsigned Owner = ownerOf(flowOf(2001));
   REQUIRE(Owner != 0);
@@ -305,7 +312,7 @@
   CHECK(Hosts[Owner].Agent->report(Now).Failing == Failing);
 }
 
-TEST_CASE_FIXTURE(small_site, "a flow that ends in calm is no failure") {
+TEST_CASE_FIXTURE(small_site, "a flow closed after its answer is no failure") {
   const std::uint32_t Next = open(1, flowOf(2001));
   packet(1, data(flowOf(2001), Next));
   test_frame End = data(flowOf(2001), Next);
--- a/test/forward/forward_world.h
+++ b/test/forward/forward_world.h
@@ -1,10 +1,9 @@
-//===- forward_world.h - Balancers, agents and targets in memory -*- C++
-//-*-===//
+//===- forward_world.h - In-memory balancers, agents, targets ---*- C++ -*-===//
 ///
 /// \file
-/// Callers' packets go through real balancer and agent cores to small targets
-/// that hold flows, decline what they do not hold, freeze, or are gone. Time is
-/// turned by hand.
+/// Test fixture that sends callers' packets through real balancer and agent
+/// cores to simulated targets. The targets own flows, decline packets of other
+/// flows, and can freeze or stop. Time advances only by pass().
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,7 +19,7 @@
 
 namespace marjoramrail::testing {
 
-/// The test's own frame of a packet; the real one is a platform's.
+/// The tests' own packet format; a real format belongs to the platform.
 struct test_frame {
   segment Segment;
   std::uint32_t Body = 0;
@@ -32,7 +31,7 @@
   return Bytes;
 }
 
-/// Bytes that a test has mutated may be no bool; a real codec reads bits.
+/// Mutated bytes may not be a valid bool; a real codec reads single bits.
 inline void makeValid(bool &Flag) {
   std::uint8_t Byte = 0;
   std::memcpy(&Byte, &Flag, sizeof(Byte));
@@ -92,7 +91,7 @@
   return {{0x64400007, Port}, RouteAddress};
 }
 
-/// What a caller has got.
+/// A packet that a caller received.
 struct received {
   segment Segment;
   std::uint32_t Body = 0;
@@ -103,9 +102,9 @@
   struct target {
     std::set<flow_key> Flows;
     std::map<flow_key, std::uint32_t> Opening;
-    /// Runs and answers nothing.
+    /// The target runs but answers nothing.
     bool Frozen = false;
-    /// Takes no new flows.
+    /// The target accepts no new flows.
     bool Full = false;
     std::uint32_t NextSequence = 1000;
     std::uint64_t Offered = 0;
@@ -117,19 +116,20 @@
     std::string Zone;
     std::unique_ptr<forward_agent> Agent;
     target Target;
-    /// The VM or its way to the others is gone.
+    /// The VM has failed or is cut off from the others.
     bool Cut = false;
     bool InStore = true;
-    /// A balancer wrote its entry.
+    /// A balancer wrote the agent's entry.
     bool ByPeer = false;
     bool ProbeRequested = false;
-    /// Times that a balancer said that the list lacks it.
+    /// Number of notices from balancers that the agent is not registered.
     int Unregistered = 0;
-    /// Times that it had not heard any balancer for long.
+    /// How often the agent had no contact with any balancer for a long time.
     int NoBalancerContact = 0;
-    /// Times that a balancer said that the list has held it for long.
+    /// Number of notices from balancers that the registration is known.
     int Registered = 0;
-    /// Times that a balancer said that it found the entry at its start.
+    /// Number of notices from balancers that they found the registration at
+    /// their start.
     int RegistrationFound = 0;
   };
 
@@ -140,13 +140,13 @@
   std::map<unsigned, std::unique_ptr<forward_balancer>> Balancers;
   std::vector<received> Received;
   std::vector<flow_event> Events;
-  /// Agents that a balancer has called lost.
+  /// Agents that a balancer has reported as lost.
   std::vector<endpoint> Lost;
-  /// Called before a balancer gets a datagram of an agent.
+  /// Called before a balancer receives a datagram from an agent.
   std::function<void()> BeforeBalancerReceives;
-  /// Datagrams between processes, for the price of a walk.
+  /// Datagrams between processes, to measure the cost of an owner lookup.
   std::uint64_t Hops = 0;
-  /// Their bytes.
+  /// Total size of these datagrams in bytes.
   std::size_t SentBytes = 0;
 
   void addHost(unsigned Number, const std::string &Service = "ledger",
@@ -160,7 +160,7 @@
     updateBalancers();
   }
 
-  /// As after a restart: the agent knows nothing of its target's flows.
+  /// Starts an agent without records of its target's flows, as after a restart.
   void startAgent(unsigned Number) {
     host &Host = Hosts[Number];
     forward_agent_hooks Hooks;
@@ -224,13 +224,13 @@
     }
   }
 
-  /// What balancers know gets old.
+  /// Makes the balancers' knowledge outdated.
   void expireKnowledge() {
     for (auto &[Number, Balancer] : Balancers)
       Balancer->setKnownAsOf(Now - std::chrono::minutes(1));
   }
 
-  /// A caller's packet by way of balancer \p Through.
+  /// Sends a caller's packet through balancer \p Through.
   forward_outcome packet(unsigned Through, test_frame Frame) {
     const auto Bytes = bytesOf(Frame);
     const forward_outcome Outcome =
@@ -258,7 +258,8 @@
     return Frame;
   }
 
-  /// Opens a flow and confirms it; returns what data packets acknowledge.
+  /// Opens a flow and confirms it; returns the acknowledgement number of its
+  /// data packets.
   std::uint32_t open(unsigned Through, const flow_key &Flow) {
     Received.clear();
     packet(Through, syn(Flow));
--- a/test/forward/load_report_test.cpp
+++ b/test/forward/load_report_test.cpp
@@ -5,7 +5,7 @@
 using namespace marjoramrail;
 using namespace std::chrono_literals;
 
-TEST_CASE("a load report comes back as it was written") {
+TEST_CASE("a load report with all fields is decoded as it was encoded") {
   load_report Report;
   Report.Service = serviceNumber("ledger");
   Report.Agent = {0x0a000101, 700};
--- a/test/forward/long_lookups_test.cpp
+++ b/test/forward/long_lookups_test.cpp
@@ -7,8 +7,8 @@
 using namespace std::chrono_literals;
 
 TEST_CASE("a packet and its list fit a link") {
-  // A service has more targets than fit in front of a long packet. Sent anyway,
-  // the datagram would go in fragments, and long amendments would crawl.
+  // A service has more targets than fit in front of a long packet. If all were
+  // listed, the datagram would be fragmented, and large requests would be slow.
   constexpr std::size_t LinkBytes = 1500 - 28;
   for (std::size_t Packet = 34; Packet <= 1234; ++Packet)
     CHECK(RoutedFixedBytes + ownersThatFit(Packet) * 6 + Packet <= LinkBytes);
@@ -28,7 +28,8 @@
     updateBalancers();
   }
 
-  /// A flow whose target has lost it and whose agent remembers nothing.
+  /// Opens a flow whose target then loses it and whose agent is restarted
+  /// without its records.
   std::uint32_t openAndLose(const flow_key &Flow) {
     const std::uint32_t Ack = open(1, Flow);
     const unsigned Owner = ownerOf(Flow);
@@ -38,7 +39,7 @@
     return Ack;
   }
 
-  /// A new flow's packet to the agent \p Number alone.
+  /// Sends a new flow's packet to the agent \p Number alone.
   void offerDirectly(unsigned Number, const test_frame &Frame) {
     const auto Packet = bytesOf(Frame);
     routed_packet Routed;
@@ -51,8 +52,8 @@
     Hosts[Number].Agent->onRouted(balancerAt(1), Buffer, Now);
   }
 
-  /// A target that a new balancer's walk asks before the flow's owner, and to
-  /// which the balancer itself sends nothing.
+  /// Returns a target that a new balancer's lookup asks before the flow's
+  /// owner, and to which the balancer itself sends nothing.
   std::optional<unsigned> targetAskedBeforeOwner(std::uint16_t Port,
                                                  std::uint32_t Ack,
                                                  unsigned Balancer) {
@@ -82,11 +83,11 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(large_service, "a walk goes on where a list ends") {
-  // The fabric moves flows to a balancer of another zone, which has never seen
-  // them. Its own zone alone has more targets than a packet can name, so no
-  // owner is in the first list: without the rest of the walk their requests
-  // would time out one after the other, although the targets are well.
+TEST_CASE_FIXTURE(large_service, "a lookup continues where a list ends") {
+  // The fabric moves flows to a balancer of another zone that has never seen
+  // them. Its own zone alone has more targets than one list can name, so no
+  // owner is in the first list. If the lookup ended there, the requests would
+  // time out although the targets are running.
   addBalancer(3, "oostende");
   updateBalancers();
   for (std::uint16_t Port = 1001; Port < 1101; ++Port) {
@@ -98,9 +99,11 @@
   }
 }
 
-TEST_CASE_FIXTURE(large_service, "a lost flow is reset after everyone's word") {
-  // More targets than a list can name, and the flow's own has lost it. The
-  // caller is told at once, but not before all of them have declined.
+TEST_CASE_FIXTURE(large_service,
+                  "a lost flow is reset after all targets declined") {
+  // There are more targets than one list can name, and the flow's owner has
+  // lost it. The caller has to get a reset, but not before all targets have
+  // declined.
   const flow_key Flow = flowOf(1001);
   const std::uint32_t Ack = openAndLose(Flow);
   packet(2, data(Flow, Ack));
@@ -110,8 +113,8 @@
 }
 
 TEST_CASE_FIXTURE(large_service, "packets of a known flow carry a short list") {
-  // Most packets are of flows whose owner is known. With everyone in their list
-  // a packet without data is eight times as long, on every link that it takes.
+  // Most packets belong to flows with a known owner. With all targets listed, a
+  // packet without data would be eight times as long on every link.
   const flow_key Flow = flowOf(1001);
   const std::uint32_t Ack = open(1, Flow);
   SentBytes = 0;
@@ -121,7 +124,8 @@
   CHECK(answers() == 1);
   CHECK(SentBytes < 200);
 
-  // The list goes on behind the owner when it has lost the flow.
+  // If the owner has lost the flow, the lookup continues with the other
+  // targets.
   const unsigned Owner = ownerOf(Flow);
   Hosts[Owner].Target = {};
   startAgent(Owner);
@@ -131,8 +135,9 @@
   CHECK(askedTargets() == Targets);
 }
 
-TEST_CASE_FIXTURE(large_service, "copies stay near behind a known owner too") {
-  // One VM has lost power, and the balancers remember its flows.
+TEST_CASE_FIXTURE(large_service,
+                  "copies behind a cached owner stay in the zone too") {
+  // One VM has failed, and the balancers have its flows in their caches.
   const flow_key Flow = flowOf(1001);
   const std::uint32_t Ack = openAndLose(Flow);
   packet(1, data(Flow, Ack));
@@ -142,10 +147,11 @@
   CHECK(Hops <= MaxRoutedOwners + 2);
 }
 
-TEST_CASE_FIXTURE(large_service, "copies of a lost flow's packet stay near") {
-  // All power was lost, and callers send what was not answered again and again.
-  // A walk for each copy, through all zones, would keep everyone busy with
-  // flows that nobody holds.
+TEST_CASE_FIXTURE(large_service,
+                  "copies of a lost flow's packet stay in the zone") {
+  // After a power failure, callers retransmit unanswered packets. If every copy
+  // started a lookup through all zones, all agents would be overloaded by flows
+  // that have no owner.
   const flow_key Flow = flowOf(1001);
   const std::uint32_t Ack = openAndLose(Flow);
   Hops = 0;
@@ -159,15 +165,18 @@
   }
   CHECK(resets() == 1);
 
-  // The caller may have missed the word, or the walk have lost its packet.
+  // The caller may have missed the reset, or the lookup may have lost its
+  // packet.
   pass(200ms);
   packet(2, data(Flow, Ack));
   CHECK(resets() == 2);
 }
 
-TEST_CASE_FIXTURE(large_service, "a list that has changed proves nothing") {
-  // A target joins or leaves while a packet walks through a long list: the rest
-  // is counted from another beginning, and the owner may be the one left out.
+TEST_CASE_FIXTURE(large_service,
+                  "no flow is reset if the list changed during the lookup") {
+  // A target joins or leaves during a lookup with several lists. The rest of
+  // the order is then counted from a different beginning, and the owner may be
+  // skipped.
   const flow_key Flow = flowOf(1001);
   const std::uint32_t Ack = openAndLose(Flow);
   BeforeBalancerReceives = [this] {
@@ -182,10 +191,11 @@
   CHECK(resets() == 0);
 }
 
-TEST_CASE_FIXTURE(large_service,
-                  "a long walk on old knowledge proves nothing") {
-  // The store falls silent while a packet walks: a target that has joined since
-  // may hold the flow.
+TEST_CASE_FIXTURE(
+    large_service,
+    "no flow is reset if knowledge became outdated during the lookup") {
+  // The store becomes unavailable during a lookup. A target that has joined
+  // since may own the flow.
   const flow_key Flow = flowOf(1001);
   const std::uint32_t Ack = openAndLose(Flow);
   BeforeBalancerReceives = [this] { expireKnowledge(); };
@@ -194,9 +204,10 @@
   CHECK(resets() == 0);
 }
 
-TEST_CASE_FIXTURE(large_service, "a silent target leaves a long walk unsure") {
-  // One of many targets hangs and cannot say whether it holds the flow. The
-  // walk goes on past it, but nobody may call the flow lost at its end.
+TEST_CASE_FIXTURE(large_service,
+                  "an unresponsive target leaves a long lookup indeterminate") {
+  // One of many targets hangs and cannot decline. The lookup continues past it,
+  // but at its end the flow must not be reset.
   const flow_key Flow = flowOf(1001);
   const std::uint32_t Ack = openAndLose(Flow);
   constexpr unsigned Silent = 1;
@@ -212,9 +223,9 @@
   CHECK(resets() == 0);
 }
 
-TEST_CASE_FIXTURE(large_service, "a walk that was made up is dropped") {
-  // Any process of the site can send a balancer datagrams; one that no balancer
-  // has begun must not start a walk for a new flow or for no route.
+TEST_CASE_FIXTURE(large_service, "a forged lookup is dropped") {
+  // Any process of the site can send datagrams to a balancer. A forged one must
+  // not start a lookup for a new flow or for an unknown route.
   routed_packet Routed;
   const auto Syn = bytesOf(syn(flowOf(1)));
   Routed.Service = serviceNumber("ledger");
@@ -230,11 +241,12 @@
   CHECK(Hops == 0);
 }
 
-TEST_CASE_FIXTURE(large_service, "a walk makes nobody report for seconds") {
-  // All power was lost, and every balancer looks for flows through all targets.
-  // Were each agent that a walk comes by to report to the walk's balancer for
-  // seconds, they would all report to all, and the links between zones carry
-  // more of that than of the walks.
+TEST_CASE_FIXTURE(large_service,
+                  "a lookup does not make agents report for seconds") {
+  // After a power failure, every balancer looks up flows through all targets.
+  // If each agent that a lookup reaches then reported to that balancer for
+  // seconds, all agents would report to all balancers, and the links between
+  // zones would carry more reports than lookups.
   const flow_key Flow = flowOf(1001);
   const std::uint32_t Ack = openAndLose(Flow);
   addBalancer(3, "zeebrugge");
@@ -248,10 +260,12 @@
   CHECK(Balancers[3]->counters().Suspicions == 0);
 }
 
-TEST_CASE_FIXTURE(large_service, "a storm of walks asks few questions") {
-  // All power was lost, or balancers are restarted in turn, and a balancer
-  // looks for many flows at once. Were each walk to ask all whom it names,
-  // every balancer would ask every agent several times a second.
+TEST_CASE_FIXTURE(large_service,
+                  "many lookups at once send few report requests") {
+  // After a power failure, or when balancers are restarted one after the other,
+  // a balancer looks up many flows at once. If each lookup requested reports
+  // from all agents it lists, every balancer would send requests to every agent
+  // several times a second.
   constexpr std::uint64_t MaxBurst = 16;
   for (std::uint16_t Port = 1001; Port < 1021; ++Port)
     openAndLose(flowOf(Port));
@@ -262,11 +276,12 @@
   CHECK(Balancers[3]->counters().ReportRequests - Before <= MaxBurst);
 }
 
-TEST_CASE_FIXTURE(large_service, "a VM that is gone hides no owner in a long "
-                                 "walk") {
-  // One of 140 targets is gone without a word, and stands before the flow's
-  // owner. Callers send again 200, 600 and 1,400 ms after the first packet; the
-  // last of them finds the owner, though not all can be asked at once.
+TEST_CASE_FIXTURE(large_service,
+                  "a failed VM hides no owner in a long lookup") {
+  // One of 140 targets has failed and comes before the flow's owner in the
+  // list. Callers retransmit 200, 600 and 1,400 ms after the first packet; the
+  // last copy has to reach the owner, although reports cannot be requested from
+  // all agents at once.
   std::size_t Hidden = 0;
   unsigned Balancer = 10;
   addBalancer(Balancer, "oostende");
--- a/test/forward/new_flows_test.cpp
+++ b/test/forward/new_flows_test.cpp
@@ -21,7 +21,8 @@
 } // namespace
 
 TEST_CASE_FIXTURE(small_site, "a draining target gets no new flow") {
-  // Its agent has acknowledged; balancers have not heard yet.
+  // The agent has acknowledged the drain, but the balancers do not know of it
+  // yet.
   Hosts[1].Agent->setAdmitting(false);
   for (std::uint16_t Port = 1; Port <= 60; ++Port)
     open(1, flowOf(Port));
@@ -32,9 +33,9 @@
         60);
 }
 
-TEST_CASE_FIXTURE(small_site, "an address used again serves its new service") {
+TEST_CASE_FIXTURE(small_site, "a reused address serves its new service") {
   // A VM was replaced and its address given to another service; the balancer's
-  // list is of before.
+  // registry still has the old entry.
   Hosts[2].Service = "archive";
   startAgent(2);
   Hosts[2].Agent->setAdmitting(true);
@@ -54,9 +55,9 @@
 }
 
 TEST_CASE_FIXTURE(small_site,
-                  "if no target takes a flow, its caller hears it") {
-  // Everything is full. A caller that is told at once can come back; one that
-  // is kept waiting loses its time.
+                  "if no target accepts a flow, its caller gets a reset") {
+  // All targets are full. A caller that gets a reset immediately can try again;
+  // without it the caller waits for its time-out.
   for (auto &[Number, Host] : Hosts)
     Host.Target.Full = true;
   packet(1, syn(flowOf(1)));
@@ -71,9 +72,9 @@
   CHECK(resets() == 1);
 }
 
-TEST_CASE_FIXTURE(small_site, "a target that hangs is passed by") {
-  // A SYN put to a frozen target is offered to the next one long before the
-  // caller sends it again.
+TEST_CASE_FIXTURE(small_site, "a target that hangs is skipped") {
+  // A SYN offered to a frozen target is offered to the next one long before the
+  // caller retransmits it.
   Hosts[1].Target.Frozen = true;
   std::size_t Opened = 0;
   for (std::uint16_t Port = 1; Port <= 30; ++Port) {
@@ -86,7 +87,7 @@
   CHECK(Hosts[1].ProbeRequested);
 }
 
-TEST_CASE_FIXTURE(small_site, "a VM that dies gets no more new flows") {
+TEST_CASE_FIXTURE(small_site, "a failed VM gets no more new flows") {
   Hosts[1].Cut = true;
   std::size_t Lost = 0;
   for (std::uint16_t Port = 1; Port <= 60; ++Port) {
@@ -96,7 +97,8 @@
     Lost += Received.empty();
     pass(40ms);
   }
-  // Those of the first half second, before it was missed.
+  // Only SYNs of the first half second, before the failure is detected, are
+  // lost.
   CHECK(Lost <= 8);
 
   Hosts[1].Cut = false;
@@ -108,8 +110,8 @@
 }
 
 TEST_CASE_FIXTURE(small_site, "a copy of a SYN tries another target") {
-  // The first one went to a VM that had just died; the caller sends it again
-  // before anyone has noticed.
+  // The first SYN went to a VM that had just failed, and the caller retransmits
+  // it before the failure is detected.
   Hosts[1].Cut = true;
   std::size_t Lost = 0;
   for (std::uint16_t Port = 1; Port <= 20; ++Port) {
@@ -124,23 +126,26 @@
   CHECK(Lost > 0);
 }
 
-TEST_CASE_FIXTURE(small_site, "no route, no flow") {
+TEST_CASE_FIXTURE(small_site, "a flow without a route is reset") {
   setRoutes({});
   CHECK(packet(1, syn(flowOf(1))) == forward_outcome::NoRoute);
   CHECK(resets() == 1);
 }
 
-TEST_CASE_FIXTURE(small_site, "a route not heard of yet is not denied") {
-  // This balancer is behind; another one may have opened the flow.
+TEST_CASE_FIXTURE(small_site,
+                  "a flow without a route is not reset on outdated knowledge") {
+  // This balancer's knowledge is outdated; another balancer may have opened the
+  // flow.
   setRoutes({});
   expireKnowledge();
   CHECK(packet(1, data(flowOf(1), 7)) == forward_outcome::Indeterminate);
   CHECK(resets() == 0);
 }
 
-TEST_CASE_FIXTURE(small_site, "a VM that is gone for good is told so") {
-  // Every day VMs die without a word. Their entries would pile up at the end of
-  // every list, and no lost flow could be reset.
+TEST_CASE_FIXTURE(small_site,
+                  "a VM that has failed for good is reported as lost") {
+  // VMs fail every day without unregistering. Their entries would accumulate at
+  // the end of every list, and no lost flow could be reset.
   Hosts[2].Cut = true;
   for (std::uint16_t Port = 1; Port <= 20; ++Port)
     packet(1, syn(flowOf(Port)));
@@ -153,9 +158,10 @@
     CHECK(Agent == agentAt(2));
 }
 
-TEST_CASE_FIXTURE(small_site, "an agent that the list lacks hears it") {
-  // It was cut off, taken for dead, and is back. Nobody sends there, so it has
-  // to call out itself.
+TEST_CASE_FIXTURE(small_site, "an agent that is not registered is notified") {
+  // The agent was cut off, was assumed dead, and is reachable again. No
+  // balancer sends packets to it, so it has to send reports by itself to learn
+  // that it is unregistered.
   packet(1, syn(flowOf(1)));
   Hosts[3].InStore = false;
   for (int Second = 0; Second < 8; ++Second) {
@@ -167,10 +173,10 @@
 }
 
 TEST_CASE_FIXTURE(small_site, "a full target's flows spread over the others") {
-  // A target fills up between two of its reports, and many callers connect at
-  // once. If all of its flows went to the same next target, that one would fill
-  // up too, while others idle.
-  // It has room now and then, so that it is not taken for one that takes none.
+  // A target becomes full between two of its reports while many callers connect
+  // at once. If all of its flows went to the same next target, that one would
+  // fill up too while others idle. The target has room now and then, so that it
+  // does not count as one that accepts nothing.
   std::map<endpoint, int> Next;
   for (std::uint16_t Port = 2001; Port < 2401; ++Port) {
     forward_world::target &Target = Hosts[1].Target;
@@ -192,10 +198,11 @@
   CHECK(Most * 3 <= Total * 2);
 }
 
-TEST_CASE_FIXTURE(small_site, "a new target is not called known too early") {
-  // A target has just been announced, and the store's answer to its agent was
-  // lost. The first balancers have heard of it; others may still be without it,
-  // and would find that nobody holds its flows.
+TEST_CASE_FIXTURE(small_site,
+                  "a new target is not notified as registered too early") {
+  // A target has just been registered, and the store's answer to its agent was
+  // lost. The first balancers know the entry; others may not, and would find
+  // that no target owns its flows.
   addHost(5);
   Hosts[5].Agent->setAdmitting(false);
   pass(SettleTime - 200ms);
@@ -204,10 +211,11 @@
   CHECK(Hosts[5].Registered > 0);
 }
 
-TEST_CASE_FIXTURE(small_site, "a target that all know hears it") {
-  // An agent is restarted while the store is silent, and cannot read whether
-  // its entry stands. Balancers that have known it for long tell it, or its
-  // target would get no flows until the store is back.
+TEST_CASE_FIXTURE(small_site, "a target that all balancers know is notified") {
+  // An agent is restarted while the store is unavailable and cannot read
+  // whether its entry exists. Balancers that have known the entry for long
+  // enough have to confirm it; otherwise the target gets no flows until the
+  // store is available again.
   pass(SettleTime);
   startAgent(3);
   Hosts[3].Agent->setAdmitting(false);
@@ -216,9 +224,10 @@
   CHECK(Hosts[1].Registered == 0);
 }
 
-TEST_CASE_FIXTURE(small_site, "a former entry makes no new target known") {
-  // A VM's address is used again by another service. Balancers have known the
-  // address for long, but not for this service.
+TEST_CASE_FIXTURE(small_site,
+                  "an entry of another service does not make a target known") {
+  // The address of a VM is reused by another service. Balancers have known the
+  // address for long enough, but not for this service.
   pass(SettleTime);
   Hosts[3].Service = "archive";
   startAgent(3);
@@ -227,10 +236,12 @@
   CHECK(Hosts[3].Registered == 0);
 }
 
-TEST_CASE_FIXTURE(small_site, "a balancer that starts tells whom it finds") {
-  // All VMs lose power while the store is away. When it is back, balancers read
-  // its list at once; agents are on their own, and the first one that the store
-  // answers would get every flow of the site for a second.
+TEST_CASE_FIXTURE(
+    small_site, "a starting balancer notifies the agents it finds registered") {
+  // All VMs lose power while the store is unavailable. When it recovers,
+  // balancers read its registry at once, but agents retry at different times.
+  // If balancers sent no notices, the first agent served by the store would get
+  // every flow of the site for a second.
   Balancers.erase(1);
   startAgent(3);
   Hosts[3].Agent->setAdmitting(false);
@@ -241,17 +252,21 @@
   CHECK(Hosts[3].Registered == 0);
 }
 
-TEST_CASE_FIXTURE(small_site, "a target that came later was not found") {
-  // It was announced while this balancer ran: others may not know it yet.
+TEST_CASE_FIXTURE(small_site,
+                  "a target registered later is not notified as found") {
+  // The target was registered while this balancer ran, so other balancers may
+  // not know it yet.
   addHost(5);
   Hosts[5].Agent->setAdmitting(false);
   pass(SettleTime - 200ms);
   CHECK(Hosts[5].RegistrationFound == 0);
 }
 
-TEST_CASE_FIXTURE(small_site, "what a balancer announced was not found") {
-  // Another balancer wrote the entry a moment ago, for an agent that the store
-  // refuses; it is as new as one that the agent has written.
+TEST_CASE_FIXTURE(small_site,
+                  "an entry written by a balancer is not notified as found") {
+  // Another balancer wrote the entry a moment ago on behalf of an agent that
+  // the store refuses. Such an entry is as new as one that the agent wrote
+  // itself.
   Hosts[3].ByPeer = true;
   Hosts[3].Agent->setAdmitting(false);
   addBalancer(2);
@@ -259,11 +274,12 @@
   CHECK(Hosts[3].RegistrationFound == 0);
 }
 
-TEST_CASE_FIXTURE(small_site, "a target that takes nothing draws no flows") {
-  // A target's process has crashed, and its VM gives every new flow back at
-  // once. It has no flows and nothing in progress, and looked like the best
-  // choice of its zone: each new flow went there first and then to the next in
-  // the list, which filled up while others idled.
+TEST_CASE_FIXTURE(small_site,
+                  "a target that accepts nothing gets few new flows") {
+  // A target's process has crashed, and its VM declines every new flow at once.
+  // It has no flows and no requests in progress, so it looked like the best
+  // choice of its zone. Each new flow went there first and then to the next
+  // agent in the list, which filled up while others idled.
   Hosts[1].Target.Full = true;
   for (std::uint16_t Port = 1; Port <= 400; ++Port) {
     open(1, flowOf(Port));
@@ -280,7 +296,7 @@
   }
 }
 
-TEST_CASE_FIXTURE(small_site, "a target that takes flows again gets some") {
+TEST_CASE_FIXTURE(small_site, "a target that accepts flows again gets some") {
   Hosts[1].Target.Full = true;
   for (std::uint16_t Port = 1; Port <= 100; ++Port)
     open(1, flowOf(Port));
@@ -292,10 +308,9 @@
   CHECK(Hosts[1].Target.Flows.size() >= 20);
 }
 
-TEST_CASE_FIXTURE(small_site,
-                  "where all targets decline, each is still asked") {
-  // Every target of a service is full for a moment. Its callers are told at
-  // once, and the first target that has room takes flows again.
+TEST_CASE_FIXTURE(small_site, "if all targets decline, each is still tried") {
+  // Every target of a service is full for a moment. Callers have to get a reset
+  // at once, and the first target with room has to get flows again.
   for (auto &[Number, Host] : Hosts)
     Host.Target.Full = true;
   for (std::uint16_t Port = 1; Port <= 50; ++Port)
--- a/test/forward/placement_test.cpp
+++ b/test/forward/placement_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Places flows as several balancers do that hear reports now and then.
+/// Places flows as several balancers do that receive load reports now and then.
 class placement_model {
 public:
   std::vector<placement_candidate> Real;
@@ -23,8 +23,8 @@
     }
   }
 
-  /// \p Flows new flows between two reports, by \p Balancers that each know
-  /// only their own placements.
+  /// Places \p Flows new flows between two reports, by \p Balancers that each
+  /// know only their own placements.
   void round(std::size_t Flows, std::size_t Balancers) {
     std::vector<std::vector<placement_candidate>> Views(Balancers, Real);
     for (std::size_t I = 0; I < Flows; ++I) {
@@ -65,10 +65,10 @@
   CHECK(imbalance(Model.Real) < 1.06);
 }
 
-TEST_CASE("a new target is not buried under all new flows at once") {
+TEST_CASE("a new target does not get all new flows at once") {
   // A target joins a zone of 15 where each has 100 flows. Seven balancers with
-  // the same report all see it empty; sent there by all, 50 flows of a fifth of
-  // a second would overflow its queue of 8.
+  // the same report all see it empty; if all of them sent it their new flows,
+  // 50 flows within a fifth of a second would overflow its queue of 8.
   placement_model Model(15);
   for (placement_candidate &Target : Model.Real)
     Target.Flows = 100;
@@ -92,7 +92,7 @@
   CHECK(placement().choose(Targets, {0, 1}) == 1);
 }
 
-TEST_CASE("a slow target gets less") {
+TEST_CASE("a slow target gets fewer flows") {
   placement_model Model(4);
   for (placement_candidate &Target : Model.Real)
     Target.Latency = 30ms;
@@ -103,7 +103,7 @@
   CHECK(Model.Real[0].Flows < Model.Real[1].Flows / 2);
 }
 
-TEST_CASE("a target that warms up gets less") {
+TEST_CASE("a target that warms up gets fewer flows") {
   placement_model Model(4);
   Model.Real[0].Warmup = 2s;
   for (int Round = 0; Round < 60; ++Round)
@@ -121,9 +121,9 @@
   CHECK(*placement().choose(Targets, {3, 2, 1, 0}) <= 1);
 }
 
-TEST_CASE("a full zone hands over to one that has room") {
-  // A burst fills one zone while the next one is half idle. Kept at home, its
-  // callers would wait or be refused.
+TEST_CASE("flows leave a full zone for one that has room") {
+  // A burst fills one zone while the next one is half idle. If its flows stayed
+  // in the zone, callers would wait or be refused.
   std::vector<placement_candidate> Targets(4);
   Targets[0].OwnZone = Targets[1].OwnZone = true;
   for (placement_candidate &Target : Targets)
@@ -138,7 +138,7 @@
 
 namespace {
 
-/// A balancer of one of five zones whose targets all have a queue.
+/// A balancer in one of five zones whose targets all have a queue.
 struct full_site {
   static constexpr std::size_t OfZone = 32;
   static constexpr std::size_t Zones = 5;
@@ -165,11 +165,12 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(full_site, "a few tell that other zones are as full") {
-  // All power is back, and everyone asks at once. A balancer has not heard of
-  // the load of targets elsewhere since they were idle. Were it to find out
-  // target by target, every balancer of a large site would send a flow to each,
-  // and these would cross zones for as long as they live.
+TEST_CASE_FIXTURE(full_site,
+                  "a few reports show that other zones are as full") {
+  // After a power failure all callers connect at once. The last load reports
+  // from other zones date from when their targets were idle. If a balancer had
+  // to find out target by target, every balancer of a large site would send a
+  // flow to each, and these flows would cross zones for their whole lifetime.
   for (std::size_t I = OfZone; I < Targets.size(); ++I) {
     Targets[I].Active = 0;
     Targets[I].Fresh = false;
@@ -189,8 +190,9 @@
 }
 
 TEST_CASE_FIXTURE(full_site, "a flow that leaves its zone waits less") {
-  // Zones are full, and a few targets elsewhere have just emptied. A flow that
-  // gets none of those two to choose from stays at home.
+  // All zones are full except for a few targets elsewhere that have just
+  // emptied. A flow that has none of these among its two choices stays in its
+  // zone.
   for (std::size_t I = OfZone; I < OfZone + 3; ++I)
     Targets[I].Active = 0;
   for (int Flow = 0; Flow < 500; ++Flow) {
@@ -199,8 +201,10 @@
   }
 }
 
-TEST_CASE_FIXTURE(full_site, "a zone that was idle when last heard is tried") {
-  // A burst fills one zone, and nothing has been sent elsewhere for a while.
+TEST_CASE_FIXTURE(full_site,
+                  "a zone that was idle at its last report is tried") {
+  // A burst fills one zone, and no packets were sent to other zones for a
+  // while, so their reports are old.
   for (std::size_t I = OfZone; I < Targets.size(); ++I) {
     Targets[I].Active = 0;
     Targets[I].Fresh = false;
@@ -209,7 +213,7 @@
   CHECK_FALSE(Targets[place()].OwnZone);
 }
 
-TEST_CASE("suspects come last, those that do not admit never") {
+TEST_CASE("suspect targets come last, targets that do not admit never") {
   std::vector<placement_candidate> Targets(3);
   Targets[0].Admitting = false;
   Targets[1].Suspect = true;
@@ -221,9 +225,9 @@
   CHECK_FALSE(placement().choose(Targets, {0, 1, 2}));
 }
 
-TEST_CASE("one that was not heard yet waits behind those that were") {
-  // A target's entry is in the store a second before it takes flows; a flow
-  // sent there would be passed on.
+TEST_CASE("a target without a report comes after those with one") {
+  // A target is registered one second before it accepts flows; a flow sent
+  // there earlier would be passed on.
   std::vector<placement_candidate> Targets(2);
   Targets[0].OwnZone = Targets[1].OwnZone = true;
   Targets[0].Reported = false;
@@ -234,7 +238,7 @@
   CHECK(placement().choose(Targets, {0, 1}).has_value());
 }
 
-TEST_CASE("a report keeps what it says") {
+TEST_CASE("a load report is decoded as it was encoded") {
   load_report Report;
   Report.Service = serviceNumber("ledger");
   Report.Agent = {0x0a000001, 700};
@@ -255,8 +259,8 @@
 
 namespace {
 
-/// Targets of one service, all in the caller's zone, that differ only in how
-/// they answer.
+/// Targets of one service, all in the caller's zone, that differ only in their
+/// failure rate.
 std::vector<placement_candidate> answering(const std::vector<int> &Failing) {
   std::vector<placement_candidate> Targets;
   for (const int Thousandths : Failing) {
@@ -270,7 +274,7 @@
   return Targets;
 }
 
-/// How often each target is chosen for flows whose orders are drawn anew.
+/// How often each target is chosen for flows with random orders.
 std::vector<int> chosenOf(const std::vector<placement_candidate> &Targets,
                           int Flows = 600) {
   std::minstd_rand Random(7);
@@ -289,8 +293,8 @@
 
 } // namespace
 
-TEST_CASE("targets that fail get no flows while others do well") {
-  // Two of seven targets answer four requests in ten with an error, at once.
+TEST_CASE("failing targets get no flows while others do well") {
+  // Two of seven targets immediately answer four requests in ten with an error.
   // They look idle, and by load alone would get more flows than any other.
   auto Targets = answering({400, 0, 10, 350, 0, 0, 0});
   Targets[0].Flows = 2;
@@ -300,15 +304,16 @@
   CHECK(Chosen[3] == 0);
 }
 
-TEST_CASE("a few failures take nothing away from a target") {
+TEST_CASE("a few failures do not reduce a target's flows") {
   const auto Chosen = chosenOf(answering({95, 0, 50, 0, 0, 20, 0}));
   for (const int Count : Chosen)
     CHECK(Count > 30);
 }
 
-TEST_CASE("a service whose targets all fail alike keeps them all") {
-  // A bad release, or a database behind the service that is gone: left out one
-  // by one, targets would leave all flows to the last.
+TEST_CASE("a service whose targets all fail equally keeps them all") {
+  // All targets fail because of a bad release or a failed database behind the
+  // service. If failing targets were excluded one by one, all flows would go to
+  // the last one.
   const auto Chosen = chosenOf(answering({500, 450, 520, 480, 500, 510, 490}));
   for (const int Count : Chosen)
     CHECK(Count > 30);
@@ -321,7 +326,8 @@
   CHECK(chosenOf(Targets)[0] == 600);
 }
 
-TEST_CASE("a zone whose targets fail is left for one whose targets do well") {
+TEST_CASE(
+    "flows leave a zone whose targets fail for one whose targets do well") {
   auto Targets = answering({400, 450, 0, 0, 0, 0});
   for (std::size_t Position = 2; Position < Targets.size(); ++Position)
     Targets[Position].OwnZone = false;
--- a/test/forward/small_site.h
+++ b/test/forward/small_site.h
@@ -1,4 +1,9 @@
-//===- small_site.h - Five targets behind two balancers ---------*- C++ -*-===//
+//===- small_site.h - Five targets, two balancers ---------------*- C++ -*-===//
+///
+/// \file
+/// Test fixture: five targets of one service behind two balancers of one zone.
+///
+//===----------------------------------------------------------------------===//
 
 #ifndef MARJORAMRAIL_TEST_FORWARD_SMALL_SITE_H
 #define MARJORAMRAIL_TEST_FORWARD_SMALL_SITE_H
--- a/test/forward/unresponsive_agents_test.cpp
+++ b/test/forward/unresponsive_agents_test.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-/// Callers send what was not answered again after this time, and their requests
-/// are given up soon after.
+/// Time after which callers first retransmit an unanswered packet; requests
+/// time out soon after.
 constexpr duration FirstCopy = 200ms;
-/// The copy after it.
+/// Time between the first and the second retransmission.
 constexpr duration SecondCopy = 400ms;
 
 /// Two targets in each of three zones.
@@ -30,7 +30,7 @@
     updateBalancers();
   }
 
-  /// A VM is gone without a word; its entry stays in the store.
+  /// A VM fails without unregistering; its entry stays in the store.
   void cutOffVm(unsigned Number) { Hosts[Number].Cut = true; }
 
   struct opened {
@@ -38,7 +38,8 @@
     std::uint32_t Ack = 0;
   };
 
-  /// Flows through the balancers of all zones, none of them held by \p Gone.
+  /// Opens flows through the balancers of all zones and returns those not owned
+  /// by \p Gone.
   std::vector<opened> openFlows(const std::set<unsigned> &Gone) {
     std::vector<opened> Flows;
     for (std::uint16_t Port = 1001; Port < 1061; ++Port) {
@@ -50,8 +51,8 @@
     return Flows;
   }
 
-  /// The handshake's first packet goes through one balancer, the rest through
-  /// another.
+  /// Sends the first packet of the handshake through one balancer and the rest
+  /// through another.
   std::uint32_t openThrough(unsigned First, unsigned Then,
                             const flow_key &Flow) {
     Received.clear();
@@ -62,7 +63,7 @@
     return Ack;
   }
 
-  /// The balancer was started a moment ago and has seen no packet yet.
+  /// Starts a balancer that has not seen any packet yet.
   unsigned startBalancer() {
     const unsigned Number = NextBalancer++;
     addBalancer(Number, "brugge");
@@ -71,7 +72,8 @@
     return Number;
   }
 
-  /// Whether a caller gets an answer to its packet or the first copy of it.
+  /// Returns true if a caller gets an answer to its packet or to the first
+  /// retransmission.
   bool isAnsweredInTime(unsigned Through, const opened &Opened) {
     Received.clear();
     packet(Through, data(Opened.Flow, Opened.Ack));
@@ -87,7 +89,7 @@
     return Bytes;
   }
 
-  /// Packets that targets gave back.
+  /// Number of packets that targets declined.
   std::uint64_t declined() const {
     std::uint64_t Count = 0;
     for (const auto &[Number, Host] : Hosts)
@@ -111,23 +113,23 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(three_zones, "a VM that is gone hides no owner behind it") {
-  // A target's VM is gone without a word and still stands in the store. A
-  // balancer that was started since looks for a flow, and its packets end at
-  // the VM that is gone, copy after copy, although the flow's owner is well.
+TEST_CASE_FIXTURE(three_zones, "a failed VM hides no owner behind it") {
+  // A target's VM has failed and is still registered. A balancer that was
+  // started since looks up a flow's owner, and every copy of the packet is lost
+  // at the failed VM although the owner is running.
   CHECK(unanswered({3}) == 0);
 }
 
-TEST_CASE_FIXTURE(three_zones, "two VMs that are gone hide no owner") {
-  // The owner stands between them, so that a walk meets one of them from either
-  // end.
+TEST_CASE_FIXTURE(three_zones, "two failed VMs hide no owner") {
+  // The owner is between two failed VMs, so a lookup in either direction meets
+  // one of them first.
   CHECK(unanswered({1, 3}) == 0);
 }
 
-TEST_CASE_FIXTURE(three_zones, "a VM that gets no packets is found gone") {
-  // A target's VM is gone before a balancer of its zone has started: no flow is
-  // placed there, so nothing is sent there first. Its entry would stand in
-  // every list for ever.
+TEST_CASE_FIXTURE(three_zones, "a failed VM that gets no packets is detected") {
+  // A target's VM failed before a balancer of its zone was started. No flow is
+  // placed there, so no packet is sent that would reveal the failure. The entry
+  // would stay in every list for ever.
   cutOffVm(2);
   const unsigned Balancer = startBalancer();
   pass(FlowLife + 25s);
@@ -135,7 +137,7 @@
   CHECK(std::count(Lost.begin(), Lost.end(), agentAt(2)) > 0);
 }
 
-TEST_CASE("an agent that answers no question is suspected") {
+TEST_CASE("an agent that answers no report request is suspected") {
   agent_table AgentTable("brugge", 17);
   const endpoint Agent = agentAt(1);
   instant Now{10s};
@@ -150,10 +152,11 @@
   CHECK(Suspected == std::vector<endpoint>{Agent});
 }
 
-TEST_CASE_FIXTURE(three_zones, "a VM that was heard lately may be gone") {
+TEST_CASE_FIXTURE(three_zones,
+                  "a VM that has reported recently may have failed") {
   // The agent reported to the balancer half a second before the flow's packet
-  // comes, and its VM is gone since. Taken for there by its old report, it
-  // would swallow the caller's copies as well.
+  // arrives, and its VM has failed since. If the old report counted, the VM
+  // would swallow the caller's retransmissions as well.
   const std::vector<opened> Flows = openFlows({3});
   std::size_t Unanswered = 0;
   for (const opened &Opened : Flows) {
@@ -167,10 +170,11 @@
   CHECK(Unanswered == 0);
 }
 
-TEST_CASE_FIXTURE(three_zones, "a guess about the owner hides no owner") {
-  // A balancer placed a flow at a target that was full; the next one took it,
-  // and only another balancer saw the rest of the handshake. When the full
-  // target's VM is gone, the first balancer's packets must not go there alone.
+TEST_CASE_FIXTURE(three_zones, "an unconfirmed placement hides no owner") {
+  // A balancer placed a flow at a target that was full. The next target
+  // accepted it, and only another balancer saw the rest of the handshake. When
+  // the VM of the full target fails, the first balancer must not send the
+  // flow's packets there alone.
   constexpr unsigned Chosen = 1;
   std::size_t Attempts = 0;
   std::size_t Unanswered = 0;
@@ -191,10 +195,10 @@
   CHECK(Unanswered == 0);
 }
 
-TEST_CASE_FIXTURE(three_zones, "a VM that is gone takes no new flow with it") {
-  // All targets of a zone are full and give new flows on. The next in the list
-  // is gone and was never heard; callers whose SYN ends there three times give
-  // up, although other targets are free.
+TEST_CASE_FIXTURE(three_zones, "a failed VM loses no new flow") {
+  // All targets of a zone are full and pass new flows on. The next agent in the
+  // list has failed and never reported. Callers whose SYN is lost there three
+  // times give up although other targets are free.
   Hosts[1].Target.Full = Hosts[2].Target.Full = true;
   cutOffVm(3);
   std::size_t Refused = 0;
@@ -213,10 +217,11 @@
   CHECK(Refused == 0);
 }
 
-TEST_CASE_FIXTURE(three_zones, "an agent that nobody calls looks for itself") {
-  // An agent was cut off until its entry was taken out, and the one balancer
-  // that it knows is gone meanwhile. Nobody asks what is not in the list: its
-  // target, which is well, would never get a flow again.
+TEST_CASE_FIXTURE(three_zones,
+                  "an agent without balancer contact checks its registration") {
+  // An agent was cut off until its entry was removed, and the only balancer it
+  // knows has stopped in the meantime. No balancer sends requests to an agent
+  // that is not registered, so its running target would never get a flow again.
   CHECK(Hosts[6].NoBalancerContact == 0);
   Balancers.clear();
   pass(59s);
@@ -227,11 +232,12 @@
   CHECK(Hosts[6].NoBalancerContact == 1);
 }
 
-TEST_CASE_FIXTURE(three_zones, "a balancer that was held up reaches owners") {
-  // A balancer's loop stands still for seconds, as when its VM has no processor
-  // time. Then everyone seems silent to it, and callers have sent three copies
-  // of what they wait for. Each packet still has to reach the flow's owner, and
-  // live flows are not shown to others one after the other.
+TEST_CASE_FIXTURE(three_zones,
+                  "a balancer whose loop stopped still reaches owners") {
+  // A balancer's event loop stops for seconds, as when its VM gets no processor
+  // time. All agents then seem unresponsive to it, and callers have sent three
+  // copies of their packets. Each packet still has to reach the flow's owner,
+  // and must not be offered to other targets first.
   std::vector<opened> Flows;
   for (std::uint16_t Port = 1001; Port < 1031; ++Port)
     Flows.push_back({flowOf(Port), open(1, flowOf(Port))});
@@ -247,9 +253,10 @@
   CHECK(declined() == Before);
 }
 
-TEST_CASE_FIXTURE(three_zones, "a balancer that is new and held up finds all") {
-  // The same for a balancer that has never seen the flows: a walk finds each
-  // owner, though the balancer takes everyone for silent.
+TEST_CASE_FIXTURE(three_zones,
+                  "a new balancer whose loop stopped finds all owners") {
+  // The same for a balancer that has never seen the flows: an owner lookup has
+  // to find each owner although the balancer considers all agents unresponsive.
   std::vector<opened> Flows = openFlows({});
   const unsigned Balancer = startBalancer();
   Now += 3s;
