--- a/src/forward/forward_balancer.cpp
+++ b/src/forward/forward_balancer.cpp
@@ -233,10 +233,10 @@
 
 void forward_balancer::impl::sendReportRequest(const endpoint &Agent,
                                                report_span Span) {
-  std::array<std::uint8_t, LoadReportRequestBytes> Question;
-  encodeLoadReportRequest(Span, Question);
+  std::array<std::uint8_t, LoadReportRequestBytes> Request;
+  encodeLoadReportRequest(Span, Request);
   ++Counters.ReportRequests;
-  Hooks.SendToAgent(Agent, Question);
+  Hooks.SendToAgent(Agent, Request);
 }
 
 void forward_balancer::impl::requestReport(const endpoint &Agent, instant Now) {
--- a/test/forward/flows_test.cpp
+++ b/test/forward/flows_test.cpp
@@ -213,10 +213,10 @@
   std::size_t Held = 0;
   for (std::uint16_t Port = 1001; Port < 1031; ++Port)
     open(1, flowOf(Port));
-  const unsigned Gone = ownerOf(flowOf(1001));
-  Held = Hosts[Gone].Target.Flows.size();
+  const unsigned Stopped = ownerOf(flowOf(1001));
+  Held = Hosts[Stopped].Target.Flows.size();
   Received.clear();
-  Hosts[Gone].Agent->setTargetStopped(true, Now);
+  Hosts[Stopped].Agent->setTargetStopped(true, Now);
 
   CHECK(resets() == Held);
 }
--- a/test/forward/long_lookups_test.cpp
+++ b/test/forward/long_lookups_test.cpp
@@ -210,11 +210,11 @@
   // but at its end the flow must not be reset.
   const flow_key Flow = flowOf(1001);
   const std::uint32_t Ack = openAndLose(Flow);
-  constexpr unsigned Silent = 1;
-  Hosts[Silent].Target.Frozen = true;
-  offerDirectly(Silent, syn(flowOf(2001)));
+  constexpr unsigned Unresponsive = 1;
+  Hosts[Unresponsive].Target.Frozen = true;
+  offerDirectly(Unresponsive, syn(flowOf(2001)));
   pass(100ms);
-  REQUIRE(Hosts[Silent].ProbeRequested);
+  REQUIRE(Hosts[Unresponsive].ProbeRequested);
   updateBalancers();
   Received.clear();
   packet(2, data(Flow, Ack));
@@ -287,11 +287,11 @@
   addBalancer(Balancer, "oostende");
   for (std::uint16_t Port = 1001; Port < 1021; ++Port) {
     const std::uint32_t Ack = open(10, flowOf(Port));
-    const auto Gone = targetAskedBeforeOwner(Port, Ack, ++Balancer);
-    if (!Gone)
+    const auto Failed = targetAskedBeforeOwner(Port, Ack, ++Balancer);
+    if (!Failed)
       continue;
     ++Hidden;
-    Hosts[*Gone].Cut = true;
+    Hosts[*Failed].Cut = true;
     addBalancer(++Balancer, "zeebrugge");
     Received.clear();
     for (const duration Pause : {200ms, 400ms, 800ms, 0ms}) {
@@ -300,7 +300,7 @@
     }
     CHECK(answers() > 0);
     Balancers.erase(Balancer);
-    Hosts[*Gone].Cut = false;
+    Hosts[*Failed].Cut = false;
   }
   CHECK(Hidden > 0);
 }
--- a/test/forward/unresponsive_agents_test.cpp
+++ b/test/forward/unresponsive_agents_test.cpp
@@ -39,12 +39,12 @@
   };
 
   /// Opens flows through the balancers of all zones and returns those not owned
-  /// by \p Gone.
-  std::vector<opened> openFlows(const std::set<unsigned> &Gone) {
+  /// by \p Failed.
+  std::vector<opened> openFlows(const std::set<unsigned> &Failed) {
     std::vector<opened> Flows;
     for (std::uint16_t Port = 1001; Port < 1061; ++Port) {
       const std::uint32_t Ack = open(Port % 3 + 1, flowOf(Port));
-      if (!Gone.contains(ownerOf(flowOf(Port))))
+      if (!Failed.contains(ownerOf(flowOf(Port))))
         Flows.push_back({flowOf(Port), Ack});
     }
     REQUIRE(Flows.size() > 20);
@@ -97,9 +97,9 @@
     return Count;
   }
 
-  std::size_t unanswered(const std::set<unsigned> &Gone) {
-    const std::vector<opened> Flows = openFlows(Gone);
-    for (const unsigned Number : Gone)
+  std::size_t unanswered(const std::set<unsigned> &Failed) {
+    const std::vector<opened> Flows = openFlows(Failed);
+    for (const unsigned Number : Failed)
       cutOffVm(Number);
     std::size_t Count = 0;
     for (const opened &Opened : Flows)
