--- a/test/forward/unresponsive_agents_test.cpp
+++ b/test/forward/unresponsive_agents_test.cpp
@@ -195,7 +195,7 @@
   CHECK(Unanswered == 0);
 }
 
-TEST_CASE_FIXTURE(three_zones, "a failed VM loses no new flow") {
+TEST_CASE_FIXTURE(three_zones, "no new flow is lost at a failed VM") {
   // All targets of a zone are full and pass new flows on. The next agent in the
   // list has failed and never reported. Callers whose SYN is lost there three
   // times give up although other targets are free.
