--- a/bench/forward/main.cpp
+++ b/bench/forward/main.cpp
@@ -119,7 +119,7 @@
   Hooks.SendToTarget = [](bytes_view) {};
   Hooks.SendToPeer = [](const endpoint &, bytes_view) {};
   Hooks.SendToCaller = [](const endpoint &, bytes_view) {};
-  Hooks.TargetSilent = [] {};
+  Hooks.TargetUnresponsive = [] {};
   forward_agent Agent({serviceNumber("ledger"), {0x0a000100, 700}},
                       users_platform::packetCodec(), Hooks);
   Agent.setAdmitting(true);
@@ -203,7 +203,7 @@
 public:
   placing_model(policy Policy, fault_scenario Scenario)
       : Policy(Policy), Scenario(Scenario), Actual(Targets) {
-    for (placing_view &Target : Actual) {
+    for (placement_candidate &Target : Actual) {
       Target.OwnZone = true;
       Target.Slots = Slots;
     }
@@ -232,7 +232,7 @@
     std::sort(WaitTimesMs.begin(), WaitTimesMs.end());
     double Most = 0;
     double Sum = 0;
-    for (const placing_view &Target : Actual) {
+    for (const placement_candidate &Target : Actual) {
       Most = std::max<double>(Most, Target.Flows);
       Sum += Target.Flows;
     }
@@ -345,8 +345,8 @@
 
   policy Policy;
   fault_scenario Scenario;
-  std::vector<placing_view> Actual;
-  std::vector<placing_view> Reported;
+  std::vector<placement_candidate> Actual;
+  std::vector<placement_candidate> Reported;
   std::vector<flow> Open;
   std::array<int, Targets> Work{};
   std::vector<double> WaitTimesMs;
--- a/src/forward/flow_memory.h
+++ b/src/forward/flow_cache.h
@@ -1,13 +1,14 @@
-//===- flow_memory.h - Where a balancer sent a flow -------------*- C++ -*-===//
+//===- flow_cache.h - Cached owners of flows --------------------*- C++ -*-===//
 ///
 /// \file
-/// Spares packets the walk through their list. Soft state: losing it costs a
-/// detour and breaks nothing.
+/// Caches to which agent a balancer sent each flow, so that most packets need
+/// no owner lookup. This is soft state: a lost entry costs a lookup and breaks
+/// no flow.
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef MARJORAMRAIL_FORWARD_FLOW_MEMORY_H
-#define MARJORAMRAIL_FORWARD_FLOW_MEMORY_H
+#ifndef MARJORAMRAIL_FORWARD_FLOW_CACHE_H
+#define MARJORAMRAIL_FORWARD_FLOW_CACHE_H
 
 #include "marjoramrail/base.h"
 
@@ -15,21 +16,21 @@
 
 namespace marjoramrail::internal {
 
-/// Where a flow's packets go.
+/// The agent that a flow's packets are sent to.
 struct flow_place {
   endpoint Agent;
-  /// The agent named itself as the owner, or got packets of the open flow while
-  /// it was there and another owner would have named itself. If not, the flow
-  /// was only placed there, and another one may have taken it.
+  /// The agent reported itself as the owner, or received packets of the open
+  /// flow while it was running and no other agent reported itself. If false,
+  /// the flow was only placed there, and another target may have accepted it.
   bool IsConfirmed = false;
 };
 
-class flow_memory {
+class flow_cache {
 public:
-  /// Flows that say nothing for longer are walked for again.
-  static constexpr duration KeptFor = std::chrono::seconds(60);
+  /// A flow without packets for longer needs an owner lookup again.
+  static constexpr duration IdleRetention = std::chrono::seconds(60);
 
-  explicit flow_memory(std::size_t MaxFlows) : MaxFlows(MaxFlows) {}
+  explicit flow_cache(std::size_t MaxFlows) : MaxFlows(MaxFlows) {}
 
   std::optional<flow_place> find(const flow_key &Flow, instant Now) {
     const auto Found = Flows.find(Flow);
@@ -39,7 +40,7 @@
     return Found->second.Place;
   }
 
-  void note(const flow_key &Flow, const flow_place &Place, instant Now) {
+  void store(const flow_key &Flow, const flow_place &Place, instant Now) {
     if (Flows.size() >= MaxFlows)
       Flows.erase(Flows.begin());
     Flows[Flow] = {Place, Now};
@@ -51,11 +52,11 @@
       Found->second.Place.IsConfirmed = true;
   }
 
-  void forget(const flow_key &Flow) { Flows.erase(Flow); }
+  void remove(const flow_key &Flow) { Flows.erase(Flow); }
 
-  void forgetOld(instant Now) {
+  void removeExpired(instant Now) {
     std::erase_if(Flows, [&](const auto &Item) {
-      return Now - Item.second.UsedAt > KeptFor;
+      return Now - Item.second.UsedAt > IdleRetention;
     });
   }
 
@@ -73,4 +74,4 @@
 
 } // namespace marjoramrail::internal
 
-#endif // MARJORAMRAIL_FORWARD_FLOW_MEMORY_H
+#endif // MARJORAMRAIL_FORWARD_FLOW_CACHE_H
--- a/src/forward/forward_agent.cpp
+++ b/src/forward/forward_agent.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// A balancer that has sent nothing for this long gets no more reports. Longer
-/// than agent_roster::AskAfter, the interval at which balancers request
+/// than agent_table::AskAfter, the interval at which balancers request
 /// reports, so that a balancer that requests them gets reports without a gap.
 constexpr duration ReportDuration = std::chrono::seconds(2);
 /// Interval of the reports to the last known balancer while no balancer makes
@@ -42,7 +42,8 @@
   Report.Agent = Settings.Self;
   Report.Admitting = Admitting && !TargetGone;
   const bool Declining =
-      Declines.isDeclining() && !Settings.Without.has(mechanism::DeclineWatch);
+      Declines.isDeclining() &&
+      !Settings.DisabledMechanisms.has(mechanism::DeclineWatch);
   Report.Answering = !TargetUnresponsive && !Declining;
   Report.Active = Load.active();
   Report.Slots = static_cast<std::uint16_t>(std::min(Slots, 65535U));
@@ -78,13 +79,13 @@
 
 bool forward_agent::admitting() const { return Impl->Admitting; }
 
-void forward_agent::setTargetGone(bool Gone, instant Now) {
+void forward_agent::setTargetStopped(bool Gone, instant Now) {
   if (Gone && !Impl->TargetGone)
     Impl->resetAll(Now);
   Impl->TargetGone = Gone;
 }
 
-bool forward_agent::targetGone() const { return Impl->TargetGone; }
+bool forward_agent::targetStopped() const { return Impl->TargetGone; }
 
 /// The flows of a process that has ended are lost. Their callers get a reset
 /// before they send their next request: a request that may run only once cannot
@@ -121,7 +122,7 @@
   return Flows;
 }
 
-void forward_agent::resetFormer(const std::vector<open_flow> &Flows) {
+void forward_agent::resetPreviousFlows(const std::vector<open_flow> &Flows) {
   for (const open_flow &Open : Flows)
     if (!Impl->Load.find(Open.Flow))
       Impl->resetFlow(Open, "kept from before its target's restart");
@@ -151,23 +152,23 @@
 
 agent_outcome forward_agent::onRouted(const endpoint &From, bytes_view Bytes,
                                       instant Now) {
-  if (isUnlistedNotice(Bytes)) {
-    if (Impl->Hooks.Unlisted)
-      Impl->Hooks.Unlisted();
+  if (isUnregisteredNotice(Bytes)) {
+    if (Impl->Hooks.Unregistered)
+      Impl->Hooks.Unregistered();
     return agent_outcome::Delivered;
   }
-  if (service_id Service{}; decodeListedNotice(Bytes, Service)) {
-    if (Impl->Hooks.Listed && Service == Impl->Settings.Service)
-      Impl->Hooks.Listed();
+  if (service_id Service{}; decodeRegisteredNotice(Bytes, Service)) {
+    if (Impl->Hooks.Registered && Service == Impl->Settings.Service)
+      Impl->Hooks.Registered();
     return agent_outcome::Delivered;
   }
-  if (service_id Service{}; decodeFoundNotice(Bytes, Service)) {
-    if (Impl->Hooks.Found && Service == Impl->Settings.Service)
-      Impl->Hooks.Found();
+  if (service_id Service{}; decodeRegistrationFoundNotice(Bytes, Service)) {
+    if (Impl->Hooks.RegistrationFound && Service == Impl->Settings.Service)
+      Impl->Hooks.RegistrationFound();
     return agent_outcome::Delivered;
   }
-  if (const auto Span = decodeLoadQuestion(Bytes)) {
-    if (Span == report_span::Lasting)
+  if (const auto Span = decodeLoadReportRequest(Bytes)) {
+    if (Span == report_span::Continued)
       Impl->Balancers[From] = Now;
     Impl->sendReport(From, Now);
     return agent_outcome::Delivered;
@@ -194,7 +195,7 @@
       Impl->TargetUnresponsive = true;
       Impl->logEvent(event_kind::TargetSilent, "no answer in time",
                      Expired->Head.Flow, {});
-      Impl->Hooks.TargetSilent();
+      Impl->Hooks.TargetUnresponsive();
     }
     routed_packet Routed = Expired->Routed;
     Routed.Packet = Expired->Bytes;
@@ -240,8 +241,8 @@
   if (Now - *LastContactOrCheckAt < RegistryCheckPeriod)
     return;
   LastContactOrCheckAt = Now;
-  if (Hooks.Unheard)
-    Hooks.Unheard();
+  if (Hooks.NoBalancerContact)
+    Hooks.NoBalancerContact();
 }
 
 /// No balancer makes contact if there is no traffic, or if this agent was
--- a/src/forward/routed_packets.cpp
+++ b/src/forward/routed_packets.cpp
@@ -34,8 +34,8 @@
 agent_outcome forward_agent::impl::onNewFlow(const routed_packet &Routed,
                                              const segment &Segment,
                                              instant Now) {
-  if (Hooks.Witness && Routed.Version != 0)
-    Hooks.Witness(Routed.Version);
+  if (Hooks.ObserveClock && Routed.Version != 0)
+    Hooks.ObserveClock(Routed.Version);
   // Addresses are reused by other services, and the balancer's list may be
   // older than the change.
   if (Routed.Service != Settings.Service)
@@ -82,8 +82,8 @@
 /// flow, the packet has to reach it.
 void forward_agent::impl::passToNextIncomplete(routed_packet Routed,
                                                const tcp_packet &Head) {
-  Routed.Flags &= ~(static_cast<std::uint8_t>(routed_flag::Whole) |
-                    static_cast<std::uint8_t>(routed_flag::WholeSoFar));
+  Routed.Flags &= ~(static_cast<std::uint8_t>(routed_flag::Complete) |
+                    static_cast<std::uint8_t>(routed_flag::CompleteSoFar));
   passToNext(Routed, Head, "target silent");
 }
 
@@ -163,13 +163,13 @@
              Routed.Balancer);
     return requestNextList(Routed);
   }
-  if (Head.Rst || (!IsNew && !Routed.has(routed_flag::Whole))) {
+  if (Head.Rst || (!IsNew && !Routed.has(routed_flag::Complete))) {
     logEvent(event_kind::FlowPassedOn,
              "not passed on: its list may be incomplete", Head.Flow, {});
-    return agent_outcome::Unsure;
+    return agent_outcome::Indeterminate;
   }
   if (!sendReset(Head))
-    return agent_outcome::Unsure;
+    return agent_outcome::Indeterminate;
   logEvent(IsNew ? event_kind::FlowRefused : event_kind::FlowReset, Why,
            Head.Flow, {});
   return IsNew ? agent_outcome::Refused : agent_outcome::Reset;
@@ -180,7 +180,7 @@
 /// ones.
 agent_outcome forward_agent::impl::requestNextList(routed_packet Routed) {
   if (Routed.Balancer == endpoint())
-    return agent_outcome::Unsure;
+    return agent_outcome::Indeterminate;
   Routed.Position = 0;
   Routed.Count = 1;
   Routed.Owners[0] = Settings.Self;
--- a/src/forward/target_packets.cpp
+++ b/src/forward/target_packets.cpp
@@ -10,7 +10,7 @@
   TargetUnresponsive = false;
   offered_packet *Packet = Offered.findDeclined(Segment.Tag, Segment.Head.Flow);
   if (!Packet)
-    return agent_outcome::Unsure;
+    return agent_outcome::Indeterminate;
   const bool WasOpen = Load.hasOpenFlow(Segment.Head);
   if (Segment.Head.opensFlow())
     noteDeclined(Segment.Head.Flow, Now);
@@ -76,7 +76,7 @@
   logEvent(event_kind::FlowLost, "its target no longer holds it", Head.Flow,
            {});
   return !Head.Rst && sendReset(Head) ? agent_outcome::Reset
-                                      : agent_outcome::Unsure;
+                                      : agent_outcome::Indeterminate;
 }
 
 agent_outcome forward_agent::impl::onAnswer(segment Segment, bytes_view Bytes,
