--- a/daemons/agent/agent_status.cpp
+++ b/daemons/agent/agent_status.cpp
@@ -30,8 +30,8 @@
       {"unknown", &proxy_counts::Unknown},
       {"cancelled", &proxy_counts::Cancelled},
       {"late_answers", &proxy_counts::LateAnswers},
-      {"silent_flows", &proxy_counts::SilentFlows},
-      {"keys_held", &proxy_counts::KeysHeld},
+      {"silent_flows", &proxy_counts::UnresponsiveFlows},
+      {"keys_held", &proxy_counts::ClaimsNotGranted},
       {"bad_key_messages", &proxy_counts::BadKeyMessages},
   };
   for (const auto &[Name, Counter] : Counters)
--- a/daemons/agent/agent_view.cpp
+++ b/daemons/agent/agent_view.cpp
@@ -168,7 +168,7 @@
   if (!Owner)
     return;
   Owner->takeView(View, Loop.timers().now());
-  Proxy->takeKeyView(keyViewOf(View));
+  Proxy->setKeyView(keyViewOf(View));
   if (Position && View.Targets[*Position].State == target_state::Draining)
     drain("the fleet's view");
   else if (Position)
@@ -211,7 +211,7 @@
     Peer.Slots = Message.Load.Slots;
     Peer.Accepting = Message.Load.Accepting;
     Peer.Service = Message.Load.Service;
-    Proxy->takePeerLoad(Peer);
+    Proxy->updatePeerLoad(Peer);
   };
   Hooks.TellSilence = [this](const endpoint &Balancer,
                              const silence_notice &Notice) {
@@ -235,7 +235,7 @@
   Proxied.Admission.Slots = Settings.Slots;
   Proxied.Admission.ColdStart = std::chrono::seconds(Settings.ColdStartSeconds);
   Proxied.Seed = Seed;
-  Proxied.SilentFlow = Settings.SilentFlow;
+  Proxied.IdleTimeout = Settings.SilentFlow;
   Proxied.Incarnation = Incarnation;
   Proxied.Keys.MaxRecords = Settings.KeyRecords;
   Proxied.Past = NeverRan ? keeper_past::NeverRan : keeper_past::MayHaveRun;
--- a/daemons/agent/h2_side.cpp
+++ b/daemons/agent/h2_side.cpp
@@ -13,7 +13,7 @@
   listenToCaller();
   proxy_flow::hooks Hooks;
   Hooks.Output = [this](std::string_view Bytes) { Output.write(Bytes); };
-  Hooks.OnOver = [this](flow_over Why) { sessionOver(Why); };
+  Hooks.OnEnded = [this](proxy_flow_end Why) { sessionOver(Why); };
   Session = Proxy.open({callerHash(Caller->key()), false}, std::move(Hooks));
 }
 
@@ -25,7 +25,7 @@
     Caller->consumed(Bytes.size());
     Session->input(Bytes);
   };
-  Hooks.OnEnd = [this] { sessionOver(flow_over::Finished); };
+  Hooks.OnEnd = [this] { sessionOver(proxy_flow_end::Finished); };
   Hooks.OnWritable = [this] { pump(); };
   Hooks.OnClosed = [this](flow_end End) {
     over(End == flow_end::Finished ? side_end::Closed : side_end::Gone);
@@ -33,8 +33,8 @@
   Caller->setHooks(std::move(Hooks));
 }
 
-void h2_side::sessionOver(flow_over Why) {
-  if (Why == flow_over::Silent) {
+void h2_side::sessionOver(proxy_flow_end Why) {
+  if (Why == proxy_flow_end::Unresponsive) {
     Caller->abort();
     return over(side_end::Gone);
   }
--- a/daemons/agent/h2_side.h
+++ b/daemons/agent/h2_side.h
@@ -22,7 +22,7 @@
 
 private:
   void listenToCaller();
-  void sessionOver(flow_over Why);
+  void sessionOver(proxy_flow_end Why);
   void pump();
   void over(side_end End);
 
--- a/daemons/agent/kernel_stream.cpp
+++ b/daemons/agent/kernel_stream.cpp
@@ -39,7 +39,7 @@
   const auto Over = [&Loop, OnOver = std::move(OnOver)] { Loop.defer(OnOver); };
   proxy_flow::hooks Hooks;
   Hooks.Output = [this](std::string_view Bytes) { Stream->write(Bytes); };
-  Hooks.OnOver = [Over](flow_over) { Over(); };
+  Hooks.OnEnded = [Over](proxy_flow_end) { Over(); };
   Session = Proxy.open({0, true}, std::move(Hooks));
   tcp_stream::hooks Streaming;
   Streaming.OnData = [this](std::string_view Bytes) { Session->input(Bytes); };
--- a/include/marjoramrail/proxy.h
+++ b/include/marjoramrail/proxy.h
@@ -21,7 +21,7 @@
 ///   request_proxy Proxy(Timers, Settings, {.Connect = connectByKernel,
 ///                                          .RelayOf = relayAddressOf});
 ///   auto Flow = Proxy.open({.Caller = HashOfAddress}, {.Output = ...,
-///                                                      .OnOver = ...});
+///                                                      .OnEnded = ...});
 ///   Flow->input(BytesFromCaller);
 ///   Proxy.drain();
 /// \endcode
@@ -73,7 +73,7 @@
   std::vector<std::string> StreamPaths = {"/stream"};
   /// A flow that sends nothing, not even answers to PING, for this long is
   /// closed.
-  duration SilentFlow = std::chrono::seconds(60);
+  duration IdleTimeout = std::chrono::seconds(60);
   /// Bytes of a request's body taken in before it runs.
   std::size_t MaxBufferedBody = 64 * 1024;
   /// Of this agent; it names the runner in key records.
@@ -99,18 +99,18 @@
   bool IsPeer = false;
 };
 
-enum class flow_over {
+enum class proxy_flow_end {
   /// The session has nothing more to say.
   Finished,
   /// The other side answers no PING.
-  Silent,
+  Unresponsive,
   BrokenProtocol,
 };
 
-inline constexpr name_table<flow_over, 3> FlowOverNames = {{
-    {flow_over::Finished, "finished"},
-    {flow_over::Silent, "silent"},
-    {flow_over::BrokenProtocol, "broken-protocol"},
+inline constexpr name_table<proxy_flow_end, 3> ProxyFlowEndNames = {{
+    {proxy_flow_end::Finished, "finished"},
+    {proxy_flow_end::Unresponsive, "silent"},
+    {proxy_flow_end::BrokenProtocol, "broken-protocol"},
 }};
 
 /// One caller's or peer's session. Destroying it cancels its requests.
@@ -119,7 +119,7 @@
   struct hooks {
     std::function<void(std::string_view Bytes)> Output;
     /// Called once. The flow must not be destroyed from within.
-    std::function<void(flow_over)> OnOver;
+    std::function<void(proxy_flow_end)> OnEnded;
   };
 
   explicit proxy_flow(std::unique_ptr<internal::caller_flow> Impl);
@@ -143,9 +143,9 @@
   std::uint64_t Cancelled = 0;
   /// Answers whose flow or stream was gone.
   std::uint64_t LateAnswers = 0;
-  std::uint64_t SilentFlows = 0;
+  std::uint64_t UnresponsiveFlows = 0;
   /// Keyed requests that were answered from their record or not granted.
-  std::uint64_t KeysHeld = 0;
+  std::uint64_t ClaimsNotGranted = 0;
   std::uint64_t BadKeyMessages = 0;
 };
 
@@ -169,7 +169,7 @@
   void resume();
 
   /// Who keeps which key. Until the first one, keyed requests are refused.
-  void takeKeyView(const key_view &View);
+  void setKeyView(const key_view &View);
   /// The fleet held this agent for down.
   void lapsed(std::uint32_t Incarnation);
   /// False while an old generation is needed for key records.
@@ -179,8 +179,8 @@
 
   /// For peers.
   load_report load();
-  void takePeerLoad(const load_report &Peer);
-  void forgetPeer(host_id Peer);
+  void updatePeerLoad(const load_report &Peer);
+  void removePeer(host_id Peer);
 
   /// Requests that are waiting, running or relayed.
   std::size_t inProgress() const;
--- a/src/h2/h2_session.cpp
+++ b/src/h2/h2_session.cpp
@@ -25,7 +25,7 @@
   bool Deferred = false;
   h2_head Head;
 
-  std::size_t left() const { return Body.size() - Sent; }
+  std::size_t remaining() const { return Body.size() - Sent; }
 };
 
 std::vector<nghttp2_nv> toNv(const h2_head &Head) {
@@ -86,10 +86,10 @@
                                  std::uint32_t *Flags, nghttp2_data_source *,
                                  void *User) {
   stream_state &State = of(User).Streams[Stream];
-  const std::size_t Count = std::min(Size, State.left());
+  const std::size_t Count = std::min(Size, State.remaining());
   std::copy_n(State.Body.data() + State.Sent, Count, Out);
   State.Sent += Count;
-  if (State.left() == 0) {
+  if (State.remaining() == 0) {
     State.Body.clear();
     State.Sent = 0;
     if (State.BodyEnds) {
@@ -280,7 +280,7 @@
 
 std::size_t h2_session::queued(h2_stream Stream) const {
   const auto Found = Impl->Streams.find(Stream);
-  return Found == Impl->Streams.end() ? 0 : Found->second.left();
+  return Found == Impl->Streams.end() ? 0 : Found->second.remaining();
 }
 
 void h2_session::consumed(h2_stream Stream, std::size_t Bytes) {
--- a/src/proxy/answer_side.cpp
+++ b/src/proxy/answer_side.cpp
@@ -2,28 +2,30 @@
 
 namespace marjoramrail {
 
-void request_proxy::impl::give(exchange &Exchange, const own_answer &Answer) {
+void request_proxy::impl::sendAgentAnswer(exchange &Exchange,
+                                          const agent_answer &Answer) {
   caller_flow *Flow = flowOf(Exchange);
   if (!Flow)
     return;
   if (Exchange.HeadSent) {
-    Flow->reset(Exchange.Place.Stream, h2_error::InternalError);
+    Flow->reset(Exchange.ReplyTo.Stream, h2_error::InternalError);
   } else {
-    Flow->respond(Exchange.Place.Stream, Answer.Head, false);
-    Flow->data(Exchange.Place.Stream, Answer.Body, true);
+    Flow->respond(Exchange.ReplyTo.Stream, Answer.Head, false);
+    Flow->data(Exchange.ReplyTo.Stream, Answer.Body, true);
   }
 }
 
-void request_proxy::impl::answer(request_id Id, const own_answer &Answer) {
+void request_proxy::impl::answer(request_id Id, const agent_answer &Answer) {
   exchange &Exchange = Exchanges.at(Id);
-  give(Exchange, Answer);
+  sendAgentAnswer(Exchange, Answer);
   caller_flow *Flow = flowOf(Exchange);
   erase(Id);
   if (Flow)
     Flow->flush();
 }
 
-void request_proxy::impl::outcomeUnknown(request_id Id, bool DeadlinePassed) {
+void request_proxy::impl::answerUnknownOutcome(request_id Id,
+                                               bool DeadlinePassed) {
   const bool Ran = Exchanges.at(Id).State == exchange_state::Running;
   settle(Id, Exchanges.at(Id), key_state::Unknown);
   const duration Elapsed = Timers.now() - Exchanges.at(Id).Began;
@@ -48,9 +50,9 @@
   const auto Found = Exchanges.find(Id);
   if (Found->second.Deadline)
     Timers.cancel(*Found->second.Deadline);
-  if (Found->second.Link && Found->second.AnswerHeld > 0)
-    Found->second.Link->consumed(Id, Found->second.AnswerHeld);
-  ByPlace.erase(Found->second.Place);
+  if (Found->second.Link && Found->second.UnconsumedAnswer > 0)
+    Found->second.Link->consumed(Id, Found->second.UnconsumedAnswer);
+  ByReplyAddress.erase(Found->second.ReplyTo);
   Exchanges.erase(Found);
 }
 
--- a/src/proxy/answers.h
+++ b/src/proxy/answers.h
@@ -17,27 +17,28 @@
 inline constexpr std::string_view CallerHeader = "x-marjoramrail-caller";
 
 /// A whole answer of the agent's own.
-struct own_answer {
+struct agent_answer {
   h2_head Head;
   std::string Body;
 };
 
 /// "Was not run; come back after \p RetryAfter", rounded up to whole seconds as
 /// the header asks, exact in the body.
-own_answer notRun(refusal Reason, duration RetryAfter);
-own_answer notRun(const std::string &Reason, duration RetryAfter);
+agent_answer notRun(refusal Reason, duration RetryAfter);
+agent_answer notRun(const std::string &Reason, duration RetryAfter);
 
 /// "May or may not have run": 502, or 504 if the deadline passed.
-own_answer unknownOutcome(bool DeadlinePassed);
+agent_answer unknownOutcome(bool DeadlinePassed);
 
 /// What a repeat of a key is told, or a first try that cannot be claimed.
-own_answer keyAnswer(const key_result &Result, bool IsRetry);
+agent_answer keyAnswer(const key_result &Result, bool IsRetry);
 
 /// The form in which an answer is kept with its key, and back.
-std::string keptAnswer(const std::string &Status, const std::string &Body);
+std::string encodeSavedAnswer(const std::string &Status,
+                              const std::string &Body);
 
 /// Whether \p Head says explicitly that the request was not run.
-bool saysNotRun(const h2_head &Head);
+bool isNotRun(const h2_head &Head);
 
 /// The seconds of retry-after; zero where there is none.
 duration retryAfterOf(const h2_head &Head);
@@ -47,7 +48,7 @@
                                       std::string_view Name);
 
 /// \p Head with \p Name at the end of its Via field.
-h2_head passedBy(const std::string &Name, const h2_head &Head);
+h2_head withVia(const std::string &Name, const h2_head &Head);
 
 } // namespace marjoramrail::internal
 
--- a/src/proxy/caller_flow.cpp
+++ b/src/proxy/caller_flow.cpp
@@ -15,7 +15,7 @@
     : Number(Number), Origin(Origin), Outer(std::move(Outer)),
       Inner(std::move(Inner)),
       Session(h2_role::Server, callerSettings(), sessionHooks()),
-      LastHeard(Now) {
+      LastReceived(Now) {
   Session.flush();
 }
 
@@ -37,11 +37,11 @@
 }
 
 void caller_flow::input(std::string_view Bytes) {
-  if (Over)
+  if (FlowEnded)
     return;
-  HeardSince = true;
+  ReceivedSinceCheck = true;
   if (!Session.input(Bytes))
-    return over(flow_over::BrokenProtocol);
+    return endFlow(proxy_flow_end::BrokenProtocol);
   Inner.OnInput();
   endIfDone();
 }
@@ -63,7 +63,7 @@
 }
 
 void caller_flow::flush() {
-  if (Over)
+  if (FlowEnded)
     return;
   Session.flush();
   endIfDone();
@@ -75,20 +75,20 @@
 }
 
 void caller_flow::finishShutdown() {
-  Leaving = true;
+  ShuttingDown = true;
   Session.finishShutdown();
   flush();
 }
 
-bool caller_flow::checkSilence(instant Now, duration Bound) {
-  if (Over)
+bool caller_flow::checkLiveness(instant Now, duration Bound) {
+  if (FlowEnded)
     return false;
-  if (std::exchange(HeardSince, false)) {
-    LastHeard = Now;
+  if (std::exchange(ReceivedSinceCheck, false)) {
+    LastReceived = Now;
     return false;
   }
-  if (Now - LastHeard >= Bound) {
-    over(flow_over::Silent);
+  if (Now - LastReceived >= Bound) {
+    endFlow(proxy_flow_end::Unresponsive);
     return true;
   }
   Session.ping();
@@ -97,13 +97,13 @@
 }
 
 void caller_flow::endIfDone() {
-  if (!Session.alive() || (Leaving && Session.openStreams() == 0))
-    over(flow_over::Finished);
+  if (!Session.alive() || (ShuttingDown && Session.openStreams() == 0))
+    endFlow(proxy_flow_end::Finished);
 }
 
-void caller_flow::over(flow_over Why) {
-  if (!std::exchange(Over, true))
-    Outer.OnOver(Why);
+void caller_flow::endFlow(proxy_flow_end Why) {
+  if (!std::exchange(FlowEnded, true))
+    Outer.OnEnded(Why);
 }
 
 } // namespace marjoramrail::internal
--- a/src/proxy/caller_flow.h
+++ b/src/proxy/caller_flow.h
@@ -12,20 +12,20 @@
 enum class flow_number : std::uint64_t {};
 
 /// Where an answer goes.
-struct answer_place {
+struct reply_address {
   flow_number Flow{};
   h2_stream Stream = 0;
 
   // The linter sees a variable of the compiler's own in it.
   // NOLINTNEXTLINE(readability-identifier-naming)
-  auto operator<=>(const answer_place &) const = default;
+  auto operator<=>(const reply_address &) const = default;
 };
 
 struct caller_flow_hooks {
-  std::function<void(answer_place, const h2_head &, bool End)> OnRequest;
-  std::function<void(answer_place, std::string_view, bool End)> OnBody;
+  std::function<void(reply_address, const h2_head &, bool End)> OnRequest;
+  std::function<void(reply_address, std::string_view, bool End)> OnBody;
   /// The caller gave the request up, or the flow is over.
-  std::function<void(answer_place)> OnCancel;
+  std::function<void(reply_address)> OnCancel;
   /// Bytes came, so windows may have opened.
   std::function<void()> OnInput;
   std::function<void(flow_number)> OnDestroyed;
@@ -55,11 +55,11 @@
   void finishShutdown();
 
   /// Probes a quiet flow, and ends it when it stays quiet.
-  bool checkSilence(instant Now, duration Bound);
+  bool checkLiveness(instant Now, duration Bound);
 
 private:
   h2_hooks sessionHooks();
-  void over(flow_over Why);
+  void endFlow(proxy_flow_end Why);
   void endIfDone();
 
   flow_number Number;
@@ -67,10 +67,10 @@
   proxy_flow::hooks Outer;
   caller_flow_hooks Inner;
   h2_session Session;
-  bool HeardSince = true;
-  instant LastHeard;
-  bool Leaving = false;
-  bool Over = false;
+  bool ReceivedSinceCheck = true;
+  instant LastReceived;
+  bool ShuttingDown = false;
+  bool FlowEnded = false;
 };
 
 } // namespace marjoramrail::internal
--- a/src/proxy/caller_side.cpp
+++ b/src/proxy/caller_side.cpp
@@ -3,44 +3,44 @@
 namespace marjoramrail {
 
 caller_flow *request_proxy::impl::flowOf(const exchange &Exchange) {
-  const auto Found = Flows.find(Exchange.Place.Flow);
+  const auto Found = Flows.find(Exchange.ReplyTo.Flow);
   return Found == Flows.end() ? nullptr : Found->second;
 }
 
-void request_proxy::impl::onRequest(answer_place Place, const h2_head &Head,
+void request_proxy::impl::onRequest(reply_address ReplyTo, const h2_head &Head,
                                     bool End) {
-  const flow_origin &Origin = Flows.at(Place.Flow)->origin();
+  const flow_origin &Origin = Flows.at(ReplyTo.Flow)->origin();
   if (Origin.IsPeer && Head.get(":path") == KeysPath)
-    return takeKeys(Place, {}, End);
+    return receiveKeyMessages(ReplyTo, {}, End);
   // Trailers come as a second head of the same stream.
-  if (ByPlace.contains(Place))
-    return onBody(Place, {}, End);
+  if (ByReplyAddress.contains(ReplyTo))
+    return onBody(ReplyTo, {}, End);
   ++Counts.Requests;
   const request_id Id{++LastId};
   const instant Now = Timers.now();
   exchange &Exchange = Exchanges[Id];
-  Exchange.Place = Place;
+  Exchange.ReplyTo = ReplyTo;
   Exchange.Head = Head;
   Exchange.BodyEnded = End;
   Exchange.Work = readWork(Head, Origin, Settings, Id, Now);
-  ByPlace[Place] = Id;
+  ByReplyAddress[ReplyTo] = Id;
   if (Exchange.Work.Deadline)
     Exchange.Deadline = Timers.after(*Exchange.Work.Deadline - Now,
                                      [this, Id] { deadlinePassed(Id); });
   if (Exchange.Work.RelayedBy)
     Peers.relayedHere(*Exchange.Work.RelayedBy, Now);
-  begin(Id, Exchange);
+  startExchange(Id, Exchange);
 }
 
-void request_proxy::impl::onBody(answer_place Place, std::string_view Bytes,
+void request_proxy::impl::onBody(reply_address ReplyTo, std::string_view Bytes,
                                  bool End) {
-  if (KeyBatches.contains(Place))
-    return takeKeys(Place, Bytes, End);
-  const auto Found = ByPlace.find(Place);
-  if (Found == ByPlace.end()) {
+  if (KeyBatches.contains(ReplyTo))
+    return receiveKeyMessages(ReplyTo, Bytes, End);
+  const auto Found = ByReplyAddress.find(ReplyTo);
+  if (Found == ByReplyAddress.end()) {
     // The request is over; its bytes still hold the connection's window.
-    if (const auto Flow = Flows.find(Place.Flow); Flow != Flows.end())
-      Flow->second->consumed(Place.Stream, Bytes.size());
+    if (const auto Flow = Flows.find(ReplyTo.Flow); Flow != Flows.end())
+      Flow->second->consumed(ReplyTo.Stream, Bytes.size());
     return;
   }
   exchange &Exchange = Exchanges.at(Found->second);
@@ -49,25 +49,25 @@
   if (!Exchange.Link) {
     Exchange.Body += Bytes;
     if (Exchange.Body.size() <= Settings.MaxBufferedBody)
-      Flow.consumed(Place.Stream, Bytes.size());
+      Flow.consumed(ReplyTo.Stream, Bytes.size());
     else
-      holdBody(Found->second, Bytes.size());
+      addUnconsumedBody(Found->second, Bytes.size());
     return;
   }
   if (Exchange.State == exchange_state::Relayed) {
-    Exchange.BodyLost |=
+    Exchange.BodyTruncated |=
         Exchange.Body.size() + Bytes.size() > Settings.MaxBufferedBody;
-    if (!Exchange.BodyLost)
+    if (!Exchange.BodyTruncated)
       Exchange.Body += Bytes;
   }
   Exchange.Link->data(Found->second, Bytes, End);
-  holdBody(Found->second, Bytes.size());
-  releaseHeld();
+  addUnconsumedBody(Found->second, Bytes.size());
+  releaseFlowControl();
 }
 
-void request_proxy::impl::onCancel(answer_place Place) {
-  const auto Found = ByPlace.find(Place);
-  if (Found == ByPlace.end())
+void request_proxy::impl::onCancel(reply_address ReplyTo) {
+  const auto Found = ByReplyAddress.find(ReplyTo);
+  if (Found == ByReplyAddress.end())
     return;
   const request_id Id = Found->second;
   exchange &Exchange = Exchanges.at(Id);
@@ -99,7 +99,7 @@
   }
   if (Exchange.Link)
     Exchange.Link->cancel(Id);
-  outcomeUnknown(Id, true);
+  answerUnknownOutcome(Id, true);
 }
 
 } // namespace marjoramrail
--- a/src/proxy/client_link.cpp
+++ b/src/proxy/client_link.cpp
@@ -35,37 +35,37 @@
   };
   Session.OnClose = [this](h2_stream Id, h2_error Code) { onClose(Id, Code); };
   // Streams that the other side did not run are closed as REFUSED_STREAM.
-  Session.OnGoAway = [this](h2_stream, h2_error) { Over = true; };
+  Session.OnGoAway = [this](h2_stream, h2_error) { Closing = true; };
   return Session;
 }
 
 void client_link::send(request_id Id, const h2_head &Head, std::string Body,
                        bool End) {
-  waiting Request{Head, std::move(Body), End};
-  if (Standing)
+  queued_request Request{Head, std::move(Body), End};
+  if (PeerResponded)
     submit(Id, Request);
   else
     Waiting[Id] = std::move(Request);
 }
 
-void client_link::submit(request_id Id, const waiting &Request) {
+void client_link::submit(request_id Id, const queued_request &Request) {
   const bool EndsNow = Request.End && Request.Body.empty();
-  const h2_stream Id2 = Session->request(Request.Head, EndsNow);
-  if (Id2 < 0) {
-    Over = true;
+  const h2_stream StreamId = Session->request(Request.Head, EndsNow);
+  if (StreamId < 0) {
+    Closing = true;
     return Hooks.OnNotRun(Id);
   }
-  ByRequest[Id] = Id2;
-  ByStream[Id2] = Id;
+  ByRequest[Id] = StreamId;
+  ByStream[StreamId] = Id;
   if (!Request.Body.empty())
-    Session->data(Id2, Request.Body, Request.End);
+    Session->data(StreamId, Request.Body, Request.End);
   Session->flush();
 }
 
 void client_link::data(request_id Id, std::string_view Bytes, bool End) {
-  if (const auto Held = Waiting.find(Id); Held != Waiting.end()) {
-    Held->second.Body += Bytes;
-    Held->second.End |= End;
+  if (const auto Queued = Waiting.find(Id); Queued != Waiting.end()) {
+    Queued->second.Body += Bytes;
+    Queued->second.End |= End;
     return;
   }
   const auto Found = ByRequest.find(Id);
@@ -76,8 +76,8 @@
 }
 
 std::size_t client_link::queued(request_id Id) const {
-  if (const auto Held = Waiting.find(Id); Held != Waiting.end())
-    return Held->second.Body.size();
+  if (const auto Queued = Waiting.find(Id); Queued != Waiting.end())
+    return Queued->second.Body.size();
   const auto Found = ByRequest.find(Id);
   return Found == ByRequest.end() ? 0 : Session->queued(Found->second);
 }
@@ -113,7 +113,7 @@
     return;
   if (!Session->input(Bytes))
     return closed();
-  if (!std::exchange(Standing, true))
+  if (!std::exchange(PeerResponded, true))
     submitWaiting();
   Hooks.OnInput();
 }
@@ -134,12 +134,12 @@
 void client_link::closed() {
   if (std::exchange(Closed, true))
     return;
-  Over = true;
+  Closing = true;
   ByStream.clear();
   for (const auto &[Id, Request] : std::exchange(Waiting, {}))
     Hooks.OnNotRun(Id);
   for (const auto &[Id, Sent] : std::exchange(ByRequest, {}))
-    Hooks.OnLost(Id);
+    Hooks.OnOutcomeUnknown(Id);
 }
 
 void client_link::onHead(h2_stream Id, const h2_head &Head, bool End) {
@@ -178,7 +178,7 @@
   if (Code == h2_error::RefusedStream)
     Hooks.OnNotRun(Request);
   else
-    Hooks.OnLost(Request);
+    Hooks.OnOutcomeUnknown(Request);
 }
 
 } // namespace marjoramrail::internal
--- a/src/proxy/client_link.h
+++ b/src/proxy/client_link.h
@@ -11,14 +11,14 @@
 namespace marjoramrail::internal {
 
 /// What becomes of requests on a link. Each request gets exactly one of
-/// OnNotRun, OnLost or an OnData/OnHead with End.
+/// OnNotRun, OnOutcomeUnknown or an OnData/OnHead with End.
 struct link_hooks {
   std::function<void(request_id, const h2_head &, bool End)> OnHead;
   std::function<void(request_id, std::string_view, bool End)> OnData;
   /// The request has not reached the other side, or it said so.
   std::function<void(request_id)> OnNotRun;
   /// The request reached the other side and its answer will not come.
-  std::function<void(request_id)> OnLost;
+  std::function<void(request_id)> OnOutcomeUnknown;
   std::function<void()> OnLateAnswer;
   /// Bytes came, so windows may have opened.
   std::function<void()> OnInput;
@@ -45,17 +45,17 @@
   void flush();
 
   /// Takes no more requests: the connection ended or the other side said so.
-  bool isOver() const { return Over; }
+  bool isClosing() const { return Closing; }
   bool isIdle() const { return ByRequest.empty() && Waiting.empty(); }
 
 private:
-  struct waiting {
+  struct queued_request {
     h2_head Head;
     std::string Body;
     bool End = false;
   };
 
-  void submit(request_id Id, const waiting &Request);
+  void submit(request_id Id, const queued_request &Request);
   void input(std::string_view Bytes);
   void connected();
   void submitWaiting();
@@ -68,13 +68,13 @@
   link_hooks Hooks;
   std::unique_ptr<h2_session> Session;
   std::unique_ptr<byte_stream> Stream;
-  std::map<request_id, waiting> Waiting;
+  std::map<request_id, queued_request> Waiting;
   std::map<request_id, h2_stream> ByRequest;
   std::map<h2_stream, request_id> ByStream;
   bool Connected = false;
   /// The other side's first bytes have come.
-  bool Standing = false;
-  bool Over = false;
+  bool PeerResponded = false;
+  bool Closing = false;
   bool Closed = false;
 };
 
--- a/src/proxy/decision_side.cpp
+++ b/src/proxy/decision_side.cpp
@@ -5,7 +5,7 @@
 /// A claim comes before admission: while a view changes it may take a second,
 /// for which a slot would stand idle and other requests would be refused. While
 /// draining all goes to peers, and whoever runs a request claims its key.
-void request_proxy::impl::begin(request_id Id, exchange &Exchange) {
+void request_proxy::impl::startExchange(request_id Id, exchange &Exchange) {
   if (Exchange.Work.Key.empty() || Draining)
     offer(Id);
   else
@@ -13,7 +13,7 @@
 }
 
 void request_proxy::impl::offer(request_id Id) {
-  act(Work.offer(Exchanges.at(Id).Work, Timers.now()));
+  applyDecision(Work.offer(Exchanges.at(Id).Work, Timers.now()));
   decideQueued();
 }
 
@@ -25,7 +25,7 @@
   for (auto Next = Work.tick(Timers.now()); !Next.empty();
        Next = Work.tick(Timers.now()))
     for (const decision &Decision : Next)
-      act(Decision);
+      applyDecision(Decision);
   Deciding = false;
   if (Work.waiting() == 0 || std::exchange(TickSet, true))
     return;
@@ -35,7 +35,7 @@
   });
 }
 
-void request_proxy::impl::act(const decision &Decision) {
+void request_proxy::impl::applyDecision(const decision &Decision) {
   const auto Found = Exchanges.find(Decision.Id);
   if (Found == Exchanges.end())
     return;
@@ -90,17 +90,17 @@
 /// could look to the keepers like two runs: the key would count as unknown for
 /// good although nobody ran it.
 void request_proxy::impl::relayOnceReleased(request_id Id, instant Since) {
-  constexpr duration Longest = std::chrono::milliseconds(500);
+  constexpr duration MaxWait = std::chrono::milliseconds(500);
   constexpr duration Pause = std::chrono::milliseconds(5);
   const auto Found = Exchanges.find(Id);
   if (Found == Exchanges.end())
     return;
   exchange &Exchange = Found->second;
-  if (Keys.ended(Exchange.Work.Key))
+  if (Idempotency.ended(Exchange.Work.Key))
     return sendToPeer(Id, Exchange);
-  if (Timers.now() - Since >= Longest) {
+  if (Timers.now() - Since >= MaxWait) {
     ++Counts.Refused;
-    return answer(Id, notRun("key_record", UnreachableRetry));
+    return answer(Id, notRun("key_record", UnreachableRetryDelay));
   }
   Timers.after(Pause, [this, Id, Since] { relayOnceReleased(Id, Since); });
 }
@@ -110,7 +110,7 @@
   const auto Address = Hooks.RelayOf ? Hooks.RelayOf(Peer) : std::nullopt;
   Exchange.State = exchange_state::Relayed;
   if (!Address)
-    return relayFailed(Id, UnreachableRetry);
+    return relayFailed(Id, UnreachableRetryDelay);
   ++Counts.Relayed;
   Exchange.Link = &peerLink(Peer, *Address);
   // The body is kept: after an explicit "not run" it is needed once more.
@@ -126,13 +126,13 @@
   exchange &Exchange = Exchanges.at(Id);
   Peers.notRun(*Exchange.Peer, RetryAfter, Timers.now());
   Exchange.Link = nullptr;
-  Exchange.Work.Hops = NoMoreHops;
-  if (Exchange.BodyLost) {
+  Exchange.Work.Hops = RelayForbiddenHops;
+  if (Exchange.BodyTruncated) {
     ++Counts.Refused;
     return answer(Id, notRun("relay", RetryAfter));
   }
   Exchange.State = exchange_state::Waiting;
-  begin(Id, Exchange);
+  startExchange(Id, Exchange);
 }
 
 } // namespace marjoramrail
--- a/src/proxy/exchange.h
+++ b/src/proxy/exchange.h
@@ -18,25 +18,25 @@
 };
 
 /// How far the claim of a request's key is.
-enum class claim_state { None, Asked, Granted };
+enum class claim_state { None, Requested, Granted };
 
 /// One request from its head to the end of its answer.
 struct exchange {
-  answer_place Place;
+  reply_address ReplyTo;
   work_request Work;
   h2_head Head;
   /// What has come of the body before the request was sent.
   std::string Body;
   bool BodyEnded = false;
   /// More came after it was relayed than is kept for another try.
-  bool BodyLost = false;
+  bool BodyTruncated = false;
   exchange_state State = exchange_state::Waiting;
   /// It has its slot.
   bool Admitted = false;
   claim_state Claim = claim_state::None;
-  int ClaimTries = 0;
+  int ClaimRetries = 0;
   /// With a claim granted: the answer so far, to be kept with the key.
-  std::string Kept;
+  std::string SavedAnswer;
   std::optional<host_id> Peer;
   client_link *Link = nullptr;
   instant Began;
@@ -47,9 +47,9 @@
   duration ShedRetryAfter = duration::zero();
   std::optional<timer_id> Deadline;
   /// Answer bytes that the caller's session has not taken on yet.
-  std::size_t AnswerHeld = 0;
+  std::size_t UnconsumedAnswer = 0;
   /// Body bytes that the link has not taken on yet.
-  std::size_t BodyHeld = 0;
+  std::size_t UnconsumedBody = 0;
 };
 
 } // namespace marjoramrail::internal
--- a/src/proxy/key_desk.cpp
+++ b/src/proxy/idempotency_service.cpp
@@ -1,62 +1,67 @@
-#include "proxy/key_desk.h"
+#include "proxy/idempotency_service.h"
 
 namespace marjoramrail::internal {
 
-key_desk::key_desk(timer_service &Timers, const key_desk_settings &Settings,
-                   key_desk_hooks Hooks)
+idempotency_service::idempotency_service(timer_service &Timers,
+                                         const idempotency_settings &Settings,
+                                         idempotency_hooks Hooks)
     : Timers(Timers), Settings(Settings), Hooks(std::move(Hooks)),
-      Keeper(Settings.Host, Settings.Incarnation, Settings.Keys, Settings.Past),
+      Replica(Settings.Host, Settings.Incarnation, Settings.Keys,
+              Settings.Past),
       Claims(Settings.Host, Settings.Incarnation, Settings.Keys),
-      Ticker(Timers.every(Settings.Keys.Resend, [this] { tick(); })) {}
+      TickTimer(Timers.every(Settings.Keys.Resend, [this] { tick(); })) {}
 
-key_desk::~key_desk() {
-  Timers.cancel(Ticker);
-  if (WakeSet)
-    Timers.cancel(Waker);
+idempotency_service::~idempotency_service() {
+  Timers.cancel(TickTimer);
+  if (DeliveryScheduled)
+    Timers.cancel(DeliveryTimer);
 }
 
-void key_desk::takeView(const key_view &View) {
-  post(Keeper.take(View, Timers.now()));
+void idempotency_service::setView(const key_view &View) {
+  post(Replica.take(View, Timers.now()));
   post(Claims.take(View, Timers.now()));
 }
 
-void key_desk::receive(const key_message &Message) {
+void idempotency_service::receive(const key_message &Message) {
   switch (Message.Kind) {
   case key_message_kind::Claim:
   case key_message_kind::Query:
   case key_message_kind::Settle:
   case key_message_kind::SyncAsk:
   case key_message_kind::SyncRecords:
-    return post(Keeper.receive(Message, Timers.now()));
+    return post(Replica.receive(Message, Timers.now()));
   case key_message_kind::Behind:
     // To whoever asked: a claim or a sync.
-    post(Keeper.receive(Message, Timers.now()));
+    post(Replica.receive(Message, Timers.now()));
     return post(Claims.receive(Message, Timers.now()));
   default:
     return post(Claims.receive(Message, Timers.now()));
   }
 }
 
-void key_desk::lapsed(std::uint32_t Incarnation) {
-  Keeper.lapsed(Incarnation, Timers.now());
+void idempotency_service::lapsed(std::uint32_t Incarnation) {
+  Replica.lapsed(Incarnation, Timers.now());
   Claims.lapsed(Incarnation, Timers.now());
-  wake();
+  scheduleDelivery();
 }
 
-bool key_desk::settled() const { return Keeper.settled(Timers.now()); }
+bool idempotency_service::settled() const {
+  return Replica.settled(Timers.now());
+}
 
-void key_desk::claim(const std::string &Key, request_id Id) {
+void idempotency_service::claim(const std::string &Key, request_id Id) {
   // Results name the key alone, so one key has one claimant at a time.
   if (Claimants.contains(Key) || Abandoned.contains(Key)) {
-    Ready.emplace_back(Id, key_result{Key, key_verdict::RunningElsewhere, ""});
-    return wake();
+    PendingResults.emplace_back(
+        Id, key_result{Key, key_verdict::RunningElsewhere, ""});
+    return scheduleDelivery();
   }
   Claimants[Key] = {Id, false};
   post(Claims.claim(Key, Timers.now()));
 }
 
-void key_desk::settle(const std::string &Key, request_id Id, key_state State,
-                      const std::string &Outcome) {
+void idempotency_service::settle(const std::string &Key, request_id Id,
+                                 key_state State, const std::string &Outcome) {
   const auto Found = Claimants.find(Key);
   if (Found == Claimants.end() || Found->second.Id != Id)
     return;
@@ -68,43 +73,43 @@
     Abandoned.insert(Key);
 }
 
-bool key_desk::ended(const std::string &Key) const {
+bool idempotency_service::ended(const std::string &Key) const {
   return !Claimants.contains(Key) && !Abandoned.contains(Key) &&
          Claims.ended(Key);
 }
 
-void key_desk::post(key_messages Messages) {
+void idempotency_service::post(key_messages Messages) {
   for (key_message &Message : Messages) {
     if (Message.To == Settings.Host)
       ToSelf.push_back(std::move(Message));
     else
       ToPeers[Message.To].push_back(std::move(Message));
   }
-  wake();
+  scheduleDelivery();
 }
 
 /// Goes on from the loop: a call into this class never calls back.
-void key_desk::wake() {
-  if (std::exchange(WakeSet, true))
+void idempotency_service::scheduleDelivery() {
+  if (std::exchange(DeliveryScheduled, true))
     return;
-  Waker = Timers.after(duration::zero(), [this] {
-    WakeSet = false;
+  DeliveryTimer = Timers.after(duration::zero(), [this] {
+    DeliveryScheduled = false;
     deliver();
   });
 }
 
-void key_desk::deliver() {
+void idempotency_service::deliver() {
   while (!ToSelf.empty()) {
     const key_message Message = std::move(ToSelf.front());
     ToSelf.pop_front();
     receive(Message);
   }
-  giveResults();
+  reportResults();
   for (const auto &[Peer, Messages] : std::exchange(ToPeers, {}))
     Hooks.Send(Peer, Messages);
 }
 
-void key_desk::giveResults() {
+void idempotency_service::reportResults() {
   for (const key_result &Result : Claims.results()) {
     if (Abandoned.erase(Result.Key) > 0) {
       if (Result.Verdict == key_verdict::Run)
@@ -114,18 +119,18 @@
     const auto Found = Claimants.find(Result.Key);
     if (Found == Claimants.end())
       continue;
-    Ready.emplace_back(Found->second.Id, Result);
+    PendingResults.emplace_back(Found->second.Id, Result);
     if (Result.Verdict == key_verdict::Run)
       Found->second.Granted = true;
     else
       Claimants.erase(Found);
   }
-  for (const auto &[Id, Result] : std::exchange(Ready, {}))
+  for (const auto &[Id, Result] : std::exchange(PendingResults, {}))
     Hooks.OnResult(Id, Result);
 }
 
-void key_desk::tick() {
-  post(Keeper.tick(Timers.now()));
+void idempotency_service::tick() {
+  post(Replica.tick(Timers.now()));
   post(Claims.tick(Timers.now()));
 }
 
--- a/src/proxy/key_desk.h
+++ b/src/proxy/idempotency_service.h
@@ -1,7 +1,7 @@
-//===- key_desk.h - This agent's part in the key records --------*- C++ -*-===//
+//===- idempotency_service.h - Claims and records of keys -------*- C++ -*-===//
 
-#ifndef MARJORAMRAIL_SRC_PROXY_KEY_DESK_H
-#define MARJORAMRAIL_SRC_PROXY_KEY_DESK_H
+#ifndef MARJORAMRAIL_SRC_PROXY_IDEMPOTENCY_SERVICE_H
+#define MARJORAMRAIL_SRC_PROXY_IDEMPOTENCY_SERVICE_H
 
 #include "marjoramrail/work.h"
 
@@ -11,33 +11,34 @@
 
 namespace marjoramrail::internal {
 
-struct key_desk_settings {
+struct idempotency_settings {
   host_id Host{};
   std::uint32_t Incarnation = 0;
   keeper_past Past = keeper_past::MayHaveRun;
   key_settings Keys;
 };
 
-struct key_desk_hooks {
+struct idempotency_hooks {
   std::function<void(host_id To, const key_messages &)> Send;
   std::function<void(request_id, const key_result &)> OnResult;
 };
 
 /// Joins this agent's claims and the records that it keeps: messages to itself
 /// stay here, those to one peer leave together.
-class key_desk {
+class idempotency_service {
 public:
-  key_desk(timer_service &Timers, const key_desk_settings &Settings,
-           key_desk_hooks Hooks);
-  ~key_desk();
-  key_desk(const key_desk &) = delete;
-  key_desk &operator=(const key_desk &) = delete;
+  idempotency_service(timer_service &Timers,
+                      const idempotency_settings &Settings,
+                      idempotency_hooks Hooks);
+  ~idempotency_service();
+  idempotency_service(const idempotency_service &) = delete;
+  idempotency_service &operator=(const idempotency_service &) = delete;
 
-  void takeView(const key_view &View);
+  void setView(const key_view &View);
   void receive(const key_message &Message);
   void lapsed(std::uint32_t Incarnation);
   bool settled() const;
-  std::size_t records() const { return Keeper.records(); }
+  std::size_t records() const { return Replica.records(); }
 
   /// The result comes by OnResult, never from within this call.
   void claim(const std::string &Key, request_id Id);
@@ -55,26 +56,26 @@
 
   void post(key_messages Messages);
   void deliver();
-  void giveResults();
+  void reportResults();
   void tick();
-  void wake();
+  void scheduleDelivery();
 
   timer_service &Timers;
-  key_desk_settings Settings;
-  key_desk_hooks Hooks;
-  key_keeper Keeper;
+  idempotency_settings Settings;
+  idempotency_hooks Hooks;
+  key_keeper Replica;
   key_claims Claims;
   std::map<std::string, claimant> Claimants;
   /// Claims given up before their result came.
   std::set<std::string> Abandoned;
   std::deque<key_message> ToSelf;
   std::map<host_id, key_messages> ToPeers;
-  std::vector<std::pair<request_id, key_result>> Ready;
-  timer_id Ticker;
-  timer_id Waker{};
-  bool WakeSet = false;
+  std::vector<std::pair<request_id, key_result>> PendingResults;
+  timer_id TickTimer;
+  timer_id DeliveryTimer{};
+  bool DeliveryScheduled = false;
 };
 
 } // namespace marjoramrail::internal
 
-#endif // MARJORAMRAIL_SRC_PROXY_KEY_DESK_H
+#endif // MARJORAMRAIL_SRC_PROXY_IDEMPOTENCY_SERVICE_H
--- a/src/proxy/key_side.cpp
+++ b/src/proxy/key_side.cpp
@@ -5,10 +5,10 @@
 void request_proxy::impl::startClaim(request_id Id, exchange &Exchange) {
   if (Exchange.Work.Key.empty() || Exchange.Claim != claim_state::None)
     return;
-  if (!KeysKnown || Exchange.Work.Key.size() > LongestKey)
+  if (!KeyViewKnown || Exchange.Work.Key.size() > MaxKeyBytes)
     return onClaim(Id, {Exchange.Work.Key, key_verdict::NotSure, ""});
-  Exchange.Claim = claim_state::Asked;
-  Keys.claim(Exchange.Work.Key, Id);
+  Exchange.Claim = claim_state::Requested;
+  Idempotency.claim(Exchange.Work.Key, Id);
 }
 
 void request_proxy::impl::onClaim(request_id Id, const key_result &Result) {
@@ -23,9 +23,9 @@
     return offer(Id);
   }
   Exchange.Claim = claim_state::None;
-  if (Result.Verdict == key_verdict::RunningElsewhere && claimAgain(Id))
+  if (Result.Verdict == key_verdict::RunningElsewhere && retryClaim(Id))
     return;
-  ++Counts.KeysHeld;
+  ++Counts.ClaimsNotGranted;
   Work.cancelled(Id, Timers.now());
   answer(Id, keyAnswer(Result, Exchange.Work.Retry));
   decideQueued();
@@ -33,11 +33,11 @@
 
 /// The agent that relayed a request had claimed its key before, and the word
 /// that it gave the claim back may still be under way.
-bool request_proxy::impl::claimAgain(request_id Id) {
-  constexpr int Tries = 4;
+bool request_proxy::impl::retryClaim(request_id Id) {
+  constexpr int MaxRetries = 4;
   constexpr duration Pause = std::chrono::milliseconds(30);
   exchange &Exchange = Exchanges.at(Id);
-  if (!Exchange.Work.RelayedBy || ++Exchange.ClaimTries > Tries)
+  if (!Exchange.Work.RelayedBy || ++Exchange.ClaimRetries > MaxRetries)
     return false;
   Timers.after(Pause, [this, Id] {
     const auto Found = Exchanges.find(Id);
@@ -51,10 +51,11 @@
 void request_proxy::impl::settle(request_id Id, exchange &Exchange,
                                  key_state State) {
   if (std::exchange(Exchange.Claim, claim_state::None) != claim_state::None)
-    Keys.settle(Exchange.Work.Key, Id, State, Exchange.Kept);
+    Idempotency.settle(Exchange.Work.Key, Id, State, Exchange.SavedAnswer);
 }
 
-void request_proxy::impl::postKeys(host_id Peer, const key_messages &Messages) {
+void request_proxy::impl::sendKeyMessages(host_id Peer,
+                                          const key_messages &Messages) {
   const auto Address = Hooks.RelayOf ? Hooks.RelayOf(Peer) : std::nullopt;
   if (!Address)
     return;
@@ -63,15 +64,16 @@
                       {":authority", toText(*Address)},
                       {":path", std::string(KeysPath)}}};
   peerLink(Peer, *Address)
-      .send(request_id{++LastPost}, Head, encodeKeyMessages(Messages), true);
+      .send(request_id{++LastKeyMessageId}, Head, encodeKeyMessages(Messages),
+            true);
 }
 
-void request_proxy::impl::takeKeys(answer_place Place, std::string_view Bytes,
-                                   bool End) {
-  std::string &Batch = KeyBatches[Place];
-  caller_flow &Flow = *Flows.at(Place.Flow);
-  Flow.consumed(Place.Stream, Bytes.size());
-  if (Batch.size() + Bytes.size() <= LongestKeyBatch)
+void request_proxy::impl::receiveKeyMessages(reply_address ReplyTo,
+                                             std::string_view Bytes, bool End) {
+  std::string &Batch = KeyBatches[ReplyTo];
+  caller_flow &Flow = *Flows.at(ReplyTo.Flow);
+  Flow.consumed(ReplyTo.Stream, Bytes.size());
+  if (Batch.size() + Bytes.size() <= MaxKeyBatchBytes)
     Batch += Bytes;
   if (!End)
     return;
@@ -79,37 +81,37 @@
     BOOST_LEAF_AUTO(Messages, decodeKeyMessages(Batch));
     for (const key_message &Message : Messages)
       if (Message.To == Settings.Host)
-        Keys.receive(Message);
+        Idempotency.receive(Message);
     return {};
   });
   if (Failure)
     ++Counts.BadKeyMessages;
-  KeyBatches.erase(Place);
-  Flow.respond(Place.Stream, {{{":status", Failure ? "400" : "204"}}}, true);
+  KeyBatches.erase(ReplyTo);
+  Flow.respond(ReplyTo.Stream, {{{":status", Failure ? "400" : "204"}}}, true);
 }
 
 /// A keyed request goes on when its caller's flow is lost: the repeat that will
 /// come by another flow then finds the outcome instead of "unknown".
-void request_proxy::impl::leaveRunning(answer_place Place) {
-  const auto Found = ByPlace.find(Place);
+void request_proxy::impl::detachOrCancel(reply_address ReplyTo) {
+  const auto Found = ByReplyAddress.find(ReplyTo);
   exchange &Exchange = Exchanges.at(Found->second);
   const bool Leave = Exchange.Claim == claim_state::Granted &&
                      Exchange.State == exchange_state::Running;
   if (!Leave)
-    return onCancel(Place);
-  ByPlace.erase(Found);
+    return onCancel(ReplyTo);
+  ByReplyAddress.erase(Found);
 }
 
-void request_proxy::impl::flowGone(flow_number Gone) {
-  Flows.erase(Gone);
-  std::vector<answer_place> Places;
-  for (auto It = ByPlace.lower_bound({Gone, 0});
-       It != ByPlace.end() && It->first.Flow == Gone; ++It)
-    Places.push_back(It->first);
-  for (const answer_place Place : Places)
-    leaveRunning(Place);
+void request_proxy::impl::onFlowDestroyed(flow_number Destroyed) {
+  Flows.erase(Destroyed);
+  std::vector<reply_address> Addresses;
+  for (auto It = ByReplyAddress.lower_bound({Destroyed, 0});
+       It != ByReplyAddress.end() && It->first.Flow == Destroyed; ++It)
+    Addresses.push_back(It->first);
+  for (const reply_address ReplyTo : Addresses)
+    detachOrCancel(ReplyTo);
   std::erase_if(KeyBatches,
-                [&](const auto &Item) { return Item.first.Flow == Gone; });
+                [&](const auto &Item) { return Item.first.Flow == Destroyed; });
 }
 
 } // namespace marjoramrail
--- a/src/proxy/link_side.cpp
+++ b/src/proxy/link_side.cpp
@@ -13,26 +13,26 @@
     onAnswerData(Id, Bytes, End);
   };
   Link.OnNotRun = [this](request_id Id) { onNotRun(Id); };
-  Link.OnLost = [this](request_id Id) {
+  Link.OnOutcomeUnknown = [this](request_id Id) {
     if (Exchanges.contains(Id))
-      outcomeUnknown(Id, false);
+      answerUnknownOutcome(Id, false);
   };
-  Link.OnInput = [this] { releaseHeld(); };
+  Link.OnInput = [this] { releaseFlowControl(); };
   Link.OnLateAnswer = [this] { ++Counts.LateAnswers; };
   return std::make_unique<client_link>(Address, Hooks.Connect, std::move(Link));
 }
 
 void request_proxy::impl::retire(std::unique_ptr<client_link> &Link) {
-  if (!Link || !Link->isOver())
+  if (!Link || !Link->isClosing())
     return;
   Retired.push_back(std::move(Link));
-  Timers.after(duration::zero(), [this] { freeRetired(); });
+  Timers.after(duration::zero(), [this] { destroyIdleRetired(); });
 }
 
-void request_proxy::impl::freeRetired() {
+void request_proxy::impl::destroyIdleRetired() {
   Retired.remove_if([](const auto &Link) { return Link->isIdle(); });
   if (!Retired.empty())
-    Timers.after(std::chrono::seconds(1), [this] { freeRetired(); });
+    Timers.after(std::chrono::seconds(1), [this] { destroyIdleRetired(); });
 }
 
 client_link &request_proxy::impl::targetLink() {
@@ -52,8 +52,8 @@
 }
 
 /// Answers to posted key messages say nothing; they are no one's.
-void request_proxy::impl::countLate(request_id Id) {
-  if (static_cast<std::uint64_t>(Id) < FirstPostId)
+void request_proxy::impl::countLateAnswer(request_id Id) {
+  if (static_cast<std::uint64_t>(Id) < FirstKeyMessageId)
     ++Counts.LateAnswers;
 }
 
@@ -61,11 +61,11 @@
                                        bool End) {
   const auto Found = Exchanges.find(Id);
   if (Found == Exchanges.end()) {
-    countLate(Id);
+    countLateAnswer(Id);
     return;
   }
   exchange &Exchange = Found->second;
-  if (Exchange.State == exchange_state::Relayed && saysNotRun(Head)) {
+  if (Exchange.State == exchange_state::Relayed && isNotRun(Head)) {
     Exchange.Link->cancel(Id);
     return relayFailed(Id, retryAfterOf(Head));
   }
@@ -76,14 +76,15 @@
   Exchange.ShedRetryAfter = retryAfterOf(Head);
   Exchange.HeadSent = true;
   if (Exchange.Claim == claim_state::Granted)
-    Exchange.Kept = keptAnswer(std::string(Head.get(":status")), "");
+    Exchange.SavedAnswer =
+        encodeSavedAnswer(std::string(Head.get(":status")), "");
   caller_flow *Flow = flowOf(Exchange);
   if (Flow)
-    Flow->respond(Exchange.Place.Stream,
-                  Settings.Name.empty() ? Head : passedBy(Settings.Name, Head),
+    Flow->respond(Exchange.ReplyTo.Stream,
+                  Settings.Name.empty() ? Head : withVia(Settings.Name, Head),
                   End);
   if (End)
-    answerOver(Id);
+    onAnswerComplete(Id);
   if (Flow)
     Flow->flush();
 }
@@ -92,37 +93,37 @@
                                        bool End) {
   const auto Found = Exchanges.find(Id);
   if (Found == Exchanges.end()) {
-    countLate(Id);
+    countLateAnswer(Id);
     return;
   }
   exchange &Exchange = Found->second;
   if (Exchange.Claim == claim_state::Granted &&
-      Exchange.Kept.size() <= Settings.Keys.MaxOutcome)
-    Exchange.Kept += Bytes;
+      Exchange.SavedAnswer.size() <= Settings.Keys.MaxOutcome)
+    Exchange.SavedAnswer += Bytes;
   caller_flow *Flow = flowOf(Exchange);
   if (!Flow) {
     // The caller is gone; the outcome is kept for its repeat.
     Exchange.Link->consumed(Id, Bytes.size());
     if (End)
-      answerOver(Id);
+      onAnswerComplete(Id);
     return;
   }
-  Flow->data(Exchange.Place.Stream, Bytes, End);
-  Exchange.AnswerHeld += Bytes.size();
+  Flow->data(Exchange.ReplyTo.Stream, Bytes, End);
+  Exchange.UnconsumedAnswer += Bytes.size();
   // The flush of a whole answer closes the stream, which must not look like a
   // caller that gives up.
   if (End)
-    answerOver(Id);
+    onAnswerComplete(Id);
   Flow->flush();
   // The flush may have ended the flow, and the request with it.
   const auto Still = Exchanges.find(Id);
   if (Still == Exchanges.end())
     return;
-  Held.insert(Id);
-  releaseHeld();
+  FlowControlled.insert(Id);
+  releaseFlowControl();
 }
 
-void request_proxy::impl::answerOver(request_id Id) {
+void request_proxy::impl::onAnswerComplete(request_id Id) {
   ++Counts.Answered;
   const bool Shed = Exchanges.at(Id).Shed;
   settle(Id, Exchanges.at(Id), Shed ? key_state::Released : key_state::Done);
@@ -137,51 +138,52 @@
     return;
   exchange &Exchange = Found->second;
   if (Exchange.State == exchange_state::Relayed)
-    return relayFailed(Id, UnreachableRetry);
-  Exchange.ShedRetryAfter = UnreachableRetry;
+    return relayFailed(Id, UnreachableRetryDelay);
+  Exchange.ShedRetryAfter = UnreachableRetryDelay;
   settle(Id, Exchange, key_state::Released);
   finish(Id, work_outcome::Shed);
   ++Counts.Refused;
-  answer(Id, notRun("target", UnreachableRetry));
+  answer(Id, notRun("target", UnreachableRetryDelay));
   decideQueued();
 }
 
-void request_proxy::impl::holdBody(request_id Id, std::size_t Bytes) {
-  Exchanges.at(Id).BodyHeld += Bytes;
-  Held.insert(Id);
+void request_proxy::impl::addUnconsumedBody(request_id Id, std::size_t Bytes) {
+  Exchanges.at(Id).UnconsumedBody += Bytes;
+  FlowControlled.insert(Id);
 }
 
 /// Goes on with what was held back, once the other side has taken its part.
-void request_proxy::impl::releaseHeld() {
-  std::erase_if(Held, [this](request_id Id) {
+void request_proxy::impl::releaseFlowControl() {
+  std::erase_if(FlowControlled, [this](request_id Id) {
     const auto Found = Exchanges.find(Id);
-    return Found == Exchanges.end() || releaseHeld(Id, Found->second);
+    return Found == Exchanges.end() || releaseFlowControl(Id, Found->second);
   });
 }
 
 /// Returns true if nothing is held any more.
-bool request_proxy::impl::releaseHeld(request_id Id, exchange &Exchange) {
+bool request_proxy::impl::releaseFlowControl(request_id Id,
+                                             exchange &Exchange) {
   caller_flow *Flow = flowOf(Exchange);
   if (!Flow || !Exchange.Link)
     return !Flow;
-  if (Exchange.AnswerHeld > 0 &&
-      Flow->queued(Exchange.Place.Stream) <= MaxAnswerQueued)
-    Exchange.Link->consumed(Id,
-                            std::exchange(Exchange.AnswerHeld, std::size_t(0)));
-  if (Exchange.BodyHeld > 0 &&
+  if (Exchange.UnconsumedAnswer > 0 &&
+      Flow->queued(Exchange.ReplyTo.Stream) <= MaxQueuedAnswerBytes)
+    Exchange.Link->consumed(
+        Id, std::exchange(Exchange.UnconsumedAnswer, std::size_t(0)));
+  if (Exchange.UnconsumedBody > 0 &&
       Exchange.Link->queued(Id) <= Settings.MaxBufferedBody)
-    Flow->consumed(Exchange.Place.Stream,
-                   std::exchange(Exchange.BodyHeld, std::size_t(0)));
-  return Exchange.AnswerHeld == 0 && Exchange.BodyHeld == 0;
+    Flow->consumed(Exchange.ReplyTo.Stream,
+                   std::exchange(Exchange.UnconsumedBody, std::size_t(0)));
+  return Exchange.UnconsumedAnswer == 0 && Exchange.UnconsumedBody == 0;
 }
 
-void request_proxy::impl::checkSilence() {
+void request_proxy::impl::checkLiveness() {
   std::vector<caller_flow *> All;
   for (const auto &[Number, Flow] : Flows)
     All.push_back(Flow);
   for (caller_flow *Flow : All)
-    if (Flow->checkSilence(Timers.now(), Settings.SilentFlow))
-      ++Counts.SilentFlows;
+    if (Flow->checkLiveness(Timers.now(), Settings.IdleTimeout))
+      ++Counts.UnresponsiveFlows;
 }
 
 } // namespace marjoramrail
--- a/src/proxy/proxy_state.h
+++ b/src/proxy/proxy_state.h
@@ -13,8 +13,8 @@
 #include "marjoramrail/proxy.h"
 #include "proxy/answers.h"
 #include "proxy/exchange.h"
+#include "proxy/idempotency_service.h"
 #include "proxy/key_codec.h"
-#include "proxy/key_desk.h"
 #include "proxy/request_head.h"
 
 #include <algorithm>
@@ -28,23 +28,23 @@
 namespace internal {
 
 /// Answer bytes in a caller's session before the target is held back.
-inline constexpr std::size_t MaxAnswerQueued = 256 * 1024;
+inline constexpr std::size_t MaxQueuedAnswerBytes = 256 * 1024;
 /// Between the two GOAWAYs: longer than a round trip, so that a request sent
 /// before the first was seen is counted by the second.
-inline constexpr duration ShutdownPause = std::chrono::seconds(1);
+inline constexpr duration GoAwayDelay = std::chrono::seconds(1);
 /// A target or peer that does not take connections is asked again after this.
-inline constexpr duration UnreachableRetry = std::chrono::seconds(1);
-/// Parts of SilentFlow between two looks at each flow.
-inline constexpr int SilenceChecks = 3;
-inline constexpr std::uint8_t NoMoreHops = 255;
+inline constexpr duration UnreachableRetryDelay = std::chrono::seconds(1);
+/// Parts of IdleTimeout between two looks at each flow.
+inline constexpr int LivenessChecksPerTimeout = 3;
+inline constexpr std::uint8_t RelayForbiddenHops = 255;
 /// Where peers post messages of key records.
 inline constexpr std::string_view KeysPath = "/.marjoramrail/keys";
 /// Longer keys are refused: records of them are held at two agents.
-inline constexpr std::size_t LongestKey = 128;
+inline constexpr std::size_t MaxKeyBytes = 128;
 /// A batch of records in a sync is far smaller.
-inline constexpr std::size_t LongestKeyBatch = 1024 * 1024;
+inline constexpr std::size_t MaxKeyBatchBytes = 1024 * 1024;
 /// Ids of posted key messages, apart from those of requests.
-inline constexpr std::uint64_t FirstPostId = 1ULL << 63;
+inline constexpr std::uint64_t FirstKeyMessageId = 1ULL << 63;
 
 } // namespace internal
 
@@ -59,14 +59,14 @@
   std::uint64_t LastFlow = 0;
   std::map<flow_number, caller_flow *> Flows;
   std::map<request_id, exchange> Exchanges;
-  std::map<answer_place, request_id> ByPlace;
+  std::map<reply_address, request_id> ByReplyAddress;
   /// Requests of which bytes are held back in either direction.
-  std::set<request_id> Held;
-  key_desk Keys;
-  bool KeysKnown = false;
-  std::uint64_t LastPost = FirstPostId;
+  std::set<request_id> FlowControlled;
+  idempotency_service Idempotency;
+  bool KeyViewKnown = false;
+  std::uint64_t LastKeyMessageId = FirstKeyMessageId;
   /// Batches of key messages that are coming in.
-  std::map<answer_place, std::string> KeyBatches;
+  std::map<reply_address, std::string> KeyBatches;
   std::unique_ptr<client_link> Target;
   std::map<host_id, std::unique_ptr<client_link>> PeerLinks;
   /// Links that take no more requests; freed outside of their own events.
@@ -81,16 +81,16 @@
   ~impl();
 
   // Callers' side.
-  void onRequest(answer_place Place, const h2_head &Head, bool End);
-  void onBody(answer_place Place, std::string_view Bytes, bool End);
-  void onCancel(answer_place Place);
+  void onRequest(reply_address ReplyTo, const h2_head &Head, bool End);
+  void onBody(reply_address ReplyTo, std::string_view Bytes, bool End);
+  void onCancel(reply_address ReplyTo);
   void deadlinePassed(request_id Id);
   caller_flow *flowOf(const exchange &Exchange);
 
   // Decisions.
-  void begin(request_id Id, exchange &Exchange);
+  void startExchange(request_id Id, exchange &Exchange);
   void offer(request_id Id);
-  void act(const decision &Decision);
+  void applyDecision(const decision &Decision);
   void decideQueued();
   void runIfClaimed(request_id Id);
   void run(request_id Id, exchange &Exchange);
@@ -100,22 +100,23 @@
   void relayFailed(request_id Id, duration RetryAfter);
 
   // Answers.
-  void answer(request_id Id, const own_answer &Answer);
-  void give(exchange &Exchange, const own_answer &Answer);
-  void outcomeUnknown(request_id Id, bool DeadlinePassed);
+  void answer(request_id Id, const agent_answer &Answer);
+  void sendAgentAnswer(exchange &Exchange, const agent_answer &Answer);
+  void answerUnknownOutcome(request_id Id, bool DeadlinePassed);
   void finish(request_id Id, work_outcome Outcome);
   void erase(request_id Id);
 
   // Links' side.
   // Key records.
   void startClaim(request_id Id, exchange &Exchange);
-  bool claimAgain(request_id Id);
+  bool retryClaim(request_id Id);
   void onClaim(request_id Id, const key_result &Result);
   void settle(request_id Id, exchange &Exchange, key_state State);
-  void postKeys(host_id Peer, const key_messages &Messages);
-  void takeKeys(answer_place Place, std::string_view Bytes, bool End);
-  void leaveRunning(answer_place Place);
-  void flowGone(flow_number Gone);
+  void sendKeyMessages(host_id Peer, const key_messages &Messages);
+  void receiveKeyMessages(reply_address ReplyTo, std::string_view Bytes,
+                          bool End);
+  void detachOrCancel(reply_address ReplyTo);
+  void onFlowDestroyed(flow_number Destroyed);
 
   client_link &targetLink();
   client_link &peerLink(host_id Peer, const endpoint &Address);
@@ -123,15 +124,15 @@
   void retire(std::unique_ptr<client_link> &Link);
   void onAnswerHead(request_id Id, const h2_head &Head, bool End);
   void onAnswerData(request_id Id, std::string_view Bytes, bool End);
-  void countLate(request_id Id);
+  void countLateAnswer(request_id Id);
   void onNotRun(request_id Id);
-  void answerOver(request_id Id);
-  void holdBody(request_id Id, std::size_t Bytes);
-  void releaseHeld();
-  bool releaseHeld(request_id Id, exchange &Exchange);
+  void onAnswerComplete(request_id Id);
+  void addUnconsumedBody(request_id Id, std::size_t Bytes);
+  void releaseFlowControl();
+  bool releaseFlowControl(request_id Id, exchange &Exchange);
 
-  void checkSilence();
-  void freeRetired();
+  void checkLiveness();
+  void destroyIdleRetired();
 };
 
 } // namespace marjoramrail
--- a/src/proxy/request_proxy.cpp
+++ b/src/proxy/request_proxy.cpp
@@ -12,16 +12,18 @@
                  const load_report &Own,
                  instant Now) { return Peers.pick(Request, Why, Own, Now); },
           Settings.Seed),
-      Keys(Timers,
-           {Settings.Host, Settings.Incarnation, Settings.Past, Settings.Keys},
-           {[this](host_id Peer, const key_messages &Messages) {
-              postKeys(Peer, Messages);
-            },
-            [this](request_id Id, const key_result &Result) {
-              onClaim(Id, Result);
-            }}) {
-  Periodic.push_back(Timers.every(Settings.SilentFlow / SilenceChecks,
-                                  [this] { checkSilence(); }));
+      Idempotency(
+          Timers,
+          {Settings.Host, Settings.Incarnation, Settings.Past, Settings.Keys},
+          {[this](host_id Peer, const key_messages &Messages) {
+             sendKeyMessages(Peer, Messages);
+           },
+           [this](request_id Id, const key_result &Result) {
+             onClaim(Id, Result);
+           }}) {
+  Periodic.push_back(
+      Timers.every(Settings.IdleTimeout / LivenessChecksPerTimeout,
+                   [this] { checkLiveness(); }));
 }
 
 request_proxy::impl::~impl() {
@@ -52,15 +54,15 @@
   impl &Self = *Impl;
   const flow_number Number{++Self.LastFlow};
   caller_flow_hooks Inner;
-  Inner.OnRequest = [&Self](answer_place Place, const h2_head &Head, bool End) {
-    Self.onRequest(Place, Head, End);
+  Inner.OnRequest = [&Self](reply_address ReplyTo, const h2_head &Head,
+                            bool End) { Self.onRequest(ReplyTo, Head, End); };
+  Inner.OnBody = [&Self](reply_address ReplyTo, std::string_view Bytes,
+                         bool End) { Self.onBody(ReplyTo, Bytes, End); };
+  Inner.OnCancel = [&Self](reply_address ReplyTo) { Self.onCancel(ReplyTo); };
+  Inner.OnInput = [&Self] { Self.releaseFlowControl(); };
+  Inner.OnDestroyed = [&Self](flow_number Destroyed) {
+    Self.onFlowDestroyed(Destroyed);
   };
-  Inner.OnBody = [&Self](answer_place Place, std::string_view Bytes, bool End) {
-    Self.onBody(Place, Bytes, End);
-  };
-  Inner.OnCancel = [&Self](answer_place Place) { Self.onCancel(Place); };
-  Inner.OnInput = [&Self] { Self.releaseHeld(); };
-  Inner.OnDestroyed = [&Self](flow_number Gone) { Self.flowGone(Gone); };
   auto Flow = std::make_unique<caller_flow>(
       Number, Origin, std::move(Hooks), std::move(Inner), Self.Timers.now());
   Self.Flows[Number] = Flow.get();
@@ -76,7 +78,7 @@
   for (const auto &[Number, Flow] : Self.Flows)
     if (!Flow->origin().IsPeer)
       Flow->startShutdown();
-  Self.Timers.after(ShutdownPause, [&Self] {
+  Self.Timers.after(GoAwayDelay, [&Self] {
     if (!Self.Draining)
       return;
     std::vector<caller_flow *> All;
@@ -95,20 +97,22 @@
   Impl->decideQueued();
 }
 
-void request_proxy::takeKeyView(const key_view &View) {
-  Impl->KeysKnown = true;
-  Impl->Keys.takeView(View);
+void request_proxy::setKeyView(const key_view &View) {
+  Impl->KeyViewKnown = true;
+  Impl->Idempotency.setView(View);
 }
 
 void request_proxy::lapsed(std::uint32_t Incarnation) {
-  Impl->Keys.lapsed(Incarnation);
+  Impl->Idempotency.lapsed(Incarnation);
 }
 
 bool request_proxy::keysSettled() const {
-  return Impl->KeysKnown && Impl->Keys.settled();
+  return Impl->KeyViewKnown && Impl->Idempotency.settled();
 }
 
-std::size_t request_proxy::keyRecords() const { return Impl->Keys.records(); }
+std::size_t request_proxy::keyRecords() const {
+  return Impl->Idempotency.records();
+}
 
 load_report request_proxy::load() {
   load_report Report = Impl->Work.load(Impl->Timers.now());
@@ -116,11 +120,11 @@
   return Report;
 }
 
-void request_proxy::takePeerLoad(const load_report &Peer) {
+void request_proxy::updatePeerLoad(const load_report &Peer) {
   Impl->Peers.report(Peer, Impl->Timers.now());
 }
 
-void request_proxy::forgetPeer(host_id Peer) { Impl->Peers.forget(Peer); }
+void request_proxy::removePeer(host_id Peer) { Impl->Peers.forget(Peer); }
 
 std::size_t request_proxy::inProgress() const { return Impl->Exchanges.size(); }
 
--- a/src/stack/tcp_stack.cpp
+++ b/src/stack/tcp_stack.cpp
@@ -36,20 +36,20 @@
   std::size_t Unconsumed = 0;
   /// lwIP must not be left with a freed connection, so an abort from within a
   /// callback is carried out when the hook has returned.
-  int Depth = 0;
-  bool AbortWanted = false;
-  bool PeerEnded = false;
-  bool WeEnded = false;
+  int HookDepth = 0;
+  bool AbortPending = false;
+  bool RemoteEnded = false;
+  bool LocalEnded = false;
 
   void attach(tcp_pcb *Connection);
   void detach();
   void abort();
   void close();
   void finishWriting();
-  void endIfBothDid();
+  void closeIfBothEnded();
 
   template <typename Hook, typename... Args>
-  err_t call(Hook Member, Args... Arguments);
+  err_t callHook(Hook Member, Args... Arguments);
 
   static err_t onReceive(void *User, tcp_pcb *Pcb, pbuf *Bytes, err_t Error);
   static err_t onSent(void *User, tcp_pcb *Pcb, u16_t Size);
@@ -104,9 +104,9 @@
     Send(Packet->payload, Packet->len);
     return ERR_OK;
   }
-  std::vector<std::uint8_t> Whole(Packet->tot_len);
-  pbuf_copy_partial(Packet, Whole.data(), Packet->tot_len, 0);
-  Send(Whole.data(), Whole.size());
+  std::vector<std::uint8_t> Contiguous(Packet->tot_len);
+  pbuf_copy_partial(Packet, Contiguous.data(), Packet->tot_len, 0);
+  Send(Contiguous.data(), Contiguous.size());
   return ERR_OK;
 }
 
@@ -118,7 +118,7 @@
 }
 
 /// Addresses of a packet that lwIP may read.
-struct packet_ends {
+struct packet_header {
   flow_key Flow;
   std::uint32_t Sequence = 0;
   bool OpensFlow = false;
@@ -131,7 +131,7 @@
   return Value;
 }
 
-std::optional<packet_ends> readEnds(std::span<const std::uint8_t> Packet) {
+std::optional<packet_header> parseHeader(std::span<const std::uint8_t> Packet) {
   constexpr std::size_t MinIp = 20;
   constexpr std::size_t MinTcp = 20;
   constexpr std::uint32_t FragmentBits = 0x3fff;
@@ -147,15 +147,15 @@
     return std::nullopt;
   if ((bigEndian(&Packet[6], 2) & FragmentBits) != 0)
     return std::nullopt;
-  packet_ends Ends;
+  packet_header Parsed;
   const std::uint8_t *Tcp = &Packet[Header];
-  Ends.Flow.Caller = {bigEndian(&Packet[12], 4),
-                      static_cast<std::uint16_t>(bigEndian(Tcp, 2))};
-  Ends.Flow.Service = {bigEndian(&Packet[16], 4),
-                       static_cast<std::uint16_t>(bigEndian(Tcp + 2, 2))};
-  Ends.Sequence = bigEndian(Tcp + 4, 4);
-  Ends.OpensFlow = (Tcp[13] & SynAckBits) == SynBit;
-  return Ends;
+  Parsed.Flow.Caller = {bigEndian(&Packet[12], 4),
+                        static_cast<std::uint16_t>(bigEndian(Tcp, 2))};
+  Parsed.Flow.Service = {bigEndian(&Packet[16], 4),
+                         static_cast<std::uint16_t>(bigEndian(Tcp + 2, 2))};
+  Parsed.Sequence = bigEndian(Tcp + 4, 4);
+  Parsed.OpensFlow = (Tcp[13] & SynAckBits) == SynBit;
+  return Parsed;
 }
 
 tcp_pcb *findIn(tcp_pcb *List, const flow_key &Flow) {
@@ -174,18 +174,18 @@
 
 /// A caller may use its port again at once (RFC 9293, 3.6.1). lwIP would answer
 /// the SYN out of TIME_WAIT and the caller would wait for minutes.
-void freeReusedPort(const packet_ends &Ends) {
-  tcp_pcb *Old = findIn(tcp_tw_pcbs, Ends.Flow);
-  if (Old && static_cast<std::int32_t>(Ends.Sequence - Old->rcv_nxt) > 0)
+void freeReusedPort(const packet_header &Parsed) {
+  tcp_pcb *Old = findIn(tcp_tw_pcbs, Parsed.Flow);
+  if (Old && static_cast<std::int32_t>(Parsed.Sequence - Old->rcv_nxt) > 0)
     tcp_abort(Old);
 }
 
-void freeOldest(std::size_t Kept) {
+void freeOldestTimeWait(std::size_t MaxKept) {
   // The newest are at the head.
   std::size_t Count = 0;
   for (tcp_pcb *Pcb = tcp_tw_pcbs; Pcb;) {
     tcp_pcb *Next = Pcb->next;
-    if (++Count > Kept)
+    if (++Count > MaxKept)
       tcp_abort(Pcb);
     Pcb = Next;
   }
@@ -225,8 +225,8 @@
 void stack_connection::abort() {
   if (!Pcb)
     return;
-  if (Depth > 0) {
-    AbortWanted = true;
+  if (HookDepth > 0) {
+    AbortPending = true;
     return;
   }
   tcp_pcb *Ended = Pcb;
@@ -235,7 +235,7 @@
 }
 
 void stack_connection::close() {
-  if (!Pcb || AbortWanted)
+  if (!Pcb || AbortPending)
     return;
   // lwIP answers unread data with a reset, which would also take back bytes
   // that the peer has not read yet.
@@ -248,40 +248,40 @@
 
 /// Runs a hook on behalf of lwIP. Afterwards the flow may be gone.
 template <typename Hook, typename... Args>
-err_t stack_connection::call(Hook Member, Args... Arguments) {
+err_t stack_connection::callHook(Hook Member, Args... Arguments) {
   const auto Self = shared_from_this();
   setInterfaceAddress(NoAddress);
-  ++Depth;
+  ++HookDepth;
   if (Hooks.*Member)
     (Hooks.*Member)(Arguments...);
-  --Depth;
-  if (!AbortWanted || Depth > 0 || !Pcb)
+  --HookDepth;
+  if (!AbortPending || HookDepth > 0 || !Pcb)
     return ERR_OK;
   abort();
   return ERR_ABRT;
 }
 
 void stack_connection::finishWriting() {
-  if (!Pcb || WeEnded)
+  if (!Pcb || LocalEnded)
     return;
-  WeEnded = true;
+  LocalEnded = true;
   tcp_shutdown(Pcb, 0, 1);
 }
 
-void stack_connection::endIfBothDid() {
-  if (!Pcb || !WeEnded || !PeerEnded)
+void stack_connection::closeIfBothEnded() {
+  if (!Pcb || !LocalEnded || !RemoteEnded)
     return;
   close();
-  call(&stack_flow::hooks::OnClosed, flow_end::Finished);
+  callHook(&stack_flow::hooks::OnClosed, flow_end::Finished);
 }
 
 err_t stack_connection::onReceive(void *User, tcp_pcb *, pbuf *Bytes, err_t) {
   const auto Self = static_cast<stack_connection *>(User)->shared_from_this();
   if (!Bytes) {
-    Self->PeerEnded = true;
-    const err_t Result = Self->call(&stack_flow::hooks::OnEnd);
+    Self->RemoteEnded = true;
+    const err_t Result = Self->callHook(&stack_flow::hooks::OnEnd);
     if (Result == ERR_OK)
-      Self->endIfBothDid();
+      Self->closeIfBothEnded();
     return Result;
   }
   err_t Result = ERR_OK;
@@ -293,7 +293,7 @@
       tcp_recved(Self->Pcb, Part->len);
     const std::string_view View(static_cast<const char *>(Part->payload),
                                 Part->len);
-    Result = Self->call(&stack_flow::hooks::OnData, View);
+    Result = Self->callHook(&stack_flow::hooks::OnData, View);
   }
   pbuf_free(Bytes);
   return Result;
@@ -301,13 +301,13 @@
 
 err_t stack_connection::onSent(void *User, tcp_pcb *, u16_t) {
   const auto Self = static_cast<stack_connection *>(User)->shared_from_this();
-  if (Self->WeEnded)
+  if (Self->LocalEnded)
     return ERR_OK;
-  return Self->call(&stack_flow::hooks::OnWritable);
+  return Self->callHook(&stack_flow::hooks::OnWritable);
 }
 
 err_t stack_connection::onConnected(void *User, tcp_pcb *, err_t) {
-  return static_cast<stack_connection *>(User)->call(
+  return static_cast<stack_connection *>(User)->callHook(
       &stack_flow::hooks::OnConnected);
 }
 
@@ -315,7 +315,7 @@
   const auto Self = static_cast<stack_connection *>(User)->shared_from_this();
   // lwIP has freed the connection.
   Self->Pcb = nullptr;
-  Self->call(&stack_flow::hooks::OnClosed, endOf(Error));
+  Self->callHook(&stack_flow::hooks::OnClosed, endOf(Error));
 }
 
 stack_flow::stack_flow(std::shared_ptr<stack_connection> State)
@@ -325,7 +325,7 @@
   State->abort();
   // The hooks' captures may be gone. A hook that runs now keeps its own
   // captures alive until it returns.
-  if (State->Depth == 0)
+  if (State->HookDepth == 0)
     State->Hooks = {};
 }
 
@@ -336,7 +336,7 @@
 std::size_t stack_flow::writable() const {
   constexpr u16_t QueueReserve = 8;
   const tcp_pcb *Pcb = State->Pcb;
-  if (!Pcb || State->WeEnded || State->AbortWanted ||
+  if (!Pcb || State->LocalEnded || State->AbortPending ||
       Pcb->snd_queuelen + QueueReserve > TCP_SND_QUEUELEN)
     return 0;
   return tcp_sndbuf(Pcb);
@@ -358,14 +358,14 @@
 void stack_flow::consumed(std::size_t Bytes) {
   Bytes = std::min(Bytes, State->Unconsumed);
   State->Unconsumed -= Bytes;
-  if (State->Pcb && !State->AbortWanted)
+  if (State->Pcb && !State->AbortPending)
     tcp_recved(State->Pcb, static_cast<u16_t>(Bytes));
 }
 
 void stack_flow::finishWriting() {
   const auto Self = State;
   Self->finishWriting();
-  Self->endIfBothDid();
+  Self->closeIfBothEnded();
 }
 
 void stack_flow::close() { State->close(); }
@@ -430,7 +430,7 @@
 
 void tcp_stack::impl::tick() {
   tcp_tmr();
-  freeOldest(Settings.MaxTimeWait);
+  freeOldestTimeWait(Settings.MaxTimeWait);
 }
 
 err_t tcp_stack::impl::onAccept(void *User, tcp_pcb *Pcb, err_t Error) {
@@ -440,10 +440,10 @@
   auto State = std::make_shared<stack_connection>();
   State->Key = {remoteOf(*Pcb), localOf(*Pcb)};
   State->attach(Pcb);
-  ++State->Depth;
+  ++State->HookDepth;
   static_cast<listener *>(User)->OnAccept(std::make_unique<stack_flow>(State));
-  --State->Depth;
-  if (!State->AbortWanted)
+  --State->HookDepth;
+  if (!State->AbortPending)
     return ERR_OK;
   State->abort();
   return ERR_ABRT;
@@ -461,7 +461,7 @@
     tcp_close(Listener->Pcb);
   while (tcp_active_pcbs)
     tcp_abandon(tcp_active_pcbs, 0);
-  freeOldest(0);
+  freeOldestTimeWait(0);
   CurrentOutput = nullptr;
 }
 
@@ -512,17 +512,17 @@
 }
 
 bool tcp_stack::input(std::span<const std::uint8_t> Packet) {
-  const auto Ends = readEnds(Packet);
-  if (!Ends || !Impl->Addresses.contains(Ends->Flow.Service.Address))
+  const auto Parsed = parseHeader(Packet);
+  if (!Parsed || !Impl->Addresses.contains(Parsed->Flow.Service.Address))
     return false;
-  if (Ends->OpensFlow)
-    freeReusedPort(*Ends);
+  if (Parsed->OpensFlow)
+    freeReusedPort(*Parsed);
   const auto Size = static_cast<u16_t>(Packet.size());
   pbuf *Buffer = pbuf_alloc(PBUF_RAW, Size, PBUF_RAM);
   if (!Buffer)
     return false;
   pbuf_take(Buffer, Packet.data(), Size);
-  setInterfaceAddress(Ends->Flow.Service.Address);
+  setInterfaceAddress(Parsed->Flow.Service.Address);
   ip4_input(Buffer, &Interface);
   setInterfaceAddress(NoAddress);
   return true;
@@ -534,15 +534,15 @@
     return;
   auto *State = static_cast<stack_connection *>(Pcb->callback_arg);
   const bool Accepted = Pcb->state != SYN_RCVD && State;
-  std::shared_ptr<stack_connection> Keeper;
+  std::shared_ptr<stack_connection> Connection;
   if (Accepted) {
-    Keeper = State->shared_from_this();
-    Keeper->detach();
+    Connection = State->shared_from_this();
+    Connection->detach();
   }
   tcp_err(Pcb, nullptr);
   tcp_abandon(Pcb, 0);
   if (Accepted)
-    Keeper->call(&stack_flow::hooks::OnClosed, flow_end::Reset);
+    Connection->callHook(&stack_flow::hooks::OnClosed, flow_end::Reset);
 }
 
 std::size_t tcp_stack::connections() const {
--- a/test/h2/h2_session_test.cpp
+++ b/test/h2/h2_session_test.cpp
@@ -9,7 +9,7 @@
 
 /// A client and a server joined by two buffers, so that a test says when
 /// bytes cross.
-struct joined_sessions {
+struct connected_sessions {
   std::string ToServer;
   std::string ToClient;
   std::map<h2_stream, std::string> ClientBody;
@@ -20,7 +20,7 @@
   std::unique_ptr<h2_session> Client;
   std::unique_ptr<h2_session> Server;
 
-  joined_sessions() {
+  connected_sessions() {
     h2_hooks Hooks;
     Hooks.Output = [this](std::string_view Bytes) { ToServer += Bytes; };
     Hooks.OnData = [this](h2_stream Id, std::string_view Data, bool) {
@@ -32,16 +32,16 @@
     Hooks.OnPong = [this] { ++Pongs; };
     Client = std::make_unique<h2_session>(h2_role::Client, h2_settings(),
                                           std::move(Hooks));
-    h2_hooks Answering;
-    Answering.Output = [this](std::string_view Bytes) { ToClient += Bytes; };
-    Answering.OnHead = [this](h2_stream Id, const h2_head &, bool) {
+    h2_hooks ServerHooks;
+    ServerHooks.Output = [this](std::string_view Bytes) { ToClient += Bytes; };
+    ServerHooks.OnHead = [this](h2_stream Id, const h2_head &, bool) {
       ServerHeads.push_back(Id);
     };
-    Answering.OnData = [this](h2_stream, std::string_view Data, bool) {
+    ServerHooks.OnData = [this](h2_stream, std::string_view Data, bool) {
       ServerBody += Data;
     };
     Server = std::make_unique<h2_session>(h2_role::Server, h2_settings(),
-                                          std::move(Answering));
+                                          std::move(ServerHooks));
   }
 
   void exchange() {
@@ -68,7 +68,7 @@
 } // namespace
 
 TEST_CASE("h2_session brings each stream its own answer when answers cross") {
-  joined_sessions Pair;
+  connected_sessions Pair;
   const h2_stream First = Pair.Client->request(getHead(), true);
   const h2_stream Second = Pair.Client->request(getHead(), true);
   Pair.exchange();
@@ -84,7 +84,7 @@
 }
 
 TEST_CASE("h2_session sends body bytes added after the head went out") {
-  joined_sessions Pair;
+  connected_sessions Pair;
   const h2_stream Id = Pair.Client->request(getHead(), true);
   Pair.exchange();
   Pair.Server->respond(Id, okHead(), false);
@@ -98,7 +98,7 @@
 }
 
 TEST_CASE("h2_session tells the client that a refused stream was not run") {
-  joined_sessions Pair;
+  connected_sessions Pair;
   const h2_stream Id = Pair.Client->request(getHead(), true);
   Pair.exchange();
 
@@ -110,7 +110,7 @@
 }
 
 TEST_CASE("h2_session finishes streams under way after a shutdown") {
-  joined_sessions Pair;
+  connected_sessions Pair;
   const h2_stream Id = Pair.Client->request(getHead(), true);
   Pair.exchange();
   Pair.Server->startShutdown();
@@ -127,7 +127,7 @@
 }
 
 TEST_CASE("h2_session refuses bytes that are not HTTP/2") {
-  joined_sessions Pair;
+  connected_sessions Pair;
 
   const auto Failure =
       failureOf([&] { return Pair.Server->input("GET / HTTP/1.1\r\n\r\n"); });
@@ -137,7 +137,7 @@
 }
 
 TEST_CASE("h2_session answers a ping") {
-  joined_sessions Pair;
+  connected_sessions Pair;
   Pair.Client->ping();
 
   Pair.exchange();
--- a/test/proxy/answers_test.cpp
+++ b/test/proxy/answers_test.cpp
@@ -9,8 +9,8 @@
   h2_head Head;
   Head.add(":status", "200");
 
-  const h2_head Ran = passedBy("ledger-3", Head);
-  const h2_head Relayed = passedBy("ledger-1", Ran);
+  const h2_head Ran = withVia("ledger-3", Head);
+  const h2_head Relayed = withVia("ledger-1", Ran);
 
   CHECK(Ran.get("via") == "2 ledger-3");
   CHECK(Relayed.get("via") == "2 ledger-3, 2 ledger-1");
--- a/test/proxy/proxy_bench.h
+++ b/test/proxy/proxy_fixture.h
@@ -1,7 +1,7 @@
-//===- proxy_bench.h - A proxy between fake callers and targets -*- C++ -*-===//
+//===- proxy_fixture.h - Proxy with fake callers and targets ----*- C++ -*-===//
 
-#ifndef MARJORAMRAIL_TEST_PROXY_PROXY_BENCH_H
-#define MARJORAMRAIL_TEST_PROXY_PROXY_BENCH_H
+#ifndef MARJORAMRAIL_TEST_PROXY_PROXY_FIXTURE_H
+#define MARJORAMRAIL_TEST_PROXY_PROXY_FIXTURE_H
 
 #include "marjoramrail/proxy.h"
 
@@ -16,8 +16,8 @@
 
 /// The far end of one connection that the proxy opened: an HTTP/2 server whose
 /// answers the test gives.
-struct far_server {
-  struct seen {
+struct fake_server {
+  struct received_request {
     h2_stream Stream;
     h2_head Head;
     std::string Body;
@@ -29,11 +29,11 @@
   std::string ToServer;
   std::string ToProxy;
   std::unique_ptr<h2_session> Session;
-  std::deque<seen> Requests;
+  std::deque<received_request> Requests;
   bool Open = true;
   bool Connected = false;
 
-  far_server() {
+  fake_server() {
     h2_hooks Hooks;
     Hooks.Output = [this](std::string_view Bytes) { ToProxy += Bytes; };
     Hooks.OnHead = [this](h2_stream Id, const h2_head &Head, bool End) {
@@ -50,8 +50,8 @@
                                            std::move(Hooks));
   }
 
-  seen &at(h2_stream Id) {
-    for (seen &Request : Requests)
+  received_request &at(h2_stream Id) {
+    for (received_request &Request : Requests)
       if (Request.Stream == Id)
         return Request;
     REQUIRE(false);
@@ -66,7 +66,7 @@
 };
 
 /// One caller with its HTTP/2 session.
-struct near_caller {
+struct test_caller {
   struct answer {
     std::string Status;
     h2_head Head;
@@ -79,10 +79,10 @@
   std::unique_ptr<h2_session> Session;
   std::map<h2_stream, answer> Answers;
   bool GoAway = false;
-  std::optional<flow_over> Over;
+  std::optional<proxy_flow_end> FlowEnd;
   std::unique_ptr<proxy_flow> Flow;
 
-  near_caller() {
+  test_caller() {
     h2_hooks Hooks;
     Hooks.Output = [this](std::string_view Bytes) { ToProxy += Bytes; };
     Hooks.OnHead = [this](h2_stream Id, const h2_head &Head, bool) {
@@ -100,8 +100,8 @@
                                            std::move(Hooks));
   }
 
-  h2_stream ask(const std::string &Path,
-                const std::vector<h2_field> &More = {}) {
+  h2_stream sendRequest(const std::string &Path,
+                        const std::vector<h2_field> &More = {}) {
     h2_head Head{{{":method", "POST"},
                   {":scheme", "http"},
                   {":authority", "ledger"},
@@ -113,16 +113,16 @@
 
 /// A proxy, its callers and the servers that it connected to; bytes cross when
 /// the test says so.
-class proxy_bench {
+class proxy_fixture {
 public:
   timer_service Timers;
   proxy_settings Settings;
-  std::map<endpoint, std::deque<std::unique_ptr<far_server>>> Servers;
+  std::map<endpoint, std::deque<std::unique_ptr<fake_server>>> Servers;
   std::map<endpoint, bool> Unreachable;
-  std::deque<std::unique_ptr<near_caller>> Callers;
+  std::deque<std::unique_ptr<test_caller>> Callers;
   std::unique_ptr<request_proxy> Proxy;
 
-  explicit proxy_bench(std::uint32_t Slots = 4, bool FirstEver = true) {
+  explicit proxy_fixture(std::uint32_t Slots = 4, bool FirstEver = true) {
     Settings.Incarnation = 1;
     Settings.Past =
         FirstEver ? keeper_past::FirstOfService : keeper_past::MayHaveRun;
@@ -136,30 +136,30 @@
     };
     Hooks.RelayOf = [](host_id) { return std::optional(PeerAddress); };
     Proxy = std::make_unique<request_proxy>(Timers, Settings, std::move(Hooks));
-    Proxy->takeKeyView({{{host_id(1), 1, false}}, {{1, {host_id(1)}}}});
+    Proxy->setKeyView({{{host_id(1), 1, false}}, {{1, {host_id(1)}}}});
   }
 
-  ~proxy_bench() {
+  ~proxy_fixture() {
     Callers.clear();
     Proxy.reset();
   }
 
-  near_caller &open(const flow_origin &Origin = {1, false}) {
-    Callers.push_back(std::make_unique<near_caller>());
-    near_caller *Caller = Callers.back().get();
+  test_caller &open(const flow_origin &Origin = {1, false}) {
+    Callers.push_back(std::make_unique<test_caller>());
+    test_caller *Caller = Callers.back().get();
     proxy_flow::hooks Hooks;
     Hooks.Output = [Caller](std::string_view Bytes) {
       Caller->ToCaller += Bytes;
     };
-    Hooks.OnOver = [Caller](flow_over Why) { Caller->Over = Why; };
+    Hooks.OnEnded = [Caller](proxy_flow_end Why) { Caller->FlowEnd = Why; };
     Caller->Flow = Proxy->open(Origin, std::move(Hooks));
     return *Caller;
   }
 
-  far_server &target(std::size_t Index = 0) {
+  fake_server &target(std::size_t Index = 0) {
     return *Servers[TargetAddress].at(Index);
   }
-  far_server &peer() { return *Servers[PeerAddress].at(0); }
+  fake_server &peer() { return *Servers[PeerAddress].at(0); }
 
   /// Moves all bytes until none are left.
   void exchange() {
@@ -174,7 +174,7 @@
     }
   }
 
-  void pass(duration Time) {
+  void advanceTime(duration Time) {
     exchange();
     for (const instant End = Timers.now() + Time; Timers.now() < End;) {
       Timers.advance(Timers.now() + std::chrono::milliseconds(10));
@@ -183,7 +183,7 @@
   }
 
   /// The connection ends without a word.
-  void cut(far_server &Server) {
+  void cut(fake_server &Server) {
     Server.Open = false;
     Server.Events.OnClosed();
     exchange();
@@ -191,15 +191,15 @@
 
 private:
   struct stream : public byte_stream {
-    far_server &Server;
-    explicit stream(far_server &Server) : Server(Server) {}
+    fake_server &Server;
+    explicit stream(fake_server &Server) : Server(Server) {}
     void write(std::string_view Bytes) override { Server.ToServer += Bytes; }
   };
 
   std::unique_ptr<byte_stream> connect(const endpoint &To, byte_events Events) {
     auto &List = Servers[To];
-    List.push_back(std::make_unique<far_server>());
-    far_server &Server = *List.back();
+    List.push_back(std::make_unique<fake_server>());
+    fake_server &Server = *List.back();
     Server.Events = std::move(Events);
     Timers.after(std::chrono::milliseconds(1), [this, To, &Server] {
       if (Unreachable[To])
@@ -210,7 +210,7 @@
     return std::make_unique<stream>(Server);
   }
 
-  static bool moveCaller(near_caller &Caller) {
+  static bool moveCaller(test_caller &Caller) {
     Caller.Session->flush();
     const std::string Up = std::exchange(Caller.ToProxy, {});
     if (!Up.empty() && Caller.Flow)
@@ -221,7 +221,7 @@
     return !Up.empty() || !Down.empty();
   }
 
-  static bool moveServer(far_server &Server) {
+  static bool moveServer(fake_server &Server) {
     if (!Server.Open || !Server.Connected)
       return false;
     const std::string Up = std::exchange(Server.ToServer, {});
@@ -237,4 +237,4 @@
 
 } // namespace marjoramrail::testing
 
-#endif // MARJORAMRAIL_TEST_PROXY_PROXY_BENCH_H
+#endif // MARJORAMRAIL_TEST_PROXY_PROXY_FIXTURE_H
--- a/test/stack/tcp_stack_test.cpp
+++ b/test/stack/tcp_stack_test.cpp
@@ -14,7 +14,7 @@
 constexpr endpoint Service{0x0a00ff01, 443};
 
 /// Both ends in one stack, joined by a queue of packets that the test moves.
-struct looped_stack {
+struct loopback_stack {
   timer_service Timers;
   std::deque<std::vector<std::uint8_t>> Wire;
   bool Cut = false;
@@ -22,7 +22,7 @@
   std::vector<std::unique_ptr<stack_flow>> Accepted;
   std::function<stack_flow::hooks(stack_flow &)> HooksOfAccepted;
 
-  explicit looped_stack(const tcp_stack_settings &Settings = {}) {
+  explicit loopback_stack(const tcp_stack_settings &Settings = {}) {
     Stack = std::make_unique<tcp_stack>(Timers, Settings, [this](auto Packet) {
       Wire.emplace_back(Packet.begin(), Packet.end());
     });
@@ -35,7 +35,7 @@
     }));
   }
 
-  ~looped_stack() {
+  ~loopback_stack() {
     Accepted.clear();
     Stack.reset();
   }
@@ -49,7 +49,7 @@
     }
   }
 
-  void pass(duration Time) {
+  void advanceTime(duration Time) {
     const instant End = Timers.now() + Time;
     while (Timers.now() < End) {
       Timers.advance(Timers.now() + milliseconds(50));
@@ -79,7 +79,7 @@
 } // namespace
 
 TEST_CASE("tcp_stack echoes 100 kB between two addresses") {
-  looped_stack Loop;
+  loopback_stack Loop;
   Loop.HooksOfAccepted = echo;
   std::string Sent(100'000, 'x');
   for (std::size_t Index = 0; Index < Sent.size(); ++Index)
@@ -100,13 +100,13 @@
   Flow = Owner.get();
 
   WriteMore();
-  Loop.pass(seconds(5));
+  Loop.advanceTime(seconds(5));
 
   CHECK(Received == Sent);
 }
 
 TEST_CASE("tcp_stack holds the peer back while data is not consumed") {
-  looped_stack Loop;
+  loopback_stack Loop;
   std::size_t Received = 0;
   Loop.HooksOfAccepted = [&](stack_flow &) {
     stack_flow::hooks Hooks;
@@ -119,7 +119,7 @@
 
   for (int Round = 0; Round < 20; ++Round) {
     Taken += Flow->write(Large);
-    Loop.pass(milliseconds(500));
+    Loop.advanceTime(milliseconds(500));
   }
 
   CHECK(Received <= 0xffff);
@@ -130,7 +130,7 @@
   // A target that refuses a connection makes the agent drop the caller's flow
   // while lwIP is still delivering its first bytes. Without care lwIP goes on
   // with freed memory; the agent crashes and takes every flow with it.
-  looped_stack Loop;
+  loopback_stack Loop;
   Loop.HooksOfAccepted = [&](stack_flow &) {
     stack_flow::hooks Hooks;
     Hooks.OnData = [&](std::string_view) { Loop.Accepted.clear(); };
@@ -146,14 +146,14 @@
   Flow = Loop.open(4000, std::move(Hooks));
 
   Flow->write("first bytes");
-  Loop.pass(seconds(1));
+  Loop.advanceTime(seconds(1));
 
   CHECK(End == flow_end::Reset);
   CHECK(Loop.Stack->connections() == 0);
 }
 
 TEST_CASE("both ends hear of an orderly end once each direction is over") {
-  looped_stack Loop;
+  loopback_stack Loop;
   std::optional<flow_end> AcceptedEnd;
   Loop.HooksOfAccepted = [&](stack_flow &Accepted) {
     stack_flow::hooks Hooks;
@@ -172,7 +172,7 @@
   const auto Flow = Loop.open(4000, std::move(Hooks));
 
   Flow->finishWriting();
-  Loop.pass(seconds(2));
+  Loop.advanceTime(seconds(2));
 
   CHECK(Received == "last words");
   CHECK(End == flow_end::Finished);
@@ -183,7 +183,7 @@
   // A caller closes a flow and opens the next from the same port. The agent
   // still keeps the old one for late packets; answered out of it, the caller
   // would wait for two minutes.
-  looped_stack Loop;
+  loopback_stack Loop;
   Loop.HooksOfAccepted = [](stack_flow &Accepted) {
     stack_flow::hooks Hooks;
     Hooks.OnData = [&Accepted](std::string_view) { Accepted.close(); };
@@ -192,9 +192,9 @@
   };
   auto First = Loop.open(4000);
   First->write("close first");
-  Loop.pass(seconds(1));
+  Loop.advanceTime(seconds(1));
   First->close();
-  Loop.pass(seconds(1));
+  Loop.advanceTime(seconds(1));
   REQUIRE(Loop.Stack->connections() == 1);
   bool Connected = false;
   stack_flow::hooks Hooks;
@@ -208,7 +208,7 @@
 TEST_CASE("closed flows beyond the bound are freed, the oldest first") {
   // Thousands of flows a second that the agent closes would each stay for two
   // minutes, and every packet's search would walk through them.
-  looped_stack Loop({.MaxTimeWait = 10});
+  loopback_stack Loop({.MaxTimeWait = 10});
   for (std::uint16_t Port = 4000; Port < 4050; ++Port) {
     const auto Flow = Loop.open(Port);
     Loop.Accepted.back()->close();
@@ -218,7 +218,7 @@
   }
   CHECK(Loop.Stack->connections() == 50);
 
-  Loop.pass(seconds(1));
+  Loop.advanceTime(seconds(1));
 
   CHECK(Loop.Stack->connections() == 10);
 }
@@ -226,7 +226,7 @@
 TEST_CASE("keepalives find a peer that has vanished") {
   // Something between the two ends loses track of the flow. Neither end sends,
   // so without probes the agent would keep it, and its target busy, for good.
-  looped_stack Loop;
+  loopback_stack Loop;
   std::optional<flow_end> End;
   Loop.HooksOfAccepted = [&](stack_flow &Accepted) {
     Accepted.keepAlive(seconds(10), seconds(2), 3);
@@ -235,11 +235,11 @@
     return Hooks;
   };
   const auto Flow = Loop.open(4000);
-  Loop.pass(seconds(60));
+  Loop.advanceTime(seconds(60));
   REQUIRE(!End);
 
   Loop.Cut = true;
-  Loop.pass(seconds(30));
+  Loop.advanceTime(seconds(30));
 
   CHECK(End == flow_end::TimedOut);
 }
@@ -247,7 +247,7 @@
 TEST_CASE("a forgotten flow sends the caller nothing") {
   // Two agents answered a SYN that was resent, and the caller completed the
   // other one's handshake. A reset from here would end that flow.
-  looped_stack Loop;
+  loopback_stack Loop;
   const auto Flow = Loop.open(4000);
   REQUIRE(Loop.Accepted.size() == 1);
   std::optional<flow_end> End;
@@ -262,7 +262,7 @@
 }
 
 TEST_CASE("what is not a whole TCP packet for an address of ours is refused") {
-  looped_stack Loop;
+  loopback_stack Loop;
   const auto Flow =
       Loop.Stack->connect({CallerAddress, 4000}, {0x0a00ff02, 443}, {});
   REQUIRE(Flow);
