--- a/include/marjoramrail/h2.h
+++ b/include/marjoramrail/h2.h
@@ -1,9 +1,10 @@
 //===- h2.h - HTTP/2 sessions over any byte stream --------------*- C++ -*-===//
 ///
 /// \file
-/// One HTTP/2 session, client or server, over nghttp2. It does no input or
-/// output of its own: bytes go in through input() and come out through a hook,
-/// so the same code serves lwIP connections, kernel sockets and tests.
+/// An HTTP/2 client or server session, implemented with nghttp2. It performs no
+/// I/O itself: received bytes are passed to input() and bytes to send are
+/// passed to a hook. The same code therefore works with lwIP connections,
+/// kernel sockets and tests.
 ///
 /// Usage:
 /// \code
@@ -18,8 +19,8 @@
 ///   Client.input(BytesFromPeer);
 /// \endcode
 ///
-/// Hooks may call any member but must not destroy the session; the owner does
-/// that after input() or flush() has returned.
+/// Hooks may call any member function but must not destroy the session. The
+/// owner can destroy it after input() or flush() has returned.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -41,14 +42,14 @@
 
 using h2_stream = std::int32_t;
 
-/// The error codes of RFC 9113 that we send or tell apart.
+/// The error codes of RFC 9113 that are sent or handled specially.
 enum class h2_error : std::uint32_t {
   NoError = 0x0,
   ProtocolError = 0x1,
   InternalError = 0x2,
-  /// The request was not run; it may be sent again.
+  /// The request was not run and can safely be sent again.
   RefusedStream = 0x7,
-  /// The other side gave the request up.
+  /// The request was cancelled.
   Cancel = 0x8,
   EnhanceYourCalm = 0xb,
 };
@@ -58,11 +59,11 @@
   std::string Value;
 };
 
-/// The fields of a request or a response, pseudo-header fields first.
+/// The header fields of a request or response, pseudo-header fields first.
 struct h2_head {
   std::vector<h2_field> Fields;
 
-  /// The first value of \p Name, or "".
+  /// Returns the value of the first field \p Name, or "" if there is none.
   std::string_view get(std::string_view Name) const;
   void add(std::string Name, std::string Value) {
     Fields.push_back({std::move(Name), std::move(Value)});
@@ -71,25 +72,28 @@
 
 struct h2_settings {
   std::uint32_t MaxStreams = 256;
-  /// Flow control windows, in bytes.
+  /// Flow-control windows, in bytes.
   std::int32_t StreamWindow = 256 * 1024;
   std::int32_t ConnectionWindow = 1024 * 1024;
-  /// With false, data received counts against the windows until consumed().
+  /// If false, received data counts against the flow-control windows until
+  /// consumed() is called.
   bool ConsumeAtOnce = true;
 };
 
 struct h2_hooks {
   std::function<void(std::string_view Bytes)> Output;
-  /// A request's head at a server, a response's head at a client.
+  /// The header of a request (server) or response (client) was received.
   std::function<void(h2_stream, const h2_head &, bool End)> OnHead;
   std::function<void(h2_stream, std::string_view Data, bool End)> OnData;
-  /// The stream is over in both directions, or was reset with \p Code.
+  /// The stream was closed in both directions, or reset with \p Code.
   std::function<void(h2_stream, h2_error Code)> OnClose;
-  /// The peer will take no new streams; those above \p Last were not run.
+  /// The peer sent GOAWAY: it accepts no new streams, and streams above \p Last
+  /// were not run.
   std::function<void(h2_stream Last, h2_error Code)> OnGoAway;
   std::function<void()> OnPong;
 };
 
+/// An HTTP/2 session over a byte stream that the owner provides.
 class h2_session {
 public:
   h2_session(h2_role Role, const h2_settings &Settings, h2_hooks Hooks);
@@ -97,42 +101,44 @@
   h2_session(const h2_session &) = delete;
   h2_session &operator=(const h2_session &) = delete;
 
-  /// Takes bytes from the peer and flushes what they give rise to. Fails on a
-  /// broken protocol; the connection is then of no further use.
+  /// Processes bytes received from the peer and sends the resulting output.
+  /// Fails on a protocol violation, after which the session is unusable.
   result<void> input(std::string_view Bytes);
 
-  /// Client: opens a stream. Returns a negative number if none can be opened
-  /// (the peer said GOAWAY, or stream ids ran out).
+  /// Client: opens a stream. Returns a negative number if no stream can be
+  /// opened because the peer sent GOAWAY or the stream ids are exhausted.
   h2_stream request(const h2_head &Head, bool End);
 
-  /// Server: answers a stream.
+  /// Server: sends the response header of a stream.
   void respond(h2_stream Stream, const h2_head &Head, bool End);
 
-  /// Queues body bytes; \p End closes our direction.
+  /// Queues body bytes. If \p End is set, closes the sending direction.
   void data(h2_stream Stream, std::string_view Bytes, bool End);
 
-  /// Body bytes queued and not yet handed to Output, for back-pressure.
+  /// Returns the number of body bytes that are queued but not yet passed to
+  /// Output, so that the caller can apply back-pressure.
   std::size_t queued(h2_stream Stream) const;
 
-  /// Opens the windows by \p Bytes, where ConsumeAtOnce is false.
+  /// Extends the receive windows by \p Bytes; used if ConsumeAtOnce is false.
   void consumed(h2_stream Stream, std::size_t Bytes);
 
   void reset(h2_stream Stream, h2_error Code);
   void ping();
 
-  /// Server: announces that no new streams will be taken, in two steps, so
-  /// that a request under way when it is sent is not lost (RFC 9113, 6.8):
-  /// startShutdown(), and a round trip later finishShutdown().
+  /// Server: shuts down gracefully in two steps (RFC 9113, 6.8):
+  /// startShutdown(), then finishShutdown() at least a round trip later.
+  /// Requests that the client sent before it received the first GOAWAY are
+  /// still accepted.
   void startShutdown();
   void finishShutdown();
 
-  /// Hands everything that can be sent to Output.
+  /// Passes all bytes that can be sent now to Output.
   void flush();
 
-  /// Streams that are not over.
+  /// Number of streams that are not closed.
   std::size_t openStreams() const;
 
-  /// False once both sides have nothing more to say.
+  /// Returns false once the session neither expects input nor has output.
   bool alive() const;
 
 private:
--- a/include/marjoramrail/proxy.h
+++ b/include/marjoramrail/proxy.h
@@ -1,20 +1,25 @@
-//===- proxy.h - Requests between callers, a target and peers ---*- C++ -*-===//
+//===- proxy.h - HTTP/2 reverse proxy of an agent ---------------*- C++ -*-===//
 ///
 /// \file
-/// The HTTP/2 side of an agent. Each caller's session ends here; each request
-/// is admitted, refused, relayed to a peer agent or run at the target, and its
-/// answer goes back to the flow and stream that asked. No sockets: bytes come
-/// and go through byte_stream and hooks, so tests join it to sessions of their
-/// own.
+/// The HTTP/2 proxy of an agent. It terminates the callers' sessions. Each
+/// request is sent to the target, relayed to a peer agent or refused, and its
+/// answer is returned on the stream on which the request came. The proxy opens
+/// no sockets: it reads and writes through byte_stream and hooks, so that tests
+/// can connect it to their own HTTP/2 sessions.
 ///
-/// What a caller is told:
-///  - 503 or 429 with retry-after and {"run":"no",...}: the target never saw
-///    the request; it may be sent again.
-///  - 502 or 504 with {"run":"unknown"}: the target may or may not have run it.
-///  - 409 with {"run":"unknown"}: another try of the same Idempotency-Key is
-///    under way; 410 with {"run":"yes"}: it ran, its answer was too long to be
-///    kept.
-///  - anything else is the target's own answer.
+/// Answers that a caller can get:
+///  - 503 or 429 with retry-after and {"run":"no",...}: the target did not
+///    receive the request, which can safely be sent again.
+///  - 503 with {"run":"unknown"}: a retry with an Idempotency-Key was not run,
+///    but an earlier attempt may have been.
+///  - 502 or 504 with {"run":"unknown"}: the target may or may not have run the
+///    request.
+///  - 409 with {"run":"unknown"}: another attempt with the same Idempotency-Key
+///    is in progress.
+///  - 410 with {"run":"yes"}: the request with this Idempotency-Key was run,
+///  but
+///    its answer was too long to be saved.
+///  - Any other answer comes from the target.
 ///
 /// Usage:
 /// \code
@@ -45,7 +50,8 @@
 class caller_flow;
 } // namespace internal
 
-/// One outgoing connection. It is never destroyed from within its own events.
+/// An outgoing connection. The proxy never destroys it from within one of its
+/// own events.
 class byte_stream {
 public:
   virtual ~byte_stream() = default;
@@ -55,55 +61,63 @@
 struct byte_events {
   std::function<void()> OnConnected;
   std::function<void(std::string_view Bytes)> OnData;
-  /// The connection failed or ended.
+  /// The connection could not be opened or has ended.
   std::function<void()> OnClosed;
 };
 
 struct proxy_settings {
   host_id Host{};
-  /// Added to each answer's Via field (RFC 9110, 7.6.3), so that a caller's
-  /// log shows the agent that owns the flow, last, and one that ran the request
-  /// by relay, before it. Empty: no field.
+  /// Name of this agent, appended to the Via field of each answer (RFC 9110,
+  /// 7.6.3). The last name is the agent that owns the flow; a name before it is
+  /// the agent to which the request was relayed. If empty, no Via field is
+  /// added.
   std::string Name;
   endpoint Target;
   admission_settings Admission;
   relay_settings Relay;
   std::uint64_t Seed = 1;
-  /// Requests for these paths live for hours and take no slot.
+  /// Requests for these paths are long-lived streams (hours) and take no
+  /// admission slot.
   std::vector<std::string> StreamPaths = {"/stream"};
-  /// A flow that sends nothing, not even answers to PING, for this long is
+  /// A flow that sends nothing for this long, not even answers to PING, is
   /// closed.
   duration IdleTimeout = std::chrono::seconds(60);
-  /// Bytes of a request's body taken in before it runs.
+  /// Maximum number of body bytes buffered for a request before it is sent.
   std::size_t MaxBufferedBody = 64 * 1024;
-  /// Of this agent; it names the runner in key records.
+  /// Incarnation of this agent. Key records identify the agent that ran a
+  /// request by its host id and incarnation.
   std::uint32_t Incarnation = 0;
-  /// See key_keeper.
+  /// What the records of this agent's key replica may lack at start; see
+  /// keeper_past.
   keeper_past Past = keeper_past::MayHaveRun;
   key_settings Keys;
 };
 
 struct proxy_hooks {
-  /// Starts to connect to the target or to a peer's relay address.
+  /// Starts connecting to the target or to a peer's relay address.
   std::function<std::unique_ptr<byte_stream>(const endpoint &, byte_events)>
       Connect;
-  /// Where \p Peer takes relayed requests; none if it has left the service.
+  /// Returns the address at which \p Peer accepts relayed requests, or nullopt
+  /// if the peer has left the service.
   std::function<std::optional<endpoint>(host_id Peer)> RelayOf;
 };
 
-/// Who opened a connection to this agent.
+/// Describes the end that opened a connection to this agent.
 struct flow_origin {
-  /// A hash of the caller's address.
+  /// Hash of the caller's address.
   std::uint64_t Caller = 0;
-  /// A peer agent that relays; its own headers are then believed.
+  /// True for a peer agent that relays requests. Only then are the agents'
+  /// internal headers (x-marjoramrail-...) accepted.
   bool IsPeer = false;
 };
 
+/// Why a flow of the proxy ended.
 enum class proxy_flow_end {
-  /// The session has nothing more to say.
+  /// The HTTP/2 session was closed in both directions.
   Finished,
-  /// The other side answers no PING.
+  /// The other side did not answer PING frames.
   Unresponsive,
+  /// The other side violated the HTTP/2 protocol.
   BrokenProtocol,
 };
 
@@ -113,12 +127,13 @@
     {proxy_flow_end::BrokenProtocol, "broken-protocol"},
 }};
 
-/// One caller's or peer's session. Destroying it cancels its requests.
+/// The session of one caller or peer. Destroying it cancels its requests,
+/// except keyed requests that are already running at the target.
 class proxy_flow {
 public:
   struct hooks {
     std::function<void(std::string_view Bytes)> Output;
-    /// Called once. The flow must not be destroyed from within.
+    /// Called once. The hook must not destroy the flow.
     std::function<void(proxy_flow_end)> OnEnded;
   };
 
@@ -141,14 +156,16 @@
   std::uint64_t Relayed = 0;
   std::uint64_t Unknown = 0;
   std::uint64_t Cancelled = 0;
-  /// Answers whose flow or stream was gone.
+  /// Answers that came after their request had been cancelled or had ended.
   std::uint64_t LateAnswers = 0;
   std::uint64_t UnresponsiveFlows = 0;
-  /// Keyed requests that were answered from their record or not granted.
+  /// Keyed requests that did not get a claim: they were answered from the
+  /// key's record or refused.
   std::uint64_t ClaimsNotGranted = 0;
   std::uint64_t BadKeyMessages = 0;
 };
 
+/// Proxies the requests of all callers of one agent to its target.
 class request_proxy {
 public:
   request_proxy(timer_service &Timers, const proxy_settings &Settings,
@@ -161,28 +178,31 @@
   std::unique_ptr<proxy_flow> open(const flow_origin &Origin,
                                    proxy_flow::hooks Hooks);
 
-  /// Takes no new work: callers are asked to leave, queued requests go to peers
-  /// or are refused, running ones finish.
+  /// Stops taking new requests: callers are sent GOAWAY, queued requests are
+  /// relayed to peers or refused, and running requests finish.
   void drain();
-  /// Takes drain() back: new flows and requests are welcome again. Callers that
-  /// were asked to leave still do.
+  /// Reverts drain(): new flows and requests are accepted again. Callers that
+  /// were already sent GOAWAY still leave.
   void resume();
 
-  /// Who keeps which key. Until the first one, keyed requests are refused.
+  /// Sets which agents hold the replicas of which keys. Keyed requests are
+  /// refused until the first call.
   void setKeyView(const key_view &View);
-  /// The fleet held this agent for down.
+  /// To be called when the fleet marked this agent dead and it continues under
+  /// a new \p Incarnation.
   void lapsed(std::uint32_t Incarnation);
-  /// False while an old generation is needed for key records.
+  /// False while key records of an old generation are still needed.
   bool keysSettled() const;
-  /// Key records that this agent holds, of key_settings::MaxRecords.
+  /// Number of key records that this agent holds; the limit is
+  /// key_settings::MaxRecords.
   std::size_t keyRecords() const;
 
-  /// For peers.
+  /// Returns the load of this agent, to be sent to its peers.
   load_report load();
   void updatePeerLoad(const load_report &Peer);
   void removePeer(host_id Peer);
 
-  /// Requests that are waiting, running or relayed.
+  /// Number of requests that are waiting, running or relayed.
   std::size_t inProgress() const;
   const proxy_counts &counts() const;
 
--- a/include/marjoramrail/stack.h
+++ b/include/marjoramrail/stack.h
@@ -1,12 +1,13 @@
 //===- stack.h - TCP in user space ------------------------------*- C++ -*-===//
 ///
 /// \file
-/// The TCP end of flows whose packets come from the fabric instead of the
-/// kernel: lwIP behind a C++ interface. Agents accept flows with it; a caller
-/// that needs many addresses in one process opens flows with it.
+/// A TCP endpoint in user space for flows whose packets are received from the
+/// fabric instead of the kernel. It wraps lwIP in a C++ interface. Agents
+/// accept flows with it; a caller that needs many addresses in one process
+/// opens flows with it.
 ///
-/// lwIP's state is global, so a process holds at most one tcp_stack. All of
-/// its timing follows the timer service, none the wall clock.
+/// lwIP's state is global, so a process can have at most one tcp_stack. All
+/// timing follows the timer service; the wall clock is not used.
 ///
 /// Usage:
 /// \code
@@ -46,11 +47,11 @@
 
 /// Why a flow ended.
 enum class flow_end {
-  /// Both sides sent their last byte.
+  /// Both sides closed their direction.
   Finished,
-  /// The peer reset it.
+  /// The peer reset the connection.
   Reset,
-  /// The peer did not acknowledge data or keepalives for too long.
+  /// The peer did not acknowledge data or keepalive probes in time.
   TimedOut,
 };
 
@@ -60,85 +61,92 @@
     {flow_end::TimedOut, "timed-out"},
 }};
 
-/// One TCP connection. A hook may call any member and may destroy the flow;
-/// no hook is called after close(), abort() or destruction.
+/// A TCP connection. A hook may call any member function and may destroy the
+/// flow. No hook is called after close(), abort() or destruction.
 class stack_flow {
 public:
   struct hooks {
-    /// The three-way handshake is done (flows opened by connect()).
+    /// The three-way handshake has completed (flows opened by connect()).
     std::function<void()> OnConnected;
-    /// Bytes in order. They count against the receive window until
-    /// consumed().
+    /// Bytes were received, in order. They count against the receive window
+    /// until consumed() is called.
     std::function<void(std::string_view Bytes)> OnData;
-    /// The peer sends no more; our direction stays open.
+    /// The peer closed its direction. The local direction stays open.
     std::function<void()> OnEnd;
-    /// The send buffer has room again.
+    /// The send buffer has free space again.
     std::function<void()> OnWritable;
-    /// The flow is gone.
+    /// The connection has ended.
     std::function<void(flow_end)> OnClosed;
   };
 
-  /// Used by tcp_stack.
+  /// For tcp_stack only.
   explicit stack_flow(std::shared_ptr<internal::stack_connection> State);
-  /// Aborts the flow if it has not ended.
+  /// Resets the connection if it has not ended.
   ~stack_flow();
   stack_flow(const stack_flow &) = delete;
   stack_flow &operator=(const stack_flow &) = delete;
 
-  /// Replaces the hooks; not from within one of them.
+  /// Replaces the hooks. Must not be called from within a hook.
   void setHooks(hooks Hooks);
 
-  /// Caller is the end that opened the flow.
+  /// Endpoints of the flow. Caller is the end that opened it.
   const flow_key &key() const;
 
-  /// Returns the number of bytes taken, which is less than offered when the
-  /// send buffer is full; OnWritable tells when to go on.
+  /// Queues bytes to send and returns how many were accepted. If the send
+  /// buffer is full, that is fewer than offered; OnWritable is called when
+  /// writing can continue.
   std::size_t write(std::string_view Bytes);
 
-  /// Bytes that write() would take now.
+  /// Number of bytes that write() would accept now.
   std::size_t writable() const;
 
-  /// Lets the peer send \p Bytes more.
+  /// Extends the receive window by \p Bytes.
   void consumed(std::size_t Bytes);
 
-  /// Sends what was written, then the end of our direction; goes on receiving.
+  /// Sends the written bytes and then closes the sending direction. Bytes can
+  /// still be received.
   void finishWriting();
 
-  /// Sends what was written and ends both directions.
+  /// Sends the written bytes and closes both directions.
   void close();
 
   /// Resets the connection.
   void abort();
 
-  /// Probes the peer after \p Idle without a packet, every \p Interval, and
-  /// ends the flow as TimedOut after \p Probes without an answer. Without it a
-  /// flow whose peer vanished stays open for good.
+  /// Enables keepalive: after \p Idle without a packet the peer is probed every
+  /// \p Interval, and after \p Probes unanswered probes the flow ends with
+  /// TimedOut. Without keepalive, a flow whose peer has become unreachable
+  /// stays open forever.
   void keepAlive(duration Idle, duration Interval, unsigned Probes);
 
 private:
   std::shared_ptr<internal::stack_connection> State;
 };
 
+/// Settings of a tcp_stack.
 struct tcp_stack_settings {
-  /// Initial sequence numbers start from it. Two agents must not share one: a
-  /// half-open flow is told from another agent's by its number.
+  /// Start value of the initial sequence numbers. It must differ between
+  /// agents, because a half-open flow is distinguished from another agent's by
+  /// its sequence number.
   std::uint32_t Seed = 1;
-  /// The largest IPv4 packet, in bytes: 1,500 less the outer IPv4 and UDP
-  /// headers and a routed packet's with the longest list of owners, which
-  /// travel with it (28 + 24 + 32 * 6).
+  /// Size of the largest IPv4 packet, in bytes: 1,500 minus the outer IPv4 and
+  /// UDP headers (28) and the header of a routed packet with the longest list
+  /// of owners (24 + 32 * 6), which encapsulate it.
   std::uint16_t Mtu = 1256;
-  /// Closed flows kept for late packets of the peer; the oldest go first. lwIP
-  /// keeps each for two minutes, which at 5,000 flows a second would be
-  /// 600,000 that every packet's search walks through.
+  /// Maximum number of connections in TIME_WAIT; the oldest are freed first.
+  /// lwIP keeps each for two minutes. At 5,000 flows per second that would be
+  /// 600,000 connections, which lwIP searches linearly for every packet.
   std::size_t MaxTimeWait = 256;
 };
 
+/// A TCP stack for any number of local addresses.
 class tcp_stack {
 public:
   using output_hook = std::function<void(std::span<const std::uint8_t> Packet)>;
   using accept_hook = std::function<void(std::unique_ptr<stack_flow>)>;
 
-  /// \p Output receives whole IPv4 packets, valid during the call.
+  /// \p Output receives complete IPv4 packets, which are valid only during the
+  /// call.
   tcp_stack(timer_service &Timers, const tcp_stack_settings &Settings,
             output_hook Output);
   /// All flows must have been destroyed.
@@ -146,29 +154,30 @@
   tcp_stack(const tcp_stack &) = delete;
   tcp_stack &operator=(const tcp_stack &) = delete;
 
-  /// Packets to \p Address (host byte order) are taken. Any number of them.
+  /// Accepts packets addressed to \p Address (host byte order), in addition to
+  /// the addresses added before. Their number is not limited.
   void addAddress(std::uint32_t Address);
 
-  /// Accepts flows to \p Local; address 0 stands for every added address.
-  /// Fails with step::OpenSocket if something listens there.
+  /// Accepts flows to \p Local. Address 0 stands for all added addresses.
+  /// Fails with step::OpenSocket if the endpoint is already in use.
   result<void> listen(const endpoint &Local, accept_hook OnAccept);
 
-  /// Opens a flow. Fails with step::Connect if that pair of endpoints is in
+  /// Opens a flow. Fails with step::Connect if this pair of endpoints is in
   /// use.
   result<std::unique_ptr<stack_flow>> connect(const endpoint &Local,
                                               const endpoint &Remote,
                                               stack_flow::hooks Hooks);
 
-  /// Takes an IPv4 packet. Returns false for one that is not TCP, is a
-  /// fragment or is addressed elsewhere.
+  /// Processes an IPv4 packet. Returns false if it is not TCP, is a fragment
+  /// or is addressed to an address that was not added.
   bool input(std::span<const std::uint8_t> Packet);
 
-  /// Drops an accepted or half-open flow without a packet to the caller, for a
-  /// flow that turns out to be another agent's. Its owner hears OnClosed(Reset)
-  /// if it was accepted.
+  /// Drops an accepted or half-open flow without sending a packet to the
+  /// caller. It is used when another agent turns out to own the flow. If the
+  /// flow was accepted, its OnClosed hook is called with Reset.
   void forget(const flow_key &Flow);
 
-  /// Connections in any state but listening.
+  /// Number of connections in any state except listening.
   std::size_t connections() const;
 
 private:
