--- a/src/h2/h2_session.cpp
+++ b/src/h2/h2_session.cpp
@@ -16,8 +16,8 @@
 
 namespace {
 
-/// One direction of body bytes on their way out, and the head that is being
-/// read, of one stream.
+/// State of a stream: the queued outgoing body bytes and the incoming header
+/// that is being received.
 struct stream_state {
   std::string Body;
   std::size_t Sent = 0;
@@ -32,7 +32,7 @@
   std::vector<nghttp2_nv> Nv;
   Nv.reserve(Head.Fields.size());
   for (const h2_field &Field : Head.Fields) {
-    // nghttp2 copies both while the call that takes the array lasts.
+    // nghttp2 copies both before the call that receives the array returns.
     auto *Name =
         reinterpret_cast<std::uint8_t *>(const_cast<char *>(Field.Name.data()));
     auto *Value = reinterpret_cast<std::uint8_t *>(
@@ -167,10 +167,10 @@
 }
 
 void h2_session::impl::flush() {
-  // A hook called from below may write and flush again; the outer call goes on
-  // until nothing is left, so the inner one has nothing to do.
-  // nghttp2 must not send from within a callback of receiving; input() flushes
-  // when that is over.
+  // The Output hook may write and flush again. The inner call returns at once,
+  // because the outer one continues until nothing is left to send.
+  // nghttp2 must not send from within a receive callback; input() flushes
+  // afterwards.
   if (Flushing || Receiving)
     return;
   Flushing = true;
@@ -207,8 +207,8 @@
   nghttp2_option_new(&Option);
   if (!Settings.ConsumeAtOnce)
     nghttp2_option_set_no_auto_window_update(Option, 1);
-  // Without this nghttp2 keeps closed streams for its priority tree, and a
-  // session that lasts for hours grows.
+  // Without this option nghttp2 retains closed streams for its priority tree,
+  // and the memory use of a session that lasts for hours grows.
   nghttp2_option_set_no_closed_streams(Option, 1);
   if (Role == h2_role::Server)
     nghttp2_session_server_new2(&Impl->Session, Callbacks, Impl.get(), Option);
--- a/src/proxy/answers.cpp
+++ b/src/proxy/answers.cpp
@@ -54,7 +54,8 @@
 
 static agent_answer decodeSavedAnswer(const std::string &SavedAnswer) {
   const std::size_t End = SavedAnswer.find('\n');
-  // Too long to be kept: it ran, and that is all that is known.
+  // The answer was too long to be saved; only the fact that the request ran is
+  // known.
   if (End == std::string::npos)
     return answer("410", {{"run", "yes"}, {"reason", "answer_not_kept"}});
   agent_answer Answer;
@@ -83,7 +84,7 @@
     break;
   }
   agent_answer Answer = notRun("key_record", RetryDelay);
-  // This try did not run, but an earlier one may have.
+  // This attempt did not run, but an earlier one may have.
   if (IsRetry)
     Answer.Body = json{{"run", "unknown"}, {"reason", "key_record"}}.dump();
   return Answer;
--- a/src/proxy/caller_flow.cpp
+++ b/src/proxy/caller_flow.cpp
@@ -4,7 +4,7 @@
 
 static h2_settings callerSettings() {
   h2_settings Settings;
-  // Bodies are taken as fast as the target takes them.
+  // The window is extended only as fast as the target accepts the bodies.
   Settings.ConsumeAtOnce = false;
   return Settings;
 }
--- a/src/proxy/caller_flow.h
+++ b/src/proxy/caller_flow.h
@@ -1,4 +1,4 @@
-//===- caller_flow.h - A caller's session -----------------------*- C++ -*-===//
+//===- caller_flow.h - HTTP/2 session of a caller ---------------*- C++ -*-===//
 
 #ifndef MARJORAMRAIL_SRC_PROXY_CALLER_FLOW_H
 #define MARJORAMRAIL_SRC_PROXY_CALLER_FLOW_H
@@ -7,16 +7,17 @@
 
 namespace marjoramrail::internal {
 
-/// The number of a flow at this agent. A port used again gets a new one, so
-/// that an answer to the former flow's request cannot reach it.
+/// Number of a flow, unique at this agent. A new flow from a reused port has
+/// another number, so that it cannot receive answers to the previous flow's
+/// requests.
 enum class flow_number : std::uint64_t {};
 
-/// Where an answer goes.
+/// The flow and stream on which an answer is returned.
 struct reply_address {
   flow_number Flow{};
   h2_stream Stream = 0;
 
-  // The linter sees a variable of the compiler's own in it.
+  // clang-tidy reports a compiler-generated variable here.
   // NOLINTNEXTLINE(readability-identifier-naming)
   auto operator<=>(const reply_address &) const = default;
 };
@@ -24,13 +25,14 @@
 struct caller_flow_hooks {
   std::function<void(reply_address, const h2_head &, bool End)> OnRequest;
   std::function<void(reply_address, std::string_view, bool End)> OnBody;
-  /// The caller gave the request up, or the flow is over.
+  /// The caller cancelled the request.
   std::function<void(reply_address)> OnCancel;
-  /// Bytes came, so windows may have opened.
+  /// Bytes were received, so flow-control windows may have been extended.
   std::function<void()> OnInput;
   std::function<void(flow_number)> OnDestroyed;
 };
 
+/// The HTTP/2 server session of one caller or peer.
 class caller_flow {
 public:
   caller_flow(flow_number Number, const flow_origin &Origin,
@@ -44,7 +46,7 @@
   void data(h2_stream Stream, std::string_view Bytes, bool End);
   void reset(h2_stream Stream, h2_error Code);
   std::size_t queued(h2_stream Stream) const { return Session.queued(Stream); }
-  /// Lets the caller send \p Bytes more of a body.
+  /// Extends the receive window of a body by \p Bytes.
   void consumed(h2_stream Stream, std::size_t Bytes);
   void flush();
 
@@ -54,7 +56,9 @@
   void startShutdown();
   void finishShutdown();
 
-  /// Probes a quiet flow, and ends it when it stays quiet.
+  /// Sends a PING on a flow that received nothing since the last check, and
+  /// ends the flow if nothing was received for \p Bound. Returns true if it
+  /// ended.
   bool checkLiveness(instant Now, duration Bound);
 
 private:
--- a/src/proxy/caller_side.cpp
+++ b/src/proxy/caller_side.cpp
@@ -12,7 +12,7 @@
   const flow_origin &Origin = Flows.at(ReplyTo.Flow)->origin();
   if (Origin.IsPeer && Head.get(":path") == KeysPath)
     return receiveKeyMessages(ReplyTo, {}, End);
-  // Trailers come as a second head of the same stream.
+  // Trailers are reported as a second header of the same stream.
   if (ByReplyAddress.contains(ReplyTo))
     return onBody(ReplyTo, {}, End);
   ++Counts.Requests;
@@ -38,7 +38,8 @@
     return receiveKeyMessages(ReplyTo, Bytes, End);
   const auto Found = ByReplyAddress.find(ReplyTo);
   if (Found == ByReplyAddress.end()) {
-    // The request is over; its bytes still hold the connection's window.
+    // The request has ended, but its bytes still count against the window of
+    // the connection.
     if (const auto Flow = Flows.find(ReplyTo.Flow); Flow != Flows.end())
       Flow->second->consumed(ReplyTo.Stream, Bytes.size());
     return;
--- a/src/proxy/client_link.cpp
+++ b/src/proxy/client_link.cpp
@@ -4,7 +4,7 @@
 
 static h2_settings linkSettings() {
   h2_settings Settings;
-  // Answers are taken as fast as callers take them.
+  // The window is extended only as fast as the callers accept the answers.
   Settings.ConsumeAtOnce = false;
   Settings.ConnectionWindow = 16 * 1024 * 1024;
   return Settings;
@@ -34,7 +34,8 @@
     onData(Id, Data, End);
   };
   Session.OnClose = [this](h2_stream Id, h2_error Code) { onClose(Id, Code); };
-  // Streams that the other side did not run are closed as REFUSED_STREAM.
+  // nghttp2 closes the streams that the other side did not run with
+  // REFUSED_STREAM.
   Session.OnGoAway = [this](h2_stream, h2_error) { Closing = true; };
   return Session;
 }
@@ -86,7 +87,8 @@
   const auto Found = ByRequest.find(Id);
   if (Closed)
     return;
-  // A stream that is over still holds a part of the connection's window.
+  // Bytes of a stream that has ended still count against the window of the
+  // connection.
   constexpr h2_stream NoStream = 0x7ffffffd;
   Session->consumed(Found == ByRequest.end() ? NoStream : Found->second, Bytes);
 }
@@ -123,9 +125,10 @@
   Session->flush();
 }
 
-/// The other side has spoken, so it is there and takes requests. Sent any
-/// earlier, a request that meets a closing or a refusing process would have to
-/// be told as unknown although nobody saw it.
+/// Sends the queued requests once the first bytes from the other side show that
+/// it processes the connection. If a request were sent earlier and the process
+/// closed the connection while shutting down, its outcome would have to be
+/// reported as unknown although nobody received it.
 void client_link::submitWaiting() {
   for (const auto &[Id, Request] : std::exchange(Waiting, {}))
     submit(Id, Request);
--- a/src/proxy/client_link.h
+++ b/src/proxy/client_link.h
@@ -1,4 +1,4 @@
-//===- client_link.h - Our session to the target or to a peer ---*- C++ -*-===//
+//===- client_link.h - Connection to the target or a peer -------*- C++ -*-===//
 
 #ifndef MARJORAMRAIL_SRC_PROXY_CLIENT_LINK_H
 #define MARJORAMRAIL_SRC_PROXY_CLIENT_LINK_H
@@ -10,21 +10,25 @@
 
 namespace marjoramrail::internal {
 
-/// What becomes of requests on a link. Each request gets exactly one of
-/// OnNotRun, OnOutcomeUnknown or an OnData/OnHead with End.
+/// Events of the requests on a link. Unless it is cancelled, each request ends
+/// with exactly one of OnNotRun, OnOutcomeUnknown or OnHead/OnData with End
+/// set.
 struct link_hooks {
   std::function<void(request_id, const h2_head &, bool End)> OnHead;
   std::function<void(request_id, std::string_view, bool End)> OnData;
-  /// The request has not reached the other side, or it said so.
+  /// The other side did not run the request: it was not sent, or the other side
+  /// refused the stream.
   std::function<void(request_id)> OnNotRun;
-  /// The request reached the other side and its answer will not come.
+  /// The request was sent, but the connection or stream ended without an
+  /// answer.
   std::function<void(request_id)> OnOutcomeUnknown;
   std::function<void()> OnLateAnswer;
-  /// Bytes came, so windows may have opened.
+  /// Bytes were received, so flow-control windows may have been extended.
   std::function<void()> OnInput;
 };
 
-/// One HTTP/2 connection that we opened. Requests sent before it stands wait.
+/// An outgoing HTTP/2 connection. Requests are queued until the first bytes
+/// from the other side are received.
 class client_link {
 public:
   using connect = decltype(proxy_hooks::Connect);
@@ -34,17 +38,18 @@
   client_link(const client_link &) = delete;
   client_link &operator=(const client_link &) = delete;
 
-  /// Sends a request with what has come of its body.
+  /// Sends a request with the part of its body that is available.
   void send(request_id Id, const h2_head &Head, std::string Body, bool End);
   void data(request_id Id, std::string_view Bytes, bool End);
-  /// Body bytes of \p Id that have not gone out.
+  /// Number of body bytes of \p Id that have not been sent.
   std::size_t queued(request_id Id) const;
-  /// Lets the other side send \p Bytes more of its answer.
+  /// Extends the receive window of an answer by \p Bytes.
   void consumed(request_id Id, std::size_t Bytes);
   void cancel(request_id Id);
   void flush();
 
-  /// Takes no more requests: the connection ended or the other side said so.
+  /// True if the link accepts no more requests, because the connection ended or
+  /// the other side sent GOAWAY.
   bool isClosing() const { return Closing; }
   bool isIdle() const { return ByRequest.empty() && Waiting.empty(); }
 
@@ -72,7 +77,7 @@
   std::map<request_id, h2_stream> ByRequest;
   std::map<h2_stream, request_id> ByStream;
   bool Connected = false;
-  /// The other side's first bytes have come.
+  /// The first bytes from the other side have been received.
   bool PeerResponded = false;
   bool Closing = false;
   bool Closed = false;
--- a/src/proxy/decision_side.cpp
+++ b/src/proxy/decision_side.cpp
@@ -2,9 +2,10 @@
 
 namespace marjoramrail {
 
-/// A claim comes before admission: while a view changes it may take a second,
-/// for which a slot would stand idle and other requests would be refused. While
-/// draining all goes to peers, and whoever runs a request claims its key.
+/// Claims the key before admission. During a view change a claim can take a
+/// second, in which an admitted request would occupy an unused slot and cause
+/// other requests to be refused. While draining, no claim is made here, because
+/// all requests are relayed and the agent that runs a request claims its key.
 void request_proxy::impl::startExchange(request_id Id, exchange &Exchange) {
   if (Exchange.Work.Key.empty() || Draining)
     offer(Id);
@@ -17,8 +18,8 @@
   decideQueued();
 }
 
-/// Acts on what the queue has come to; a decision may free a slot and so bring
-/// about the next.
+/// Applies the pending decisions on queued requests until there are no more,
+/// because a decision may free a slot and thereby cause another one.
 void request_proxy::impl::decideQueued() {
   if (std::exchange(Deciding, true))
     return;
@@ -56,7 +57,7 @@
 }
 
 void request_proxy::impl::runIfClaimed(request_id Id) {
-  // A claim that is refused at once has ended the request.
+  // If the claim was refused immediately, the request has ended.
   const auto Found = Exchanges.find(Id);
   if (Found == Exchanges.end())
     return;
@@ -78,7 +79,7 @@
 void request_proxy::impl::relay(request_id Id, exchange &Exchange,
                                 host_id Peer) {
   Exchange.Peer = Peer;
-  // Whoever runs it makes the claim.
+  // The agent that runs the request makes the claim.
   if (Exchange.Claim != claim_state::None) {
     settle(Id, Exchange, key_state::Released);
     return relayOnceReleased(Id, Timers.now());
@@ -86,9 +87,10 @@
   sendToPeer(Id, Exchange);
 }
 
-/// Two claims of one key at a time, the old one not given back everywhere yet,
-/// could look to the keepers like two runs: the key would count as unknown for
-/// good although nobody ran it.
+/// Relays the request once all replicas have released this agent's claim. If
+/// the peer claimed the key earlier, the replicas could take the two claims for
+/// two runs, and the key's outcome would be unknown forever although nobody ran
+/// the request.
 void request_proxy::impl::relayOnceReleased(request_id Id, instant Since) {
   constexpr duration MaxWait = std::chrono::milliseconds(500);
   constexpr duration Pause = std::chrono::milliseconds(5);
@@ -113,15 +115,17 @@
     return relayFailed(Id, UnreachableRetryDelay);
   ++Counts.Relayed;
   Exchange.Link = &peerLink(Peer, *Address);
-  // The body is kept: after an explicit "not run" it is needed once more.
+  // The body stays buffered: it is needed again if the peer reports that it did
+  // not run the request.
   Exchange.Link->send(
       Id,
       headForPeer(Exchange.Head, Exchange.Work, Settings.Host, Timers.now()),
       Exchange.Body, Exchange.BodyEnded);
 }
 
-/// The peer did not run the request: it is decided here once more, and not
-/// relayed again, or it could wander between agents until its deadline.
+/// Handles a request that the peer did not run: admission decides on it again,
+/// but it is not relayed again. Otherwise it could be relayed between agents
+/// until its deadline.
 void request_proxy::impl::relayFailed(request_id Id, duration RetryAfter) {
   exchange &Exchange = Exchanges.at(Id);
   Peers.notRun(*Exchange.Peer, RetryAfter, Timers.now());
--- a/src/proxy/idempotency_service.cpp
+++ b/src/proxy/idempotency_service.cpp
@@ -31,7 +31,7 @@
   case key_message_kind::SyncRecords:
     return post(Replica.receive(Message, Timers.now()));
   case key_message_kind::Behind:
-    // To whoever asked: a claim or a sync.
+    // It answers either a claim or a sync.
     post(Replica.receive(Message, Timers.now()));
     return post(Claims.receive(Message, Timers.now()));
   default:
@@ -50,7 +50,8 @@
 }
 
 void idempotency_service::claim(const std::string &Key, request_id Id) {
-  // Results name the key alone, so one key has one claimant at a time.
+  // Results are identified by the key only, so a key can have only one claimant
+  // at a time.
   if (Claimants.contains(Key) || Abandoned.contains(Key)) {
     PendingResults.emplace_back(
         Id, key_result{Key, key_verdict::RunningElsewhere, ""});
@@ -88,7 +89,8 @@
   scheduleDelivery();
 }
 
-/// Goes on from the loop: a call into this class never calls back.
+/// Delivers messages and results from the event loop, so that no call into this
+/// class calls a hook.
 void idempotency_service::scheduleDelivery() {
   if (std::exchange(DeliveryScheduled, true))
     return;
--- a/src/proxy/idempotency_service.h
+++ b/src/proxy/idempotency_service.h
@@ -23,8 +23,10 @@
   std::function<void(request_id, const key_result &)> OnResult;
 };
 
-/// Joins this agent's claims and the records that it keeps: messages to itself
-/// stay here, those to one peer leave together.
+/// Combines the two roles of an agent in the handling of idempotency keys: it
+/// claims keys for requests, and it is a replica that stores the records of
+/// some keys. Messages between the two are delivered locally; messages to one
+/// peer are sent in one batch.
 class idempotency_service {
 public:
   idempotency_service(timer_service &Timers,
@@ -40,11 +42,13 @@
   bool settled() const;
   std::size_t records() const { return Replica.records(); }
 
-  /// The result comes by OnResult, never from within this call.
+  /// Requests the claim of \p Key. The result is reported by OnResult, never
+  /// from within this call.
   void claim(const std::string &Key, request_id Id);
-  /// True if no keeper can still hold a claim of this agent for \p Key.
+  /// True if no replica can still hold a claim of this agent for \p Key.
   bool ended(const std::string &Key) const;
-  /// Ends the claim of \p Id: after a Run, or while it is still asked.
+  /// Ends the claim of \p Id, after it was granted or while its result is
+  /// pending. \p State and \p Outcome are stored if it was granted.
   void settle(const std::string &Key, request_id Id, key_state State,
               const std::string &Outcome);
 
@@ -66,7 +70,7 @@
   key_keeper Replica;
   key_claims Claims;
   std::map<std::string, claimant> Claimants;
-  /// Claims given up before their result came.
+  /// Keys whose claim was given up before its result was known.
   std::set<std::string> Abandoned;
   std::deque<key_message> ToSelf;
   std::map<host_id, key_messages> ToPeers;
--- a/src/proxy/key_codec.cpp
+++ b/src/proxy/key_codec.cpp
@@ -36,8 +36,8 @@
 
 namespace {
 
-/// Reads the fields of one array in order. A field of another type, a number
-/// out of its range and a missing field make it bad for good.
+/// Reads the fields of an array in order. After a field of the wrong type, a
+/// number out of range or a wrong number of fields, good() returns false.
 class array_reader {
 public:
   array_reader(const json &Array, std::size_t Size) : Array(Array) {
@@ -100,7 +100,8 @@
 
 constexpr std::size_t RecordFields = 7;
 constexpr std::size_t MessageFields = 9;
-/// No record is older than any lifetime that settings allow.
+/// Upper bound for the age of a record: the longest lifetime that the settings
+/// allow.
 constexpr std::uint64_t OldestAge = 30ULL * 86400 * 1000 * 1000;
 
 bool readRecord(const json &Fields, key_record &Record) {
@@ -145,11 +146,13 @@
   const json Batch = readCbor(Bytes);
   key_messages Messages;
   if (!Batch.is_array())
-    return fail(step::DecodeMessage, "", "not a batch of key messages");
+    return fail(step::DecodeMessage, "",
+                "the batch of key messages is not an array");
   for (const json &Fields : Batch) {
     Messages.emplace_back();
     if (!readMessage(Fields, Messages.back()))
-      return fail(step::DecodeMessage, "", "a bad key message");
+      return fail(step::DecodeMessage, "",
+                  "malformed key message in the batch");
   }
   return Messages;
 }
--- a/src/proxy/key_codec.h
+++ b/src/proxy/key_codec.h
@@ -1,4 +1,4 @@
-//===- key_codec.h - Messages of key records as bytes -----------*- C++ -*-===//
+//===- key_codec.h - Encoding of key messages -------------------*- C++ -*-===//
 
 #ifndef MARJORAMRAIL_SRC_PROXY_KEY_CODEC_H
 #define MARJORAMRAIL_SRC_PROXY_KEY_CODEC_H
@@ -9,9 +9,11 @@
 
 namespace marjoramrail::internal {
 
+/// Encodes a batch of key messages as CBOR.
 std::string encodeKeyMessages(const key_messages &Messages);
 
-/// Fails with step::DecodeMessage; nothing of a bad batch is taken.
+/// Decodes a batch of key messages. Fails with step::DecodeMessage if any of
+/// them is malformed.
 result<key_messages> decodeKeyMessages(std::string_view Bytes);
 
 } // namespace marjoramrail::internal
--- a/src/proxy/key_side.cpp
+++ b/src/proxy/key_side.cpp
@@ -31,8 +31,9 @@
   decideQueued();
 }
 
-/// The agent that relayed a request had claimed its key before, and the word
-/// that it gave the claim back may still be under way.
+/// Retries the claim of a relayed request. The agent that relayed it may have
+/// claimed the key before, and its message that releases the claim may not have
+/// reached all replicas yet. Returns false if no retry is made.
 bool request_proxy::impl::retryClaim(request_id Id) {
   constexpr int MaxRetries = 4;
   constexpr duration Pause = std::chrono::milliseconds(30);
@@ -90,8 +91,9 @@
   Flow.respond(ReplyTo.Stream, {{{":status", Failure ? "400" : "204"}}}, true);
 }
 
-/// A keyed request goes on when its caller's flow is lost: the repeat that will
-/// come by another flow then finds the outcome instead of "unknown".
+/// Handles a request whose flow was destroyed. A keyed request that is running
+/// continues, so that the caller's retry on another flow gets the saved answer
+/// instead of an unknown outcome. All other requests are cancelled.
 void request_proxy::impl::detachOrCancel(reply_address ReplyTo) {
   const auto Found = ByReplyAddress.find(ReplyTo);
   exchange &Exchange = Exchanges.at(Found->second);
--- a/src/proxy/link_side.cpp
+++ b/src/proxy/link_side.cpp
@@ -51,7 +51,8 @@
   return *Link;
 }
 
-/// Answers to posted key messages say nothing; they are no one's.
+/// Counts an answer that no request waits for. Answers to key messages have no
+/// content and are not counted.
 void request_proxy::impl::countLateAnswer(request_id Id) {
   if (static_cast<std::uint64_t>(Id) < FirstKeyMessageId)
     ++Counts.LateAnswers;
@@ -102,7 +103,7 @@
     Exchange.SavedAnswer += Bytes;
   caller_flow *Flow = flowOf(Exchange);
   if (!Flow) {
-    // The caller is gone; the outcome is kept for its repeat.
+    // The caller's flow has ended. The answer is saved for its retry.
     Exchange.Link->consumed(Id, Bytes.size());
     if (End)
       onAnswerComplete(Id);
@@ -110,12 +111,12 @@
   }
   Flow->data(Exchange.ReplyTo.Stream, Bytes, End);
   Exchange.UnconsumedAnswer += Bytes.size();
-  // The flush of a whole answer closes the stream, which must not look like a
-  // caller that gives up.
+  // Flushing a complete answer closes the stream. The request must end before,
+  // or the closed stream would be taken for a cancellation by the caller.
   if (End)
     onAnswerComplete(Id);
   Flow->flush();
-  // The flush may have ended the flow, and the request with it.
+  // The flush may have ended the flow and, with it, the request.
   const auto Still = Exchanges.find(Id);
   if (Still == Exchanges.end())
     return;
@@ -152,7 +153,8 @@
   FlowControlled.insert(Id);
 }
 
-/// Goes on with what was held back, once the other side has taken its part.
+/// Extends the flow-control windows of the requests whose unconsumed bytes the
+/// other side has accepted.
 void request_proxy::impl::releaseFlowControl() {
   std::erase_if(FlowControlled, [this](request_id Id) {
     const auto Found = Exchanges.find(Id);
@@ -160,7 +162,7 @@
   });
 }
 
-/// Returns true if nothing is held any more.
+/// Returns true if the request has no unconsumed bytes left.
 bool request_proxy::impl::releaseFlowControl(request_id Id,
                                              exchange &Exchange) {
   caller_flow *Flow = flowOf(Exchange);
--- a/src/proxy/proxy_state.h
+++ b/src/proxy/proxy_state.h
@@ -1,9 +1,10 @@
-//===- proxy_state.h - The inside of request_proxy --------------*- C++ -*-===//
+//===- proxy_state.h - Implementation state of request_proxy ----*- C++ -*-===//
 ///
 /// \file
-/// Declares what the sources of request_proxy share; each has one side of it:
-/// callers (caller_side), key records (key_side), decisions (decision_side),
-/// answers and links (answer_side, link_side).
+/// Declares request_proxy::impl, which is implemented in several source files:
+/// requests from callers (caller_side), idempotency keys (key_side), admission
+/// decisions (decision_side), answers (answer_side) and connections to the
+/// target and to peers (link_side).
 ///
 //===----------------------------------------------------------------------===//
 
@@ -27,23 +28,29 @@
 
 namespace internal {
 
-/// Answer bytes in a caller's session before the target is held back.
+/// Answer bytes queued in a caller's session above which the target's
+/// flow-control window is no longer extended.
 inline constexpr std::size_t MaxQueuedAnswerBytes = 256 * 1024;
-/// Between the two GOAWAYs: longer than a round trip, so that a request sent
-/// before the first was seen is counted by the second.
+/// Time between the two GOAWAY frames of a shutdown. It is longer than a round
+/// trip, so that the second one covers requests that the caller sent before it
+/// received the first.
 inline constexpr duration GoAwayDelay = std::chrono::seconds(1);
-/// A target or peer that does not take connections is asked again after this.
+/// Retry delay for a target or peer that cannot be connected to.
 inline constexpr duration UnreachableRetryDelay = std::chrono::seconds(1);
-/// Parts of IdleTimeout between two looks at each flow.
+/// Number of liveness checks of each flow per IdleTimeout.
 inline constexpr int LivenessChecksPerTimeout = 3;
+/// Hop count of a request that must not be relayed (again).
 inline constexpr std::uint8_t RelayForbiddenHops = 255;
-/// Where peers post messages of key records.
+/// Path to which peers send key messages.
 inline constexpr std::string_view KeysPath = "/.marjoramrail/keys";
-/// Longer keys are refused: records of them are held at two agents.
+/// Requests with longer keys are refused, because the records of each key are
+/// stored by two agents.
 inline constexpr std::size_t MaxKeyBytes = 128;
-/// A batch of records in a sync is far smaller.
+/// Limit for a batch of key messages. The batches of records of a sync are far
+/// smaller.
 inline constexpr std::size_t MaxKeyBatchBytes = 1024 * 1024;
-/// Ids of posted key messages, apart from those of requests.
+/// First id of requests that carry key messages; ids of callers' requests are
+/// below it.
 inline constexpr std::uint64_t FirstKeyMessageId = 1ULL << 63;
 
 } // namespace internal
@@ -60,16 +67,17 @@
   std::map<flow_number, caller_flow *> Flows;
   std::map<request_id, exchange> Exchanges;
   std::map<reply_address, request_id> ByReplyAddress;
-  /// Requests of which bytes are held back in either direction.
+  /// Requests with unconsumed body or answer bytes.
   std::set<request_id> FlowControlled;
   idempotency_service Idempotency;
   bool KeyViewKnown = false;
   std::uint64_t LastKeyMessageId = FirstKeyMessageId;
-  /// Batches of key messages that are coming in.
+  /// Batches of key messages that are being received.
   std::map<reply_address, std::string> KeyBatches;
   std::unique_ptr<client_link> Target;
   std::map<host_id, std::unique_ptr<client_link>> PeerLinks;
-  /// Links that take no more requests; freed outside of their own events.
+  /// Links that accept no more requests. They are destroyed outside their own
+  /// events.
   std::list<std::unique_ptr<client_link>> Retired;
   std::vector<timer_id> Periodic;
   bool TickSet = false;
@@ -80,14 +88,14 @@
        proxy_hooks Hooks);
   ~impl();
 
-  // Callers' side.
+  // Requests from callers (caller_side).
   void onRequest(reply_address ReplyTo, const h2_head &Head, bool End);
   void onBody(reply_address ReplyTo, std::string_view Bytes, bool End);
   void onCancel(reply_address ReplyTo);
   void deadlinePassed(request_id Id);
   caller_flow *flowOf(const exchange &Exchange);
 
-  // Decisions.
+  // Admission decisions (decision_side).
   void startExchange(request_id Id, exchange &Exchange);
   void offer(request_id Id);
   void applyDecision(const decision &Decision);
@@ -99,15 +107,14 @@
   void sendToPeer(request_id Id, exchange &Exchange);
   void relayFailed(request_id Id, duration RetryAfter);
 
-  // Answers.
+  // Answers (answer_side).
   void answer(request_id Id, const agent_answer &Answer);
   void sendAgentAnswer(exchange &Exchange, const agent_answer &Answer);
   void answerUnknownOutcome(request_id Id, bool DeadlinePassed);
   void finish(request_id Id, work_outcome Outcome);
   void erase(request_id Id);
 
-  // Links' side.
-  // Key records.
+  // Idempotency keys (key_side).
   void startClaim(request_id Id, exchange &Exchange);
   bool retryClaim(request_id Id);
   void onClaim(request_id Id, const key_result &Result);
@@ -118,6 +125,7 @@
   void detachOrCancel(reply_address ReplyTo);
   void onFlowDestroyed(flow_number Destroyed);
 
+  // Connections to the target and to peers (link_side).
   client_link &targetLink();
   client_link &peerLink(host_id Peer, const endpoint &Address);
   std::unique_ptr<client_link> newLink(const endpoint &Address);
--- a/src/proxy/request_head.cpp
+++ b/src/proxy/request_head.cpp
@@ -7,9 +7,9 @@
 
 using std::chrono::milliseconds;
 
-/// Remaining time to answer, in milliseconds.
+/// Time that remains to answer the request, in milliseconds.
 static constexpr std::string_view DeadlineHeader = "x-deadline-ms";
-/// Which try of the caller this is, from 1.
+/// Number of the caller's attempt, starting at 1.
 static constexpr std::string_view TryHeader = "x-try";
 static constexpr std::uint64_t LongestDeadlineMs = 86'400'000;
 
--- a/src/proxy/request_head.h
+++ b/src/proxy/request_head.h
@@ -1,4 +1,4 @@
-//===- request_head.h - Reading and rewriting a request's head --*- C++ -*-===//
+//===- request_head.h - Parsing and rewriting request headers ---*- C++ -*-===//
 
 #ifndef MARJORAMRAIL_SRC_PROXY_REQUEST_HEAD_H
 #define MARJORAMRAIL_SRC_PROXY_REQUEST_HEAD_H
@@ -7,17 +7,17 @@
 
 namespace marjoramrail::internal {
 
-/// What admission needs to know of a request.
+/// Extracts from the header of a request what admission needs.
 work_request readWork(const h2_head &Head, const flow_origin &Origin,
                       const proxy_settings &Settings, request_id Id,
                       instant Now);
 
-/// The head as it goes to the target: the deadline is what is left of it, and
-/// nothing of the agents' own headers.
+/// Returns the header to be sent to the target: the deadline is replaced by the
+/// remaining time, and the agents' internal headers are removed.
 h2_head headForTarget(const h2_head &Head, const work_request &Work,
                       instant Now);
 
-/// The head as it goes to a peer agent.
+/// Returns the header to be sent to a peer agent.
 h2_head headForPeer(const h2_head &Head, const work_request &Work, host_id Self,
                     instant Now);
 
--- a/src/stack/tcp_stack.cpp
+++ b/src/stack/tcp_stack.cpp
@@ -1,12 +1,12 @@
-//===- tcp_stack.cpp - lwIP behind tcp_stack and stack_flow -------*- C++
-//-*-===//
+//===- tcp_stack.cpp - tcp_stack and stack_flow on top of lwIP --*- C++ -*-===//
 ///
 /// \file
-/// The only file that includes lwIP's headers: they clash with the system's.
+/// The only file that includes lwIP's headers, because they conflict with the
+/// system's socket headers.
 ///
-/// lwIP is Debian's build for a thread of its own (NO_SYS 0). Here it runs on
-/// the caller's thread: its timer is called by the timer service every
-/// TCP_TMR_INTERVAL and its own timeouts are never checked.
+/// Debian builds lwIP to run on a separate thread (NO_SYS 0). Here it runs on
+/// the caller's thread: the timer service calls tcp_tmr() every
+/// TCP_TMR_INTERVAL, and lwIP's own timeouts are never checked.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,17 +25,17 @@
 
 namespace internal {
 
-/// The state that a stack_flow, lwIP's callbacks and a running hook share. It
-/// outlives whichever of them goes first.
+/// State shared by a stack_flow, lwIP's callbacks and a running hook. Reference
+/// counting keeps it alive until none of them uses it.
 struct stack_connection
     : public std::enable_shared_from_this<stack_connection> {
   tcp_pcb *Pcb = nullptr;
   flow_key Key;
   stack_flow::hooks Hooks;
-  /// Received and not yet consumed, in bytes.
+  /// Number of bytes that were received but not yet consumed.
   std::size_t Unconsumed = 0;
-  /// lwIP must not be left with a freed connection, so an abort from within a
-  /// callback is carried out when the hook has returned.
+  /// Number of nested hook calls. An abort from within a hook is delayed until
+  /// the hook has returned, because lwIP still uses the connection.
   int HookDepth = 0;
   bool AbortPending = false;
   bool RemoteEnded = false;
@@ -83,10 +83,11 @@
   return Error == ERR_CLSD ? flow_end::Finished : flow_end::TimedOut;
 }
 
-/// lwIP gives an interface one address, and a packet that leaves for the
-/// interface's own is looped back through a thread that we do not run. So the
-/// interface bears the destination of the packet that is read, and no real
-/// address while hooks run and at all other times.
+/// An lwIP interface has only one address. A packet sent to the interface's own
+/// address is looped back through lwIP's thread, which does not run here.
+/// Therefore the interface has the destination address of a packet only while
+/// that packet is processed, and this unused address while hooks run and at all
+/// other times.
 constexpr std::uint32_t NoAddress = 1;
 
 netif Interface;
@@ -117,7 +118,7 @@
   return ERR_OK;
 }
 
-/// Addresses of a packet that lwIP may read.
+/// Header fields of a valid TCP packet.
 struct packet_header {
   flow_key Flow;
   std::uint32_t Sequence = 0;
@@ -172,8 +173,9 @@
   return Count;
 }
 
-/// A caller may use its port again at once (RFC 9293, 3.6.1). lwIP would answer
-/// the SYN out of TIME_WAIT and the caller would wait for minutes.
+/// Frees the connection in TIME_WAIT whose port the caller uses again. A caller
+/// may do so immediately (RFC 9293, 3.6.1), but lwIP would answer its SYN from
+/// the old connection and the caller would wait for minutes.
 void freeReusedPort(const packet_header &Parsed) {
   tcp_pcb *Old = findIn(tcp_tw_pcbs, Parsed.Flow);
   if (Old && static_cast<std::int32_t>(Parsed.Sequence - Old->rcv_nxt) > 0)
@@ -181,7 +183,7 @@
 }
 
 void freeOldestTimeWait(std::size_t MaxKept) {
-  // The newest are at the head.
+  // The newest connections are at the head of the list.
   std::size_t Count = 0;
   for (tcp_pcb *Pcb = tcp_tw_pcbs; Pcb;) {
     tcp_pcb *Next = Pcb->next;
@@ -191,9 +193,10 @@
   }
 }
 
-/// lwIP adds its tick count to the last initial sequence number for the next
-/// one: here once the seed, later steps that exceed a window, so that a port
-/// used again gets a number beyond those of its last flow.
+/// Sets the start value of the initial sequence numbers. lwIP computes each one
+/// by adding its tick count to the previous one. The tick count is set once to
+/// the seed and then to a step larger than a receive window, so that a flow
+/// from a reused port gets a number beyond those of the previous flow.
 void seedSequenceNumbers(std::uint32_t Seed) {
   constexpr std::uint32_t Step = 100'003;
   tcp_pcb *Any = tcp_new();
@@ -237,8 +240,8 @@
 void stack_connection::close() {
   if (!Pcb || AbortPending)
     return;
-  // lwIP answers unread data with a reset, which would also take back bytes
-  // that the peer has not read yet.
+  // If received data is unconsumed, lwIP closes with a reset, which would also
+  // discard sent bytes that the peer has not read yet.
   tcp_recved(Pcb, static_cast<u16_t>(Unconsumed));
   Unconsumed = 0;
   tcp_pcb *Ended = Pcb;
@@ -246,7 +249,8 @@
   tcp_close(Ended);
 }
 
-/// Runs a hook on behalf of lwIP. Afterwards the flow may be gone.
+/// Calls a hook from an lwIP callback. Returns ERR_ABRT if the hook aborted or
+/// destroyed the flow.
 template <typename Hook, typename... Args>
 err_t stack_connection::callHook(Hook Member, Args... Arguments) {
   const auto Self = shared_from_this();
@@ -313,7 +317,7 @@
 
 void stack_connection::onError(void *User, err_t Error) {
   const auto Self = static_cast<stack_connection *>(User)->shared_from_this();
-  // lwIP has freed the connection.
+  // lwIP has already freed the connection.
   Self->Pcb = nullptr;
   Self->callHook(&stack_flow::hooks::OnClosed, endOf(Error));
 }
@@ -323,8 +327,9 @@
 
 stack_flow::~stack_flow() {
   State->abort();
-  // The hooks' captures may be gone. A hook that runs now keeps its own
-  // captures alive until it returns.
+  // Objects that the hooks capture may no longer exist, so no hook may be
+  // called any more. While a hook runs, its own captures must stay valid until
+  // it returns.
   if (State->HookDepth == 0)
     State->Hooks = {};
 }
