--- a/test/h2/h2_session_test.cpp
+++ b/test/h2/h2_session_test.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// A client and a server joined by two buffers, so that a test says when
-/// bytes cross.
+/// A client and a server session connected by two buffers. Bytes are
+/// transferred only when the test calls exchange().
 struct connected_sessions {
   std::string ToServer;
   std::string ToClient;
@@ -67,7 +67,7 @@
 
 } // namespace
 
-TEST_CASE("h2_session brings each stream its own answer when answers cross") {
+TEST_CASE("h2_session matches answers to streams when they come out of order") {
   connected_sessions Pair;
   const h2_stream First = Pair.Client->request(getHead(), true);
   const h2_stream Second = Pair.Client->request(getHead(), true);
@@ -83,7 +83,7 @@
   CHECK(Pair.ClientBody[Second] == "second");
 }
 
-TEST_CASE("h2_session sends body bytes added after the head went out") {
+TEST_CASE("h2_session sends body bytes added after the header was sent") {
   connected_sessions Pair;
   const h2_stream Id = Pair.Client->request(getHead(), true);
   Pair.exchange();
@@ -97,7 +97,7 @@
   CHECK(Pair.ClientClosed.count(Id) == 0);
 }
 
-TEST_CASE("h2_session tells the client that a refused stream was not run") {
+TEST_CASE("h2_session reports REFUSED_STREAM to the client") {
   connected_sessions Pair;
   const h2_stream Id = Pair.Client->request(getHead(), true);
   Pair.exchange();
@@ -109,7 +109,7 @@
   CHECK(Pair.ClientClosed[Id] == h2_error::RefusedStream);
 }
 
-TEST_CASE("h2_session finishes streams under way after a shutdown") {
+TEST_CASE("h2_session finishes open streams after a graceful shutdown") {
   connected_sessions Pair;
   const h2_stream Id = Pair.Client->request(getHead(), true);
   Pair.exchange();
@@ -126,7 +126,7 @@
   CHECK(Pair.Client->request(getHead(), true) < 0);
 }
 
-TEST_CASE("h2_session refuses bytes that are not HTTP/2") {
+TEST_CASE("h2_session rejects bytes that are not HTTP/2") {
   connected_sessions Pair;
 
   const auto Failure =
--- a/test/proxy/answers_test.cpp
+++ b/test/proxy/answers_test.cpp
@@ -5,7 +5,8 @@
 using namespace marjoramrail;
 using namespace marjoramrail::internal;
 
-TEST_CASE("an answer names the agents it passed, the flow's owner last") {
+TEST_CASE(
+    "the Via field lists the agents of an answer, the flow's owner last") {
   h2_head Head;
   Head.add(":status", "200");
 
--- a/test/proxy/keyed_request_test.cpp
+++ b/test/proxy/keyed_request_test.cpp
@@ -8,9 +8,11 @@
 
 static const std::vector<h2_field> Keyed = {{"idempotency-key", "k1"}};
 
-TEST_CASE("a repeat of a key gets the first answer and runs nothing") {
-  // A broker's flow breaks after its amendment has run, before the answer is
-  // there. The broker sends it again; run twice, it would void the certificate.
+TEST_CASE("a retry with a completed key gets the saved answer and is not run") {
+  // Guards against running a keyed request twice. The caller's flow breaks
+  // after the request has run but before the answer arrives, and the caller
+  // retries on a new flow. A second run would, for example, apply an amendment
+  // twice.
   proxy_fixture Fixture;
   test_caller &First = Fixture.open();
   First.sendRequest("/work", Keyed);
@@ -27,7 +29,7 @@
   CHECK(Fixture.target().Requests.size() == 1);
 }
 
-TEST_CASE("a repeat is not run while the first try is") {
+TEST_CASE("a retry is not run while the first attempt is running") {
   proxy_fixture Fixture;
   test_caller &Caller = Fixture.open();
   Caller.sendRequest("/work", Keyed);
@@ -40,9 +42,9 @@
   CHECK(Fixture.target().Requests.size() == 1);
 }
 
-TEST_CASE("a key whose run was lost is unknown for good") {
-  // The target died with the amendment in its hands. Whether it ran cannot be
-  // found out, so no repeat may run it.
+TEST_CASE("a key whose run was lost stays at unknown outcome") {
+  // The target's connection ends while a keyed request is running. Whether the
+  // request completed cannot be determined, so no retry may run it.
   proxy_fixture Fixture;
   test_caller &Caller = Fixture.open();
   const h2_stream First = Caller.sendRequest("/work", Keyed);
@@ -58,9 +60,10 @@
   CHECK(Fixture.Servers[TargetAddress].size() == 1);
 }
 
-TEST_CASE("a keyed request goes on when its flow is lost") {
-  // The tablet loses its connection while a delivery is being confirmed. The
-  // confirmation runs to its end, and the repeat on the next flow finds it.
+TEST_CASE("a keyed request continues when its flow is lost") {
+  // The caller loses its connection while its keyed request is running. If the
+  // request were cancelled, the retry would get an unknown outcome. It has to
+  // complete, so that the retry on the next flow gets its answer.
   proxy_fixture Fixture;
   test_caller &Lost = Fixture.open();
   Lost.sendRequest("/work", Keyed);
@@ -79,7 +82,8 @@
   CHECK(Fixture.target().Requests.size() == 1);
 }
 
-TEST_CASE("a key that was refused before it ran is free") {
+TEST_CASE(
+    "a key whose request was refused before it ran can be claimed again") {
   proxy_fixture Fixture;
   Fixture.Unreachable[TargetAddress] = true;
   test_caller &Caller = Fixture.open();
@@ -97,7 +101,8 @@
   CHECK(Caller.Answers[Repeat].Body == "ran");
 }
 
-TEST_CASE("a key that was given up while it was claimed is free") {
+TEST_CASE(
+    "a key whose request was cancelled during the claim can be claimed again") {
   proxy_fixture Fixture;
   test_caller &Caller = Fixture.open();
   const h2_stream First = Caller.sendRequest("/work", Keyed);
@@ -111,10 +116,11 @@
   CHECK(Fixture.target().Requests.size() == 1);
 }
 
-TEST_CASE("a keyed request is relayed only when its claim is given back") {
-  // The agent claimed the key, then had to relay the request. A peer that asks
-  // for the key while the first claim still stands somewhere could leave it
-  // unknown for good: an amendment that nobody ran and nobody will.
+TEST_CASE("a keyed request is relayed only after its claim was released") {
+  // The agent has claimed the key and then has to relay the request. If the
+  // peer claims the key while a replica still holds the first claim, the
+  // outcome of the key can become unknown forever: nobody ran the request, and
+  // no retry will be run.
   proxy_fixture Fixture(1);
   load_report Idle;
   Idle.Host = host_id(2);
@@ -135,9 +141,9 @@
   CHECK(Fixture.peer().Requests[0].Head.get("idempotency-key") == "k1");
 }
 
-TEST_CASE("an agent that may have lost records runs no keyed request") {
-  // The agent was restarted and its records are gone. A repeat of an amendment
-  // that ran before would look new.
+TEST_CASE("an agent that may have lost key records runs no keyed request") {
+  // A restarted agent has lost its key records. It would take the retry of a
+  // request that has already run for a new one and run it twice.
   proxy_fixture Fixture(4, /*FirstEver=*/false);
   test_caller &Caller = Fixture.open();
   const h2_stream Repeat =
@@ -150,7 +156,7 @@
   CHECK(Fixture.Servers[TargetAddress].empty());
 }
 
-TEST_CASE("a peer's key messages are answered, a caller's are not") {
+TEST_CASE("key messages are accepted from peers but not from callers") {
   proxy_fixture Fixture;
   test_caller &Caller = Fixture.open();
   test_caller &Peer = Fixture.open({0, true});
@@ -164,7 +170,7 @@
   CHECK(Fixture.target().Requests.size() == 1);
 }
 
-TEST_CASE("messages of key records survive their encoding") {
+TEST_CASE("key messages are unchanged after encoding and decoding") {
   key_message Message;
   Message.Kind = key_message_kind::SyncRecords;
   Message.From = host_id(3);
@@ -193,7 +199,7 @@
   CHECK(Read.Vouched == Message.Vouched);
 }
 
-TEST_CASE("spoilt messages of key records are refused whole") {
+TEST_CASE("a truncated or corrupted batch of key messages is rejected safely") {
   const std::string Good = internal::encodeKeyMessages({key_message()});
   for (std::size_t Size = 0; Size < Good.size(); ++Size)
     CHECK(!internal::decodeKeyMessages(Good.substr(0, Size)));
--- a/test/proxy/proxy_fixture.h
+++ b/test/proxy/proxy_fixture.h
@@ -14,8 +14,8 @@
 inline constexpr endpoint TargetAddress{0x7f000001, 9000};
 inline constexpr endpoint PeerAddress{0x7f000001, 9001};
 
-/// The far end of one connection that the proxy opened: an HTTP/2 server whose
-/// answers the test gives.
+/// The other end of a connection that the proxy opened: an HTTP/2 server whose
+/// answers the test determines.
 struct fake_server {
   struct received_request {
     h2_stream Stream;
@@ -65,7 +65,7 @@
   }
 };
 
-/// One caller with its HTTP/2 session.
+/// A caller with its HTTP/2 session.
 struct test_caller {
   struct answer {
     std::string Status;
@@ -111,8 +111,8 @@
   }
 };
 
-/// A proxy, its callers and the servers that it connected to; bytes cross when
-/// the test says so.
+/// A proxy, its callers and the servers to which it is connected. Bytes are
+/// transferred only when the test calls exchange() or a function that does.
 class proxy_fixture {
 public:
   timer_service Timers;
@@ -161,7 +161,7 @@
   }
   fake_server &peer() { return *Servers[PeerAddress].at(0); }
 
-  /// Moves all bytes until none are left.
+  /// Transfers bytes in both directions until none are pending.
   void exchange() {
     bool Moved = true;
     while (Moved) {
@@ -182,7 +182,7 @@
     }
   }
 
-  /// The connection ends without a word.
+  /// Ends the connection without sending anything.
   void cut(fake_server &Server) {
     Server.Open = false;
     Server.Events.OnClosed();
--- a/test/proxy/request_proxy_test.cpp
+++ b/test/proxy/request_proxy_test.cpp
@@ -5,7 +5,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST_CASE("a request reaches the target and its answer the caller") {
+TEST_CASE("a request is sent to the target and its answer to the caller") {
   proxy_fixture Fixture;
   test_caller &Caller = Fixture.open();
   const h2_stream StreamId = Caller.sendRequest("/work", {{"x-request", "r1"}});
@@ -23,11 +23,10 @@
   CHECK(Fixture.Proxy->counts().Cancelled == 0);
 }
 
-TEST_CASE(
-    "answers that come in another order reach the requests they are for") {
-  // A broker and a veterinary inspector ask at the same moment; the target
-  // answers the second first. Handed out in order of arrival, each would hold
-  // the other's certificate.
+TEST_CASE("answers that arrive out of order are matched to their requests") {
+  // Two callers send requests at the same time and the target answers the
+  // second one first. If answers were assigned in order of arrival, each caller
+  // would get the other's data.
   proxy_fixture Fixture;
   test_caller &First = Fixture.open({1, false});
   test_caller &Second = Fixture.open({2, false});
@@ -46,9 +45,10 @@
   CHECK(Second.Answers[SecondStream].Body == "/second");
 }
 
-TEST_CASE("an answer to a flow that is gone reaches no later flow") {
-  // A caller's flow breaks while its request runs and the next one opens at
-  // once. The late answer must not end up there.
+TEST_CASE("an answer to a closed flow is not delivered to a later flow") {
+  // A caller's flow breaks while its request is running, and the caller opens
+  // the next flow immediately. The late answer must not be delivered on that
+  // flow.
   proxy_fixture Fixture;
   test_caller &Old = Fixture.open();
   Old.sendRequest("/work");
@@ -84,7 +84,7 @@
   CHECK(Fixture.target().Requests.size() == 2);
 }
 
-TEST_CASE("a request that is refused has not reached the target") {
+TEST_CASE("a refused request is not sent to the target") {
   proxy_fixture Fixture(1);
   test_caller &Caller = Fixture.open();
   Caller.sendRequest("/work");
@@ -101,9 +101,11 @@
   CHECK(Fixture.target().Requests.size() == 1);
 }
 
-TEST_CASE("a request under way when the target is lost is told unknown") {
-  // The target's process dies with an amendment in its hands. Told "not run",
-  // the broker would send it again and it might run twice.
+TEST_CASE("a request that is running when the target is lost has an unknown "
+          "outcome") {
+  // The target's process ends while a request is running. If the caller were
+  // told that the request was not run, it would send it again, and the request
+  // might run twice.
   proxy_fixture Fixture;
   test_caller &Caller = Fixture.open();
   const h2_stream StreamId = Caller.sendRequest("/work");
@@ -115,7 +117,7 @@
   CHECK(Caller.Answers[StreamId].Body == R"({"run":"unknown"})");
 }
 
-TEST_CASE("a request that finds no target is told that it was not run") {
+TEST_CASE("a request is answered as not run if the target is unreachable") {
   proxy_fixture Fixture;
   Fixture.Unreachable[TargetAddress] = true;
   test_caller &Caller = Fixture.open();
@@ -127,10 +129,12 @@
   CHECK(Caller.Answers[StreamId].Head.get("x-marjoramrail-run") == "no");
 }
 
-TEST_CASE("a request is not sent to a process that takes connections and ends "
-          "them") {
-  // The target's listener still takes connections while its process goes down.
-  // Nobody has seen the request, so the caller may be told to send it again.
+TEST_CASE(
+    "a request is not sent to a process that accepts connections and closes "
+    "them") {
+  // The target's listener still accepts connections while its process shuts
+  // down. A request sent on such a connection would have an unknown outcome. It
+  // must be answered as not run, so that the caller can send it again.
   proxy_fixture Fixture;
   test_caller &Caller = Fixture.open();
   const h2_stream StreamId = Caller.sendRequest("/work");
@@ -146,7 +150,7 @@
   CHECK(Target.ToServer.find("ledger") == std::string::npos);
 }
 
-TEST_CASE("a target that came back gets requests again") {
+TEST_CASE("a restarted target receives requests again") {
   proxy_fixture Fixture;
   test_caller &Caller = Fixture.open();
   Caller.sendRequest("/work");
@@ -163,9 +167,9 @@
 }
 
 TEST_CASE(
-    "a target that leaves gracefully gets its running requests answered") {
-  // The target says GOAWAY before it is restarted. What it has begun still
-  // gets its answer; what comes next goes to its successor.
+    "running requests are answered when the target shuts down gracefully") {
+  // The target sends GOAWAY before it is restarted. Running requests must still
+  // get their answers; new requests must be sent to the new process.
   proxy_fixture Fixture;
   test_caller &Caller = Fixture.open();
   const h2_stream First = Caller.sendRequest("/work");
@@ -183,7 +187,7 @@
   CHECK(Fixture.target(1).Requests.size() == 1);
 }
 
-TEST_CASE("a request that outlives its deadline at the target is unknown") {
+TEST_CASE("a running request whose deadline passes has an unknown outcome") {
   proxy_fixture Fixture;
   test_caller &Caller = Fixture.open();
   const h2_stream StreamId =
@@ -195,7 +199,7 @@
   CHECK(Fixture.target().Requests[0].Closed == h2_error::Cancel);
 }
 
-TEST_CASE("the target is told the time that is left") {
+TEST_CASE("the target receives the time remaining to the deadline") {
   proxy_fixture Fixture(1);
   test_caller &Caller = Fixture.open();
   Caller.sendRequest("/work");
@@ -209,7 +213,7 @@
   CHECK(Fixture.target().Requests[1].Head.get("x-deadline-ms") == "900");
 }
 
-TEST_CASE("a drained agent asks callers to leave and finishes what runs") {
+TEST_CASE("a drained agent sends GOAWAY and finishes running requests") {
   proxy_fixture Fixture;
   test_caller &Caller = Fixture.open();
   const h2_stream StreamId = Caller.sendRequest("/work");
@@ -226,9 +230,9 @@
   CHECK(Caller.FlowEnd == proxy_flow_end::Finished);
 }
 
-TEST_CASE("an agent whose drain was taken back serves new flows") {
-  // The host is drained by mistake. Callers that open a flow after the operator
-  // took it back must not be asked to leave again.
+TEST_CASE("an agent serves new flows after its drain was reverted") {
+  // An operator drains a host by mistake and reverts it. Callers that open a
+  // flow afterwards must not be sent GOAWAY.
   proxy_fixture Fixture;
   Fixture.Proxy->drain();
   Fixture.Proxy->resume();
@@ -245,7 +249,7 @@
   CHECK(!Caller.GoAway);
 }
 
-TEST_CASE("a drained agent relays what it has not begun to a peer") {
+TEST_CASE("a drained agent relays new requests to a peer") {
   proxy_fixture Fixture;
   load_report Idle;
   Idle.Host = host_id(2);
@@ -265,9 +269,10 @@
   CHECK(Caller.Answers[StreamId].Body == "from the peer");
 }
 
-TEST_CASE("a relayed request is tried again only after an explicit not run") {
-  // A peer's answer is lost with its connection. The peer may have run the
-  // request, so running it here too could double an amendment.
+TEST_CASE(
+    "a relayed request is retried only if the peer reports it as not run") {
+  // The connection to the peer ends before the answer arrives. The peer may
+  // have run the request, so running it here could run it twice.
   proxy_fixture Fixture(1);
   load_report Idle;
   Idle.Host = host_id(2);
@@ -285,7 +290,7 @@
   CHECK(Fixture.Servers[TargetAddress].empty());
 }
 
-TEST_CASE("a peer's refusal is passed on when nothing can be done here") {
+TEST_CASE("a peer's refusal is returned if the request cannot be run here") {
   proxy_fixture Fixture(1);
   load_report Idle;
   Idle.Host = host_id(2);
@@ -309,7 +314,7 @@
   CHECK(Caller.Answers[StreamId].Head.get("x-marjoramrail-run") == "no");
 }
 
-TEST_CASE("a caller cannot pass for a peer") {
+TEST_CASE("a caller cannot impersonate a peer") {
   proxy_fixture Fixture;
   test_caller &Caller = Fixture.open();
   Caller.sendRequest(
@@ -321,10 +326,11 @@
   CHECK(Fixture.target().Requests[0].Head.get("x-marjoramrail-hops") == "");
 }
 
-TEST_CASE("a flow that answers no PING is closed, one that does is kept") {
-  // Something between the ends has lost track of one flow while others work.
-  // The agent closes it, so that the caller opens a new one and its alerts
-  // arrive again.
+TEST_CASE(
+    "a flow that does not answer PING is closed, one that does stays open") {
+  // A device in the network has lost the state of one flow while other flows
+  // work. If the agent kept the flow open, the caller would not open a new one
+  // and would receive no more data.
   proxy_fixture Fixture;
   test_caller &Silent = Fixture.open();
   test_caller &Quiet = Fixture.open();
@@ -337,7 +343,8 @@
   CHECK(!Quiet.FlowEnd);
 }
 
-TEST_CASE("a slow caller holds its target back, not the agent's memory") {
+TEST_CASE(
+    "a slow caller slows its target down instead of filling agent memory") {
   proxy_fixture Fixture;
   test_caller &Caller = Fixture.open();
   Caller.sendRequest("/document");
@@ -348,13 +355,14 @@
   Fixture.target().answer(0, "200", Large);
   Fixture.exchange();
 
-  // What has left the target is what the agent and the caller's windows hold.
+  // The target has sent only what fits into the flow-control windows of the
+  // agent and the caller.
   const std::size_t QueuedAtTarget =
       Fixture.target().Session->queued(Fixture.target().Requests[0].Stream);
   CHECK(QueuedAtTarget > 30 * 1024 * 1024);
 }
 
-TEST_CASE("a large answer arrives whole through bounded windows") {
+TEST_CASE("a large answer arrives completely through bounded windows") {
   proxy_fixture Fixture;
   test_caller &Caller = Fixture.open();
   const h2_stream StreamId = Caller.sendRequest("/document");
@@ -368,7 +376,7 @@
   CHECK(Caller.Answers[StreamId].Closed == h2_error::NoError);
 }
 
-TEST_CASE("a large body reaches the target whole") {
+TEST_CASE("a large body reaches the target completely") {
   proxy_fixture Fixture;
   test_caller &Caller = Fixture.open();
   const h2_stream StreamId = Caller.Session->request({{{":method", "POST"},
@@ -385,7 +393,7 @@
   CHECK(Fixture.target().Requests[0].Ended);
 }
 
-TEST_CASE("broken bytes from a caller end its flow alone") {
+TEST_CASE("a protocol violation by a caller ends only that caller's flow") {
   proxy_fixture Fixture;
   test_caller &Broken = Fixture.open();
   test_caller &Sound = Fixture.open();
--- a/test/stack/tcp_stack_test.cpp
+++ b/test/stack/tcp_stack_test.cpp
@@ -13,7 +13,8 @@
 constexpr std::uint32_t CallerAddress = 0x0a000001;
 constexpr endpoint Service{0x0a00ff01, 443};
 
-/// Both ends in one stack, joined by a queue of packets that the test moves.
+/// Both ends of the flows in one stack. Packets are queued in Wire and
+/// delivered by exchange().
 struct loopback_stack {
   timer_service Timers;
   std::deque<std::vector<std::uint8_t>> Wire;
@@ -105,7 +106,7 @@
   CHECK(Received == Sent);
 }
 
-TEST_CASE("tcp_stack holds the peer back while data is not consumed") {
+TEST_CASE("tcp_stack stops the peer from sending while data is not consumed") {
   loopback_stack Loop;
   std::size_t Received = 0;
   Loop.HooksOfAccepted = [&](stack_flow &) {
@@ -127,9 +128,9 @@
 }
 
 TEST_CASE("a flow may be destroyed in any of its own hooks") {
-  // A target that refuses a connection makes the agent drop the caller's flow
-  // while lwIP is still delivering its first bytes. Without care lwIP goes on
-  // with freed memory; the agent crashes and takes every flow with it.
+  // When the target refuses a connection, the agent destroys the caller's flow
+  // while lwIP is still delivering its first bytes. If lwIP then continued with
+  // freed memory, the agent would crash and all its flows would break.
   loopback_stack Loop;
   Loop.HooksOfAccepted = [&](stack_flow &) {
     stack_flow::hooks Hooks;
@@ -152,7 +153,7 @@
   CHECK(Loop.Stack->connections() == 0);
 }
 
-TEST_CASE("both ends hear of an orderly end once each direction is over") {
+TEST_CASE("OnClosed is called at both ends once both directions are closed") {
   loopback_stack Loop;
   std::optional<flow_end> AcceptedEnd;
   Loop.HooksOfAccepted = [&](stack_flow &Accepted) {
@@ -179,10 +180,10 @@
   CHECK(AcceptedEnd == flow_end::Finished);
 }
 
-TEST_CASE("a caller may use its port again while the old flow lingers") {
-  // A caller closes a flow and opens the next from the same port. The agent
-  // still keeps the old one for late packets; answered out of it, the caller
-  // would wait for two minutes.
+TEST_CASE("a caller can reuse its port while the old flow is in TIME_WAIT") {
+  // A caller closes a flow and opens the next one from the same port while the
+  // agent still has the old connection in TIME_WAIT. If the old connection
+  // answered the SYN, the caller would wait for two minutes.
   loopback_stack Loop;
   Loop.HooksOfAccepted = [](stack_flow &Accepted) {
     stack_flow::hooks Hooks;
@@ -205,9 +206,10 @@
   CHECK(Connected);
 }
 
-TEST_CASE("closed flows beyond the bound are freed, the oldest first") {
-  // Thousands of flows a second that the agent closes would each stay for two
-  // minutes, and every packet's search would walk through them.
+TEST_CASE("flows in TIME_WAIT above the limit are freed, the oldest first") {
+  // If the agent closes thousands of flows per second, each stays in TIME_WAIT
+  // for two minutes, and lwIP searches all of them for every packet. Without
+  // the limit the packet rate of the agent would drop.
   loopback_stack Loop({.MaxTimeWait = 10});
   for (std::uint16_t Port = 4000; Port < 4050; ++Port) {
     const auto Flow = Loop.open(Port);
@@ -223,9 +225,10 @@
   CHECK(Loop.Stack->connections() == 10);
 }
 
-TEST_CASE("keepalives find a peer that has vanished") {
-  // Something between the two ends loses track of the flow. Neither end sends,
-  // so without probes the agent would keep it, and its target busy, for good.
+TEST_CASE("keepalive detects a peer that is unreachable") {
+  // A device in the network loses the state of the flow while neither end
+  // sends. Without keepalive probes the agent would keep the flow and its
+  // resources at the target forever.
   loopback_stack Loop;
   std::optional<flow_end> End;
   Loop.HooksOfAccepted = [&](stack_flow &Accepted) {
@@ -244,9 +247,10 @@
   CHECK(End == flow_end::TimedOut);
 }
 
-TEST_CASE("a forgotten flow sends the caller nothing") {
-  // Two agents answered a SYN that was resent, and the caller completed the
-  // other one's handshake. A reset from here would end that flow.
+TEST_CASE("forget() drops a flow without sending a packet") {
+  // Two agents answered a retransmitted SYN and the caller completed the
+  // handshake with the other one. A reset from this agent would end the
+  // caller's flow.
   loopback_stack Loop;
   const auto Flow = Loop.open(4000);
   REQUIRE(Loop.Accepted.size() == 1);
@@ -261,7 +265,8 @@
   CHECK(Loop.Wire.empty());
 }
 
-TEST_CASE("what is not a whole TCP packet for an address of ours is refused") {
+TEST_CASE("input() rejects packets that are no complete TCP packet to an own "
+          "address") {
   loopback_stack Loop;
   const auto Flow =
       Loop.Stack->connect({CallerAddress, 4000}, {0x0a00ff02, 443}, {});
