--- a/src/proxy/caller_flow.cpp
+++ b/src/proxy/caller_flow.cpp
@@ -10,28 +10,28 @@
 }
 
 caller_flow::caller_flow(flow_number Number, const flow_origin &Origin,
-                         proxy_flow::hooks Outer, caller_flow_hooks Inner,
-                         instant Now)
-    : Number(Number), Origin(Origin), Outer(std::move(Outer)),
-      Inner(std::move(Inner)),
+                         proxy_flow::hooks FlowHooks,
+                         caller_flow_hooks ProxyHooks, instant Now)
+    : Number(Number), Origin(Origin), FlowHooks(std::move(FlowHooks)),
+      ProxyHooks(std::move(ProxyHooks)),
       Session(h2_role::Server, callerSettings(), sessionHooks()),
       LastReceived(Now) {
   Session.flush();
 }
 
-caller_flow::~caller_flow() { Inner.OnDestroyed(Number); }
+caller_flow::~caller_flow() { ProxyHooks.OnDestroyed(Number); }
 
 h2_hooks caller_flow::sessionHooks() {
   h2_hooks Hooks;
-  Hooks.Output = [this](std::string_view Bytes) { Outer.Output(Bytes); };
+  Hooks.Output = [this](std::string_view Bytes) { FlowHooks.Output(Bytes); };
   Hooks.OnHead = [this](h2_stream Id, const h2_head &Head, bool End) {
-    Inner.OnRequest({Number, Id}, Head, End);
+    ProxyHooks.OnRequest({Number, Id}, Head, End);
   };
   Hooks.OnData = [this](h2_stream Id, std::string_view Bytes, bool End) {
-    Inner.OnBody({Number, Id}, Bytes, End);
+    ProxyHooks.OnBody({Number, Id}, Bytes, End);
   };
   Hooks.OnClose = [this](h2_stream Id, h2_error) {
-    Inner.OnCancel({Number, Id});
+    ProxyHooks.OnCancel({Number, Id});
   };
   return Hooks;
 }
@@ -42,7 +42,7 @@
   ReceivedSinceCheck = true;
   if (!Session.input(Bytes))
     return endFlow(proxy_flow_end::BrokenProtocol);
-  Inner.OnInput();
+  ProxyHooks.OnInput();
   endIfDone();
 }
 
@@ -103,7 +103,7 @@
 
 void caller_flow::endFlow(proxy_flow_end Why) {
   if (!std::exchange(FlowEnded, true))
-    Outer.OnEnded(Why);
+    FlowHooks.OnEnded(Why);
 }
 
 } // namespace marjoramrail::internal
--- a/src/proxy/caller_flow.h
+++ b/src/proxy/caller_flow.h
@@ -36,7 +36,8 @@
 class caller_flow {
 public:
   caller_flow(flow_number Number, const flow_origin &Origin,
-              proxy_flow::hooks Outer, caller_flow_hooks Inner, instant Now);
+              proxy_flow::hooks FlowHooks, caller_flow_hooks ProxyHooks,
+              instant Now);
   ~caller_flow();
   caller_flow(const caller_flow &) = delete;
   caller_flow &operator=(const caller_flow &) = delete;
@@ -68,8 +69,8 @@
 
   flow_number Number;
   flow_origin Origin;
-  proxy_flow::hooks Outer;
-  caller_flow_hooks Inner;
+  proxy_flow::hooks FlowHooks;
+  caller_flow_hooks ProxyHooks;
   h2_session Session;
   bool ReceivedSinceCheck = true;
   instant LastReceived;
--- a/src/proxy/proxy_state.h
+++ b/src/proxy/proxy_state.h
@@ -2,9 +2,10 @@
 ///
 /// \file
 /// Declares request_proxy::impl, which is implemented in several source files:
-/// requests from callers (caller_side), idempotency keys (key_side), admission
-/// decisions (decision_side), answers (answer_side) and connections to the
-/// target and to peers (link_side).
+/// requests from callers (caller_requests), idempotency keys
+/// (idempotency_keys), admission decisions (admission_decisions), answers
+/// (answer_delivery) and connections to the target and to peers
+/// (peer_connections).
 ///
 //===----------------------------------------------------------------------===//
 
@@ -88,14 +89,14 @@
        proxy_hooks Hooks);
   ~impl();
 
-  // Requests from callers (caller_side).
+  // Requests from callers (caller_requests).
   void onRequest(reply_address ReplyTo, const h2_head &Head, bool End);
   void onBody(reply_address ReplyTo, std::string_view Bytes, bool End);
   void onCancel(reply_address ReplyTo);
   void deadlinePassed(request_id Id);
   caller_flow *flowOf(const exchange &Exchange);
 
-  // Admission decisions (decision_side).
+  // Admission decisions (admission_decisions).
   void startExchange(request_id Id, exchange &Exchange);
   void offer(request_id Id);
   void applyDecision(const decision &Decision);
@@ -107,14 +108,14 @@
   void sendToPeer(request_id Id, exchange &Exchange);
   void relayFailed(request_id Id, duration RetryAfter);
 
-  // Answers (answer_side).
+  // Answers (answer_delivery).
   void answer(request_id Id, const agent_answer &Answer);
   void sendAgentAnswer(exchange &Exchange, const agent_answer &Answer);
   void answerUnknownOutcome(request_id Id, bool DeadlinePassed);
   void finish(request_id Id, work_outcome Outcome);
   void erase(request_id Id);
 
-  // Idempotency keys (key_side).
+  // Idempotency keys (idempotency_keys).
   void startClaim(request_id Id, exchange &Exchange);
   bool retryClaim(request_id Id);
   void onClaim(request_id Id, const key_result &Result);
@@ -125,7 +126,7 @@
   void detachOrCancel(reply_address ReplyTo);
   void onFlowDestroyed(flow_number Destroyed);
 
-  // Connections to the target and to peers (link_side).
+  // Connections to the target and to peers (peer_connections).
   client_link &targetLink();
   client_link &peerLink(host_id Peer, const endpoint &Address);
   std::unique_ptr<client_link> newLink(const endpoint &Address);
--- a/src/proxy/request_proxy.cpp
+++ b/src/proxy/request_proxy.cpp
@@ -53,18 +53,23 @@
                                                 proxy_flow::hooks Hooks) {
   impl &Self = *Impl;
   const flow_number Number{++Self.LastFlow};
-  caller_flow_hooks Inner;
-  Inner.OnRequest = [&Self](reply_address ReplyTo, const h2_head &Head,
-                            bool End) { Self.onRequest(ReplyTo, Head, End); };
-  Inner.OnBody = [&Self](reply_address ReplyTo, std::string_view Bytes,
-                         bool End) { Self.onBody(ReplyTo, Bytes, End); };
-  Inner.OnCancel = [&Self](reply_address ReplyTo) { Self.onCancel(ReplyTo); };
-  Inner.OnInput = [&Self] { Self.releaseFlowControl(); };
-  Inner.OnDestroyed = [&Self](flow_number Destroyed) {
+  caller_flow_hooks ProxyHooks;
+  ProxyHooks.OnRequest = [&Self](reply_address ReplyTo, const h2_head &Head,
+                                 bool End) {
+    Self.onRequest(ReplyTo, Head, End);
+  };
+  ProxyHooks.OnBody = [&Self](reply_address ReplyTo, std::string_view Bytes,
+                              bool End) { Self.onBody(ReplyTo, Bytes, End); };
+  ProxyHooks.OnCancel = [&Self](reply_address ReplyTo) {
+    Self.onCancel(ReplyTo);
+  };
+  ProxyHooks.OnInput = [&Self] { Self.releaseFlowControl(); };
+  ProxyHooks.OnDestroyed = [&Self](flow_number Destroyed) {
     Self.onFlowDestroyed(Destroyed);
   };
-  auto Flow = std::make_unique<caller_flow>(
-      Number, Origin, std::move(Hooks), std::move(Inner), Self.Timers.now());
+  auto Flow =
+      std::make_unique<caller_flow>(Number, Origin, std::move(Hooks),
+                                    std::move(ProxyHooks), Self.Timers.now());
   Self.Flows[Number] = Flow.get();
   if (Self.Draining)
     Flow->startShutdown();
--- a/test/proxy/keyed_request_test.cpp
+++ b/test/proxy/keyed_request_test.cpp
@@ -49,7 +49,7 @@
   test_caller &Caller = Fixture.open();
   const h2_stream First = Caller.sendRequest("/work", Keyed);
   Fixture.advanceTime(milliseconds(20));
-  Fixture.cut(Fixture.target());
+  Fixture.disconnect(Fixture.target());
   CHECK(Caller.Answers[First].Status == "502");
   Fixture.advanceTime(milliseconds(100));
 
@@ -205,9 +205,9 @@
     CHECK(!internal::decodeKeyMessages(Good.substr(0, Size)));
   for (std::size_t Index = 0; Index < Good.size(); ++Index)
     for (int Flip = 1; Flip < 256; ++Flip) {
-      std::string Spoilt = Good;
-      Spoilt[Index] = static_cast<char>(Spoilt[Index] ^ Flip);
-      const auto Read = internal::decodeKeyMessages(Spoilt);
+      std::string Corrupted = Good;
+      Corrupted[Index] = static_cast<char>(Corrupted[Index] ^ Flip);
+      const auto Read = internal::decodeKeyMessages(Corrupted);
       if (Read)
         CHECK(Read.value().size() <= 1);
     }
--- a/test/proxy/proxy_fixture.h
+++ b/test/proxy/proxy_fixture.h
@@ -26,8 +26,8 @@
   };
 
   byte_events Events;
-  std::string ToServer;
-  std::string ToProxy;
+  std::string BytesToServer;
+  std::string BytesToProxy;
   std::unique_ptr<h2_session> Session;
   std::deque<received_request> Requests;
   bool Open = true;
@@ -35,7 +35,7 @@
 
   fake_server() {
     h2_hooks Hooks;
-    Hooks.Output = [this](std::string_view Bytes) { ToProxy += Bytes; };
+    Hooks.Output = [this](std::string_view Bytes) { BytesToProxy += Bytes; };
     Hooks.OnHead = [this](h2_stream Id, const h2_head &Head, bool End) {
       Requests.push_back({Id, Head, "", End, std::nullopt});
     };
@@ -74,8 +74,8 @@
     std::optional<h2_error> Closed;
   };
 
-  std::string ToProxy;
-  std::string ToCaller;
+  std::string BytesToProxy;
+  std::string BytesToCaller;
   std::unique_ptr<h2_session> Session;
   std::map<h2_stream, answer> Answers;
   bool GoAway = false;
@@ -84,7 +84,7 @@
 
   test_caller() {
     h2_hooks Hooks;
-    Hooks.Output = [this](std::string_view Bytes) { ToProxy += Bytes; };
+    Hooks.Output = [this](std::string_view Bytes) { BytesToProxy += Bytes; };
     Hooks.OnHead = [this](h2_stream Id, const h2_head &Head, bool) {
       Answers[Id].Status = Head.get(":status");
       Answers[Id].Head = Head;
@@ -149,7 +149,7 @@
     test_caller *Caller = Callers.back().get();
     proxy_flow::hooks Hooks;
     Hooks.Output = [Caller](std::string_view Bytes) {
-      Caller->ToCaller += Bytes;
+      Caller->BytesToCaller += Bytes;
     };
     Hooks.OnEnded = [Caller](proxy_flow_end Why) { Caller->FlowEnd = Why; };
     Caller->Flow = Proxy->open(Origin, std::move(Hooks));
@@ -163,14 +163,14 @@
 
   /// Transfers bytes in both directions until none are pending.
   void exchange() {
-    bool Moved = true;
-    while (Moved) {
-      Moved = false;
+    bool Transferred = true;
+    while (Transferred) {
+      Transferred = false;
       for (const auto &Caller : Callers)
-        Moved |= moveCaller(*Caller);
+        Transferred |= transferCaller(*Caller);
       for (auto &[Address, List] : Servers)
         for (std::size_t I = 0; I < List.size(); ++I)
-          Moved |= moveServer(*List[I]);
+          Transferred |= transferServer(*List[I]);
     }
   }
 
@@ -183,7 +183,7 @@
   }
 
   /// Ends the connection without sending anything.
-  void cut(fake_server &Server) {
+  void disconnect(fake_server &Server) {
     Server.Open = false;
     Server.Events.OnClosed();
     exchange();
@@ -193,7 +193,9 @@
   struct stream : public byte_stream {
     fake_server &Server;
     explicit stream(fake_server &Server) : Server(Server) {}
-    void write(std::string_view Bytes) override { Server.ToServer += Bytes; }
+    void write(std::string_view Bytes) override {
+      Server.BytesToServer += Bytes;
+    }
   };
 
   std::unique_ptr<byte_stream> connect(const endpoint &To, byte_events Events) {
@@ -210,25 +212,25 @@
     return std::make_unique<stream>(Server);
   }
 
-  static bool moveCaller(test_caller &Caller) {
+  static bool transferCaller(test_caller &Caller) {
     Caller.Session->flush();
-    const std::string Up = std::exchange(Caller.ToProxy, {});
+    const std::string Up = std::exchange(Caller.BytesToProxy, {});
     if (!Up.empty() && Caller.Flow)
       Caller.Flow->input(Up);
-    const std::string Down = std::exchange(Caller.ToCaller, {});
+    const std::string Down = std::exchange(Caller.BytesToCaller, {});
     if (!Down.empty())
       CHECK(Caller.Session->input(Down));
     return !Up.empty() || !Down.empty();
   }
 
-  static bool moveServer(fake_server &Server) {
+  static bool transferServer(fake_server &Server) {
     if (!Server.Open || !Server.Connected)
       return false;
-    const std::string Up = std::exchange(Server.ToServer, {});
+    const std::string Up = std::exchange(Server.BytesToServer, {});
     if (!Up.empty())
       CHECK(Server.Session->input(Up));
     Server.Session->flush();
-    const std::string Down = std::exchange(Server.ToProxy, {});
+    const std::string Down = std::exchange(Server.BytesToProxy, {});
     if (!Down.empty())
       Server.Events.OnData(Down);
     return !Up.empty() || !Down.empty();
--- a/test/proxy/request_proxy_test.cpp
+++ b/test/proxy/request_proxy_test.cpp
@@ -111,7 +111,7 @@
   const h2_stream StreamId = Caller.sendRequest("/work");
   Fixture.advanceTime(milliseconds(10));
 
-  Fixture.cut(Fixture.target());
+  Fixture.disconnect(Fixture.target());
 
   CHECK(Caller.Answers[StreamId].Status == "502");
   CHECK(Caller.Answers[StreamId].Body == R"({"run":"unknown"})");
@@ -141,13 +141,13 @@
   Fixture.exchange();
   fake_server &Target = Fixture.target();
   Target.Open = false;
-  Target.ToProxy.clear();
+  Target.BytesToProxy.clear();
   Target.Events.OnConnected();
 
-  Fixture.cut(Target);
+  Fixture.disconnect(Target);
 
   CHECK(Caller.Answers[StreamId].Status == "503");
-  CHECK(Target.ToServer.find("ledger") == std::string::npos);
+  CHECK(Target.BytesToServer.find("ledger") == std::string::npos);
 }
 
 TEST_CASE("a restarted target receives requests again") {
@@ -155,7 +155,7 @@
   test_caller &Caller = Fixture.open();
   Caller.sendRequest("/work");
   Fixture.advanceTime(milliseconds(10));
-  Fixture.cut(Fixture.target());
+  Fixture.disconnect(Fixture.target());
   const h2_stream StreamId = Caller.sendRequest("/work");
   Fixture.advanceTime(milliseconds(20));
   REQUIRE(Fixture.Servers[TargetAddress].size() == 2);
@@ -284,7 +284,7 @@
   Fixture.advanceTime(milliseconds(10));
   REQUIRE(Fixture.peer().Requests.size() == 1);
 
-  Fixture.cut(Fixture.peer());
+  Fixture.disconnect(Fixture.peer());
 
   CHECK(Caller.Answers[StreamId].Status == "502");
   CHECK(Fixture.Servers[TargetAddress].empty());
@@ -333,14 +333,14 @@
   // and would receive no more data.
   proxy_fixture Fixture;
   test_caller &Silent = Fixture.open();
-  test_caller &Quiet = Fixture.open();
+  test_caller &Responsive = Fixture.open();
   Fixture.advanceTime(seconds(1));
   const auto Lost = std::move(Silent.Flow);
 
   Fixture.advanceTime(seconds(130));
 
   CHECK(Silent.FlowEnd == proxy_flow_end::Unresponsive);
-  CHECK(!Quiet.FlowEnd);
+  CHECK(!Responsive.FlowEnd);
 }
 
 TEST_CASE(
@@ -396,14 +396,14 @@
 TEST_CASE("a protocol violation by a caller ends only that caller's flow") {
   proxy_fixture Fixture;
   test_caller &Broken = Fixture.open();
-  test_caller &Sound = Fixture.open();
+  test_caller &Valid = Fixture.open();
   Broken.Flow->input("GET / HTTP/1.1\r\n\r\n and more that is no HTTP/2");
   CHECK(Broken.FlowEnd == proxy_flow_end::BrokenProtocol);
 
-  const h2_stream StreamId = Sound.sendRequest("/work");
+  const h2_stream StreamId = Valid.sendRequest("/work");
   Fixture.advanceTime(milliseconds(10));
   Fixture.target().answer(0, "200", "ok");
   Fixture.exchange();
 
-  CHECK(Sound.Answers[StreamId].Body == "ok");
+  CHECK(Valid.Answers[StreamId].Body == "ok");
 }
--- a/test/stack/tcp_stack_test.cpp
+++ b/test/stack/tcp_stack_test.cpp
@@ -17,21 +17,21 @@
 /// delivered by exchange().
 struct loopback_stack {
   timer_service Timers;
-  std::deque<std::vector<std::uint8_t>> Wire;
-  bool Cut = false;
+  std::deque<std::vector<std::uint8_t>> PacketQueue;
+  bool DropPackets = false;
   std::unique_ptr<tcp_stack> Stack;
   std::vector<std::unique_ptr<stack_flow>> Accepted;
-  std::function<stack_flow::hooks(stack_flow &)> HooksOfAccepted;
+  std::function<stack_flow::hooks(stack_flow &)> HooksForAccepted;
 
   explicit loopback_stack(const tcp_stack_settings &Settings = {}) {
     Stack = std::make_unique<tcp_stack>(Timers, Settings, [this](auto Packet) {
-      Wire.emplace_back(Packet.begin(), Packet.end());
+      PacketQueue.emplace_back(Packet.begin(), Packet.end());
     });
     Stack->addAddress(CallerAddress);
     Stack->addAddress(Service.Address);
     REQUIRE(Stack->listen(Service, [this](std::unique_ptr<stack_flow> Flow) {
-      if (HooksOfAccepted)
-        Flow->setHooks(HooksOfAccepted(*Flow));
+      if (HooksForAccepted)
+        Flow->setHooks(HooksForAccepted(*Flow));
       Accepted.push_back(std::move(Flow));
     }));
   }
@@ -42,10 +42,10 @@
   }
 
   void exchange() {
-    while (!Wire.empty()) {
-      const auto Packet = std::move(Wire.front());
-      Wire.pop_front();
-      if (!Cut)
+    while (!PacketQueue.empty()) {
+      const auto Packet = std::move(PacketQueue.front());
+      PacketQueue.pop_front();
+      if (!DropPackets)
         Stack->input(Packet);
     }
   }
@@ -81,7 +81,7 @@
 
 TEST_CASE("tcp_stack echoes 100 kB between two addresses") {
   loopback_stack Loop;
-  Loop.HooksOfAccepted = echo;
+  Loop.HooksForAccepted = echo;
   std::string Sent(100'000, 'x');
   for (std::size_t Index = 0; Index < Sent.size(); ++Index)
     Sent[Index] = static_cast<char>(Index * 7);
@@ -109,7 +109,7 @@
 TEST_CASE("tcp_stack stops the peer from sending while data is not consumed") {
   loopback_stack Loop;
   std::size_t Received = 0;
-  Loop.HooksOfAccepted = [&](stack_flow &) {
+  Loop.HooksForAccepted = [&](stack_flow &) {
     stack_flow::hooks Hooks;
     Hooks.OnData = [&](std::string_view Bytes) { Received += Bytes.size(); };
     return Hooks;
@@ -132,7 +132,7 @@
   // while lwIP is still delivering its first bytes. If lwIP then continued with
   // freed memory, the agent would crash and all its flows would break.
   loopback_stack Loop;
-  Loop.HooksOfAccepted = [&](stack_flow &) {
+  Loop.HooksForAccepted = [&](stack_flow &) {
     stack_flow::hooks Hooks;
     Hooks.OnData = [&](std::string_view) { Loop.Accepted.clear(); };
     return Hooks;
@@ -156,7 +156,7 @@
 TEST_CASE("OnClosed is called at both ends once both directions are closed") {
   loopback_stack Loop;
   std::optional<flow_end> AcceptedEnd;
-  Loop.HooksOfAccepted = [&](stack_flow &Accepted) {
+  Loop.HooksForAccepted = [&](stack_flow &Accepted) {
     stack_flow::hooks Hooks;
     Hooks.OnEnd = [&Accepted] {
       Accepted.write("last words");
@@ -185,7 +185,7 @@
   // agent still has the old connection in TIME_WAIT. If the old connection
   // answered the SYN, the caller would wait for two minutes.
   loopback_stack Loop;
-  Loop.HooksOfAccepted = [](stack_flow &Accepted) {
+  Loop.HooksForAccepted = [](stack_flow &Accepted) {
     stack_flow::hooks Hooks;
     Hooks.OnData = [&Accepted](std::string_view) { Accepted.close(); };
     Hooks.OnEnd = [&Accepted] { Accepted.close(); };
@@ -231,7 +231,7 @@
   // resources at the target forever.
   loopback_stack Loop;
   std::optional<flow_end> End;
-  Loop.HooksOfAccepted = [&](stack_flow &Accepted) {
+  Loop.HooksForAccepted = [&](stack_flow &Accepted) {
     Accepted.keepAlive(seconds(10), seconds(2), 3);
     stack_flow::hooks Hooks;
     Hooks.OnClosed = [&](flow_end Reason) { End = Reason; };
@@ -241,7 +241,7 @@
   Loop.advanceTime(seconds(60));
   REQUIRE(!End);
 
-  Loop.Cut = true;
+  Loop.DropPackets = true;
   Loop.advanceTime(seconds(30));
 
   CHECK(End == flow_end::TimedOut);
@@ -262,7 +262,7 @@
   Loop.Stack->forget(Flow->key());
 
   CHECK(End == flow_end::Reset);
-  CHECK(Loop.Wire.empty());
+  CHECK(Loop.PacketQueue.empty());
 }
 
 TEST_CASE("input() rejects packets that are no complete TCP packet to an own "
@@ -271,7 +271,7 @@
   const auto Flow =
       Loop.Stack->connect({CallerAddress, 4000}, {0x0a00ff02, 443}, {});
   REQUIRE(Flow);
-  const auto Foreign = Loop.Wire.front();
+  const auto Foreign = Loop.PacketQueue.front();
 
   CHECK_FALSE(Loop.Stack->input(Foreign));
   CHECK_FALSE(Loop.Stack->input({Foreign.data(), 20}));
