--- a/include/marjoramrail/proxy.h
+++ b/include/marjoramrail/proxy.h
@@ -16,8 +16,8 @@
 ///    request.
 ///  - 409 with {"run":"unknown"}: another attempt with the same Idempotency-Key
 ///    is in progress.
-///  - 410 with {"run":"yes"}: a request with this Idempotency-Key was run, but its
-///    answer was too long to be saved.
+///  - 410 with {"run":"yes"}: a request with this Idempotency-Key was run,
+///    but its answer was too long to be saved.
 ///  - Any other answer comes from the target.
 ///
 /// Usage:
--- a/test/stack/tcp_stack_test.cpp
+++ b/test/stack/tcp_stack_test.cpp
@@ -13,8 +13,8 @@
 constexpr std::uint32_t CallerAddress = 0x0a000001;
 constexpr endpoint Service{0x0a00ff01, 443};
 
-/// Both ends of the flows in one stack. Packets are queued in Wire and
-/// delivered by exchange().
+/// Both ends of the flows in one stack. Packets are queued in
+/// PacketQueue and delivered by exchange().
 struct loopback_stack {
   timer_service Timers;
   std::deque<std::vector<std::uint8_t>> PacketQueue;
