--- a/src/proxy/caller_flow.cpp
+++ b/src/proxy/caller_flow.cpp
@@ -4,45 +4,45 @@
 
 static h2_settings callerSettings() {
   h2_settings Settings;
-  // Bodies are taken as fast as the target takes them.
+  // The window is extended only as fast as the target accepts the bodies.
   Settings.ConsumeAtOnce = false;
   return Settings;
 }
 
 caller_flow::caller_flow(flow_number Number, const flow_origin &Origin,
-                         proxy_flow::hooks Outer, caller_flow_hooks Inner,
-                         instant Now)
-    : Number(Number), Origin(Origin), Outer(std::move(Outer)),
-      Inner(std::move(Inner)),
+                         proxy_flow::hooks FlowHooks,
+                         caller_flow_hooks ProxyHooks, instant Now)
+    : Number(Number), Origin(Origin), FlowHooks(std::move(FlowHooks)),
+      ProxyHooks(std::move(ProxyHooks)),
       Session(h2_role::Server, callerSettings(), sessionHooks()),
-      LastHeard(Now) {
+      LastReceived(Now) {
   Session.flush();
 }
 
-caller_flow::~caller_flow() { Inner.OnDestroyed(Number); }
+caller_flow::~caller_flow() { ProxyHooks.OnDestroyed(Number); }
 
 h2_hooks caller_flow::sessionHooks() {
   h2_hooks Hooks;
-  Hooks.Output = [this](std::string_view Bytes) { Outer.Output(Bytes); };
+  Hooks.Output = [this](std::string_view Bytes) { FlowHooks.Output(Bytes); };
   Hooks.OnHead = [this](h2_stream Id, const h2_head &Head, bool End) {
-    Inner.OnRequest({Number, Id}, Head, End);
+    ProxyHooks.OnRequest({Number, Id}, Head, End);
   };
   Hooks.OnData = [this](h2_stream Id, std::string_view Bytes, bool End) {
-    Inner.OnBody({Number, Id}, Bytes, End);
+    ProxyHooks.OnBody({Number, Id}, Bytes, End);
   };
   Hooks.OnClose = [this](h2_stream Id, h2_error) {
-    Inner.OnCancel({Number, Id});
+    ProxyHooks.OnCancel({Number, Id});
   };
   return Hooks;
 }
 
 void caller_flow::input(std::string_view Bytes) {
-  if (Over)
+  if (FlowEnded)
     return;
-  HeardSince = true;
+  ReceivedSinceCheck = true;
   if (!Session.input(Bytes))
-    return over(flow_over::BrokenProtocol);
-  Inner.OnInput();
+    return endFlow(proxy_flow_end::BrokenProtocol);
+  ProxyHooks.OnInput();
   endIfDone();
 }
 
@@ -63,7 +63,7 @@
 }
 
 void caller_flow::flush() {
-  if (Over)
+  if (FlowEnded)
     return;
   Session.flush();
   endIfDone();
@@ -75,20 +75,20 @@
 }
 
 void caller_flow::finishShutdown() {
-  Leaving = true;
+  ShuttingDown = true;
   Session.finishShutdown();
   flush();
 }
 
-bool caller_flow::checkSilence(instant Now, duration Bound) {
-  if (Over)
+bool caller_flow::checkLiveness(instant Now, duration Bound) {
+  if (FlowEnded)
     return false;
-  if (std::exchange(HeardSince, false)) {
-    LastHeard = Now;
+  if (std::exchange(ReceivedSinceCheck, false)) {
+    LastReceived = Now;
     return false;
   }
-  if (Now - LastHeard >= Bound) {
-    over(flow_over::Silent);
+  if (Now - LastReceived >= Bound) {
+    endFlow(proxy_flow_end::Unresponsive);
     return true;
   }
   Session.ping();
@@ -97,13 +97,13 @@
 }
 
 void caller_flow::endIfDone() {
-  if (!Session.alive() || (Leaving && Session.openStreams() == 0))
-    over(flow_over::Finished);
+  if (!Session.alive() || (ShuttingDown && Session.openStreams() == 0))
+    endFlow(proxy_flow_end::Finished);
 }
 
-void caller_flow::over(flow_over Why) {
-  if (!std::exchange(Over, true))
-    Outer.OnOver(Why);
+void caller_flow::endFlow(proxy_flow_end Why) {
+  if (!std::exchange(FlowEnded, true))
+    FlowHooks.OnEnded(Why);
 }
 
 } // namespace marjoramrail::internal
--- a/src/proxy/proxy_state.h
+++ b/src/proxy/proxy_state.h
@@ -1,9 +1,11 @@
-//===- proxy_state.h - The inside of request_proxy --------------*- C++ -*-===//
+//===- proxy_state.h - Implementation state of request_proxy ----*- C++ -*-===//
 ///
 /// \file
-/// Declares what the sources of request_proxy share; each has one side of it:
-/// callers (caller_side), key records (key_side), decisions (decision_side),
-/// answers and links (answer_side, link_side).
+/// Declares request_proxy::impl, which is implemented in several source files:
+/// requests from callers (caller_requests), idempotency keys
+/// (idempotency_keys), admission decisions (admission_decisions), answers
+/// (answer_delivery) and connections to the target and to peers
+/// (peer_connections).
 ///
 //===----------------------------------------------------------------------===//
 
@@ -13,8 +15,8 @@
 #include "marjoramrail/proxy.h"
 #include "proxy/answers.h"
 #include "proxy/exchange.h"
+#include "proxy/idempotency_service.h"
 #include "proxy/key_codec.h"
-#include "proxy/key_desk.h"
 #include "proxy/request_head.h"
 
 #include <algorithm>
@@ -27,24 +29,30 @@
 
 namespace internal {
 
-/// Answer bytes in a caller's session before the target is held back.
-inline constexpr std::size_t MaxAnswerQueued = 256 * 1024;
-/// Between the two GOAWAYs: longer than a round trip, so that a request sent
-/// before the first was seen is counted by the second.
-inline constexpr duration ShutdownPause = std::chrono::seconds(1);
-/// A target or peer that does not take connections is asked again after this.
-inline constexpr duration UnreachableRetry = std::chrono::seconds(1);
-/// Parts of SilentFlow between two looks at each flow.
-inline constexpr int SilenceChecks = 3;
-inline constexpr std::uint8_t NoMoreHops = 255;
-/// Where peers post messages of key records.
+/// Answer bytes queued in a caller's session above which the target's
+/// flow-control window is no longer extended.
+inline constexpr std::size_t MaxQueuedAnswerBytes = 256 * 1024;
+/// Time between the two GOAWAY frames of a shutdown. It is longer than a round
+/// trip, so that the second one covers requests that the caller sent before it
+/// received the first.
+inline constexpr duration GoAwayDelay = std::chrono::seconds(1);
+/// Retry delay for a target or peer that cannot be connected to.
+inline constexpr duration UnreachableRetryDelay = std::chrono::seconds(1);
+/// Number of liveness checks of each flow per IdleTimeout.
+inline constexpr int LivenessChecksPerTimeout = 3;
+/// Hop count of a request that must not be relayed (again).
+inline constexpr std::uint8_t RelayForbiddenHops = 255;
+/// Path to which peers send key messages.
 inline constexpr std::string_view KeysPath = "/.marjoramrail/keys";
-/// Longer keys are refused: records of them are held at two agents.
-inline constexpr std::size_t LongestKey = 128;
-/// A batch of records in a sync is far smaller.
-inline constexpr std::size_t LongestKeyBatch = 1024 * 1024;
-/// Ids of posted key messages, apart from those of requests.
-inline constexpr std::uint64_t FirstPostId = 1ULL << 63;
+/// Requests with longer keys are refused, because the records of each key are
+/// stored by two agents.
+inline constexpr std::size_t MaxKeyBytes = 128;
+/// Limit for a batch of key messages. The batches of records of a sync are far
+/// smaller.
+inline constexpr std::size_t MaxKeyBatchBytes = 1024 * 1024;
+/// First id of requests that carry key messages; ids of callers' requests are
+/// below it.
+inline constexpr std::uint64_t FirstKeyMessageId = 1ULL << 63;
 
 } // namespace internal
 
@@ -59,17 +67,18 @@
   std::uint64_t LastFlow = 0;
   std::map<flow_number, caller_flow *> Flows;
   std::map<request_id, exchange> Exchanges;
-  std::map<answer_place, request_id> ByPlace;
-  /// Requests of which bytes are held back in either direction.
-  std::set<request_id> Held;
-  key_desk Keys;
-  bool KeysKnown = false;
-  std::uint64_t LastPost = FirstPostId;
-  /// Batches of key messages that are coming in.
-  std::map<answer_place, std::string> KeyBatches;
+  std::map<reply_address, request_id> ByReplyAddress;
+  /// Requests with unconsumed body or answer bytes.
+  std::set<request_id> FlowControlled;
+  idempotency_service Idempotency;
+  bool KeyViewKnown = false;
+  std::uint64_t LastKeyMessageId = FirstKeyMessageId;
+  /// Batches of key messages that are being received.
+  std::map<reply_address, std::string> KeyBatches;
   std::unique_ptr<client_link> Target;
   std::map<host_id, std::unique_ptr<client_link>> PeerLinks;
-  /// Links that take no more requests; freed outside of their own events.
+  /// Links that accept no more requests. They are destroyed outside their own
+  /// events.
   std::list<std::unique_ptr<client_link>> Retired;
   std::vector<timer_id> Periodic;
   bool TickSet = false;
@@ -80,17 +89,17 @@
        proxy_hooks Hooks);
   ~impl();
 
-  // Callers' side.
-  void onRequest(answer_place Place, const h2_head &Head, bool End);
-  void onBody(answer_place Place, std::string_view Bytes, bool End);
-  void onCancel(answer_place Place);
+  // Requests from callers (caller_requests).
+  void onRequest(reply_address ReplyTo, const h2_head &Head, bool End);
+  void onBody(reply_address ReplyTo, std::string_view Bytes, bool End);
+  void onCancel(reply_address ReplyTo);
   void deadlinePassed(request_id Id);
   caller_flow *flowOf(const exchange &Exchange);
 
-  // Decisions.
-  void begin(request_id Id, exchange &Exchange);
+  // Admission decisions (admission_decisions).
+  void startExchange(request_id Id, exchange &Exchange);
   void offer(request_id Id);
-  void act(const decision &Decision);
+  void applyDecision(const decision &Decision);
   void decideQueued();
   void runIfClaimed(request_id Id);
   void run(request_id Id, exchange &Exchange);
@@ -99,39 +108,40 @@
   void sendToPeer(request_id Id, exchange &Exchange);
   void relayFailed(request_id Id, duration RetryAfter);
 
-  // Answers.
-  void answer(request_id Id, const own_answer &Answer);
-  void give(exchange &Exchange, const own_answer &Answer);
-  void outcomeUnknown(request_id Id, bool DeadlinePassed);
+  // Answers (answer_delivery).
+  void answer(request_id Id, const agent_answer &Answer);
+  void sendAgentAnswer(exchange &Exchange, const agent_answer &Answer);
+  void answerUnknownOutcome(request_id Id, bool DeadlinePassed);
   void finish(request_id Id, work_outcome Outcome);
   void erase(request_id Id);
 
-  // Links' side.
-  // Key records.
+  // Idempotency keys (idempotency_keys).
   void startClaim(request_id Id, exchange &Exchange);
-  bool claimAgain(request_id Id);
+  bool retryClaim(request_id Id);
   void onClaim(request_id Id, const key_result &Result);
   void settle(request_id Id, exchange &Exchange, key_state State);
-  void postKeys(host_id Peer, const key_messages &Messages);
-  void takeKeys(answer_place Place, std::string_view Bytes, bool End);
-  void leaveRunning(answer_place Place);
-  void flowGone(flow_number Gone);
+  void sendKeyMessages(host_id Peer, const key_messages &Messages);
+  void receiveKeyMessages(reply_address ReplyTo, std::string_view Bytes,
+                          bool End);
+  void detachOrCancel(reply_address ReplyTo);
+  void onFlowDestroyed(flow_number Destroyed);
 
+  // Connections to the target and to peers (peer_connections).
   client_link &targetLink();
   client_link &peerLink(host_id Peer, const endpoint &Address);
   std::unique_ptr<client_link> newLink(const endpoint &Address);
   void retire(std::unique_ptr<client_link> &Link);
   void onAnswerHead(request_id Id, const h2_head &Head, bool End);
   void onAnswerData(request_id Id, std::string_view Bytes, bool End);
-  void countLate(request_id Id);
+  void countLateAnswer(request_id Id);
   void onNotRun(request_id Id);
-  void answerOver(request_id Id);
-  void holdBody(request_id Id, std::size_t Bytes);
-  void releaseHeld();
-  bool releaseHeld(request_id Id, exchange &Exchange);
+  void onAnswerComplete(request_id Id);
+  void addUnconsumedBody(request_id Id, std::size_t Bytes);
+  void releaseFlowControl();
+  bool releaseFlowControl(request_id Id, exchange &Exchange);
 
-  void checkSilence();
-  void freeRetired();
+  void checkLiveness();
+  void destroyIdleRetired();
 };
 
 } // namespace marjoramrail
--- a/src/stack/tcp_stack.cpp
+++ b/src/stack/tcp_stack.cpp
@@ -1,12 +1,12 @@
-//===- tcp_stack.cpp - lwIP behind tcp_stack and stack_flow -------*- C++
-//-*-===//
+//===- tcp_stack.cpp - tcp_stack and stack_flow on top of lwIP --*- C++ -*-===//
 ///
 /// \file
-/// The only file that includes lwIP's headers: they clash with the system's.
+/// The only file that includes lwIP's headers, because they conflict with the
+/// system's socket headers.
 ///
-/// lwIP is Debian's build for a thread of its own (NO_SYS 0). Here it runs on
-/// the caller's thread: its timer is called by the timer service every
-/// TCP_TMR_INTERVAL and its own timeouts are never checked.
+/// Debian builds lwIP to run on a separate thread (NO_SYS 0). Here it runs on
+/// the caller's thread: the timer service calls tcp_tmr() every
+/// TCP_TMR_INTERVAL, and lwIP's own timeouts are never checked.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,31 +25,31 @@
 
 namespace internal {
 
-/// The state that a stack_flow, lwIP's callbacks and a running hook share. It
-/// outlives whichever of them goes first.
+/// State shared by a stack_flow, lwIP's callbacks and a running hook. Reference
+/// counting keeps it alive until none of them uses it.
 struct stack_connection
     : public std::enable_shared_from_this<stack_connection> {
   tcp_pcb *Pcb = nullptr;
   flow_key Key;
   stack_flow::hooks Hooks;
-  /// Received and not yet consumed, in bytes.
+  /// Number of bytes that were received but not yet consumed.
   std::size_t Unconsumed = 0;
-  /// lwIP must not be left with a freed connection, so an abort from within a
-  /// callback is carried out when the hook has returned.
-  int Depth = 0;
-  bool AbortWanted = false;
-  bool PeerEnded = false;
-  bool WeEnded = false;
+  /// Number of nested hook calls. An abort from within a hook is delayed until
+  /// the hook has returned, because lwIP still uses the connection.
+  int HookDepth = 0;
+  bool AbortPending = false;
+  bool RemoteEnded = false;
+  bool LocalEnded = false;
 
   void attach(tcp_pcb *Connection);
   void detach();
   void abort();
   void close();
   void finishWriting();
-  void endIfBothDid();
+  void closeIfBothEnded();
 
   template <typename Hook, typename... Args>
-  err_t call(Hook Member, Args... Arguments);
+  err_t callHook(Hook Member, Args... Arguments);
 
   static err_t onReceive(void *User, tcp_pcb *Pcb, pbuf *Bytes, err_t Error);
   static err_t onSent(void *User, tcp_pcb *Pcb, u16_t Size);
@@ -83,10 +83,11 @@
   return Error == ERR_CLSD ? flow_end::Finished : flow_end::TimedOut;
 }
 
-/// lwIP gives an interface one address, and a packet that leaves for the
-/// interface's own is looped back through a thread that we do not run. So the
-/// interface bears the destination of the packet that is read, and no real
-/// address while hooks run and at all other times.
+/// An lwIP interface has only one address. A packet sent to the interface's own
+/// address is looped back through lwIP's thread, which does not run here.
+/// Therefore the interface has the destination address of a packet only while
+/// that packet is processed, and this unused address while hooks run and at all
+/// other times.
 constexpr std::uint32_t NoAddress = 1;
 
 netif Interface;
@@ -104,9 +105,9 @@
     Send(Packet->payload, Packet->len);
     return ERR_OK;
   }
-  std::vector<std::uint8_t> Whole(Packet->tot_len);
-  pbuf_copy_partial(Packet, Whole.data(), Packet->tot_len, 0);
-  Send(Whole.data(), Whole.size());
+  std::vector<std::uint8_t> Contiguous(Packet->tot_len);
+  pbuf_copy_partial(Packet, Contiguous.data(), Packet->tot_len, 0);
+  Send(Contiguous.data(), Contiguous.size());
   return ERR_OK;
 }
 
@@ -117,8 +118,8 @@
   return ERR_OK;
 }
 
-/// Addresses of a packet that lwIP may read.
-struct packet_ends {
+/// Header fields of a valid TCP packet.
+struct packet_header {
   flow_key Flow;
   std::uint32_t Sequence = 0;
   bool OpensFlow = false;
@@ -131,7 +132,7 @@
   return Value;
 }
 
-std::optional<packet_ends> readEnds(std::span<const std::uint8_t> Packet) {
+std::optional<packet_header> parseHeader(std::span<const std::uint8_t> Packet) {
   constexpr std::size_t MinIp = 20;
   constexpr std::size_t MinTcp = 20;
   constexpr std::uint32_t FragmentBits = 0x3fff;
@@ -147,15 +148,15 @@
     return std::nullopt;
   if ((bigEndian(&Packet[6], 2) & FragmentBits) != 0)
     return std::nullopt;
-  packet_ends Ends;
+  packet_header Parsed;
   const std::uint8_t *Tcp = &Packet[Header];
-  Ends.Flow.Caller = {bigEndian(&Packet[12], 4),
-                      static_cast<std::uint16_t>(bigEndian(Tcp, 2))};
-  Ends.Flow.Service = {bigEndian(&Packet[16], 4),
-                       static_cast<std::uint16_t>(bigEndian(Tcp + 2, 2))};
-  Ends.Sequence = bigEndian(Tcp + 4, 4);
-  Ends.OpensFlow = (Tcp[13] & SynAckBits) == SynBit;
-  return Ends;
+  Parsed.Flow.Caller = {bigEndian(&Packet[12], 4),
+                        static_cast<std::uint16_t>(bigEndian(Tcp, 2))};
+  Parsed.Flow.Service = {bigEndian(&Packet[16], 4),
+                         static_cast<std::uint16_t>(bigEndian(Tcp + 2, 2))};
+  Parsed.Sequence = bigEndian(Tcp + 4, 4);
+  Parsed.OpensFlow = (Tcp[13] & SynAckBits) == SynBit;
+  return Parsed;
 }
 
 tcp_pcb *findIn(tcp_pcb *List, const flow_key &Flow) {
@@ -172,28 +173,30 @@
   return Count;
 }
 
-/// A caller may use its port again at once (RFC 9293, 3.6.1). lwIP would answer
-/// the SYN out of TIME_WAIT and the caller would wait for minutes.
-void freeReusedPort(const packet_ends &Ends) {
-  tcp_pcb *Old = findIn(tcp_tw_pcbs, Ends.Flow);
-  if (Old && static_cast<std::int32_t>(Ends.Sequence - Old->rcv_nxt) > 0)
+/// Frees the connection in TIME_WAIT whose port the caller uses again. A caller
+/// may do so immediately (RFC 9293, 3.6.1), but lwIP would answer its SYN from
+/// the old connection and the caller would wait for minutes.
+void freeReusedPort(const packet_header &Parsed) {
+  tcp_pcb *Old = findIn(tcp_tw_pcbs, Parsed.Flow);
+  if (Old && static_cast<std::int32_t>(Parsed.Sequence - Old->rcv_nxt) > 0)
     tcp_abort(Old);
 }
 
-void freeOldest(std::size_t Kept) {
-  // The newest are at the head.
+void freeOldestTimeWait(std::size_t MaxKept) {
+  // The newest connections are at the head of the list.
   std::size_t Count = 0;
   for (tcp_pcb *Pcb = tcp_tw_pcbs; Pcb;) {
     tcp_pcb *Next = Pcb->next;
-    if (++Count > Kept)
+    if (++Count > MaxKept)
       tcp_abort(Pcb);
     Pcb = Next;
   }
 }
 
-/// lwIP adds its tick count to the last initial sequence number for the next
-/// one: here once the seed, later steps that exceed a window, so that a port
-/// used again gets a number beyond those of its last flow.
+/// Sets the start value of the initial sequence numbers. lwIP computes each one
+/// by adding its tick count to the previous one. The tick count is set once to
+/// the seed and then to a step larger than a receive window, so that a flow
+/// from a reused port gets a number beyond those of the previous flow.
 void seedSequenceNumbers(std::uint32_t Seed) {
   constexpr std::uint32_t Step = 100'003;
   tcp_pcb *Any = tcp_new();
@@ -225,8 +228,8 @@
 void stack_connection::abort() {
   if (!Pcb)
     return;
-  if (Depth > 0) {
-    AbortWanted = true;
+  if (HookDepth > 0) {
+    AbortPending = true;
     return;
   }
   tcp_pcb *Ended = Pcb;
@@ -235,10 +238,10 @@
 }
 
 void stack_connection::close() {
-  if (!Pcb || AbortWanted)
+  if (!Pcb || AbortPending)
     return;
-  // lwIP answers unread data with a reset, which would also take back bytes
-  // that the peer has not read yet.
+  // If received data is unconsumed, lwIP closes with a reset, which would also
+  // discard sent bytes that the peer has not read yet.
   tcp_recved(Pcb, static_cast<u16_t>(Unconsumed));
   Unconsumed = 0;
   tcp_pcb *Ended = Pcb;
@@ -246,42 +249,43 @@
   tcp_close(Ended);
 }
 
-/// Runs a hook on behalf of lwIP. Afterwards the flow may be gone.
+/// Calls a hook from an lwIP callback. Returns ERR_ABRT if the hook aborted or
+/// destroyed the flow.
 template <typename Hook, typename... Args>
-err_t stack_connection::call(Hook Member, Args... Arguments) {
+err_t stack_connection::callHook(Hook Member, Args... Arguments) {
   const auto Self = shared_from_this();
   setInterfaceAddress(NoAddress);
-  ++Depth;
+  ++HookDepth;
   if (Hooks.*Member)
     (Hooks.*Member)(Arguments...);
-  --Depth;
-  if (!AbortWanted || Depth > 0 || !Pcb)
+  --HookDepth;
+  if (!AbortPending || HookDepth > 0 || !Pcb)
     return ERR_OK;
   abort();
   return ERR_ABRT;
 }
 
 void stack_connection::finishWriting() {
-  if (!Pcb || WeEnded)
+  if (!Pcb || LocalEnded)
     return;
-  WeEnded = true;
+  LocalEnded = true;
   tcp_shutdown(Pcb, 0, 1);
 }
 
-void stack_connection::endIfBothDid() {
-  if (!Pcb || !WeEnded || !PeerEnded)
+void stack_connection::closeIfBothEnded() {
+  if (!Pcb || !LocalEnded || !RemoteEnded)
     return;
   close();
-  call(&stack_flow::hooks::OnClosed, flow_end::Finished);
+  callHook(&stack_flow::hooks::OnClosed, flow_end::Finished);
 }
 
 err_t stack_connection::onReceive(void *User, tcp_pcb *, pbuf *Bytes, err_t) {
   const auto Self = static_cast<stack_connection *>(User)->shared_from_this();
   if (!Bytes) {
-    Self->PeerEnded = true;
-    const err_t Result = Self->call(&stack_flow::hooks::OnEnd);
+    Self->RemoteEnded = true;
+    const err_t Result = Self->callHook(&stack_flow::hooks::OnEnd);
     if (Result == ERR_OK)
-      Self->endIfBothDid();
+      Self->closeIfBothEnded();
     return Result;
   }
   err_t Result = ERR_OK;
@@ -293,7 +297,7 @@
       tcp_recved(Self->Pcb, Part->len);
     const std::string_view View(static_cast<const char *>(Part->payload),
                                 Part->len);
-    Result = Self->call(&stack_flow::hooks::OnData, View);
+    Result = Self->callHook(&stack_flow::hooks::OnData, View);
   }
   pbuf_free(Bytes);
   return Result;
@@ -301,21 +305,21 @@
 
 err_t stack_connection::onSent(void *User, tcp_pcb *, u16_t) {
   const auto Self = static_cast<stack_connection *>(User)->shared_from_this();
-  if (Self->WeEnded)
+  if (Self->LocalEnded)
     return ERR_OK;
-  return Self->call(&stack_flow::hooks::OnWritable);
+  return Self->callHook(&stack_flow::hooks::OnWritable);
 }
 
 err_t stack_connection::onConnected(void *User, tcp_pcb *, err_t) {
-  return static_cast<stack_connection *>(User)->call(
+  return static_cast<stack_connection *>(User)->callHook(
       &stack_flow::hooks::OnConnected);
 }
 
 void stack_connection::onError(void *User, err_t Error) {
   const auto Self = static_cast<stack_connection *>(User)->shared_from_this();
-  // lwIP has freed the connection.
+  // lwIP has already freed the connection.
   Self->Pcb = nullptr;
-  Self->call(&stack_flow::hooks::OnClosed, endOf(Error));
+  Self->callHook(&stack_flow::hooks::OnClosed, endOf(Error));
 }
 
 stack_flow::stack_flow(std::shared_ptr<stack_connection> State)
@@ -323,9 +327,10 @@
 
 stack_flow::~stack_flow() {
   State->abort();
-  // The hooks' captures may be gone. A hook that runs now keeps its own
-  // captures alive until it returns.
-  if (State->Depth == 0)
+  // Objects that the hooks capture may no longer exist, so no hook may be
+  // called any more. While a hook runs, its own captures must stay valid until
+  // it returns.
+  if (State->HookDepth == 0)
     State->Hooks = {};
 }
 
@@ -336,7 +341,7 @@
 std::size_t stack_flow::writable() const {
   constexpr u16_t QueueReserve = 8;
   const tcp_pcb *Pcb = State->Pcb;
-  if (!Pcb || State->WeEnded || State->AbortWanted ||
+  if (!Pcb || State->LocalEnded || State->AbortPending ||
       Pcb->snd_queuelen + QueueReserve > TCP_SND_QUEUELEN)
     return 0;
   return tcp_sndbuf(Pcb);
@@ -358,14 +363,14 @@
 void stack_flow::consumed(std::size_t Bytes) {
   Bytes = std::min(Bytes, State->Unconsumed);
   State->Unconsumed -= Bytes;
-  if (State->Pcb && !State->AbortWanted)
+  if (State->Pcb && !State->AbortPending)
     tcp_recved(State->Pcb, static_cast<u16_t>(Bytes));
 }
 
 void stack_flow::finishWriting() {
   const auto Self = State;
   Self->finishWriting();
-  Self->endIfBothDid();
+  Self->closeIfBothEnded();
 }
 
 void stack_flow::close() { State->close(); }
@@ -430,7 +435,7 @@
 
 void tcp_stack::impl::tick() {
   tcp_tmr();
-  freeOldest(Settings.MaxTimeWait);
+  freeOldestTimeWait(Settings.MaxTimeWait);
 }
 
 err_t tcp_stack::impl::onAccept(void *User, tcp_pcb *Pcb, err_t Error) {
@@ -440,10 +445,10 @@
   auto State = std::make_shared<stack_connection>();
   State->Key = {remoteOf(*Pcb), localOf(*Pcb)};
   State->attach(Pcb);
-  ++State->Depth;
+  ++State->HookDepth;
   static_cast<listener *>(User)->OnAccept(std::make_unique<stack_flow>(State));
-  --State->Depth;
-  if (!State->AbortWanted)
+  --State->HookDepth;
+  if (!State->AbortPending)
     return ERR_OK;
   State->abort();
   return ERR_ABRT;
@@ -461,7 +466,7 @@
     tcp_close(Listener->Pcb);
   while (tcp_active_pcbs)
     tcp_abandon(tcp_active_pcbs, 0);
-  freeOldest(0);
+  freeOldestTimeWait(0);
   CurrentOutput = nullptr;
 }
 
@@ -512,17 +517,17 @@
 }
 
 bool tcp_stack::input(std::span<const std::uint8_t> Packet) {
-  const auto Ends = readEnds(Packet);
-  if (!Ends || !Impl->Addresses.contains(Ends->Flow.Service.Address))
+  const auto Parsed = parseHeader(Packet);
+  if (!Parsed || !Impl->Addresses.contains(Parsed->Flow.Service.Address))
     return false;
-  if (Ends->OpensFlow)
-    freeReusedPort(*Ends);
+  if (Parsed->OpensFlow)
+    freeReusedPort(*Parsed);
   const auto Size = static_cast<u16_t>(Packet.size());
   pbuf *Buffer = pbuf_alloc(PBUF_RAW, Size, PBUF_RAM);
   if (!Buffer)
     return false;
   pbuf_take(Buffer, Packet.data(), Size);
-  setInterfaceAddress(Ends->Flow.Service.Address);
+  setInterfaceAddress(Parsed->Flow.Service.Address);
   ip4_input(Buffer, &Interface);
   setInterfaceAddress(NoAddress);
   return true;
@@ -534,15 +539,15 @@
     return;
   auto *State = static_cast<stack_connection *>(Pcb->callback_arg);
   const bool Accepted = Pcb->state != SYN_RCVD && State;
-  std::shared_ptr<stack_connection> Keeper;
+  std::shared_ptr<stack_connection> Connection;
   if (Accepted) {
-    Keeper = State->shared_from_this();
-    Keeper->detach();
+    Connection = State->shared_from_this();
+    Connection->detach();
   }
   tcp_err(Pcb, nullptr);
   tcp_abandon(Pcb, 0);
   if (Accepted)
-    Keeper->call(&stack_flow::hooks::OnClosed, flow_end::Reset);
+    Connection->callHook(&stack_flow::hooks::OnClosed, flow_end::Reset);
 }
 
 std::size_t tcp_stack::connections() const {
--- a/test/proxy/proxy_bench.h
+++ b/test/proxy/proxy_fixture.h
@@ -1,7 +1,7 @@
-//===- proxy_bench.h - A proxy between fake callers and targets -*- C++ -*-===//
+//===- proxy_fixture.h - Proxy with fake callers and targets ----*- C++ -*-===//
 
-#ifndef MARJORAMRAIL_TEST_PROXY_PROXY_BENCH_H
-#define MARJORAMRAIL_TEST_PROXY_PROXY_BENCH_H
+#ifndef MARJORAMRAIL_TEST_PROXY_PROXY_FIXTURE_H
+#define MARJORAMRAIL_TEST_PROXY_PROXY_FIXTURE_H
 
 #include "marjoramrail/proxy.h"
 
@@ -14,10 +14,10 @@
 inline constexpr endpoint TargetAddress{0x7f000001, 9000};
 inline constexpr endpoint PeerAddress{0x7f000001, 9001};
 
-/// The far end of one connection that the proxy opened: an HTTP/2 server whose
-/// answers the test gives.
-struct far_server {
-  struct seen {
+/// The other end of a connection that the proxy opened: an HTTP/2 server whose
+/// answers the test determines.
+struct fake_server {
+  struct received_request {
     h2_stream Stream;
     h2_head Head;
     std::string Body;
@@ -26,16 +26,16 @@
   };
 
   byte_events Events;
-  std::string ToServer;
-  std::string ToProxy;
+  std::string BytesToServer;
+  std::string BytesToProxy;
   std::unique_ptr<h2_session> Session;
-  std::deque<seen> Requests;
+  std::deque<received_request> Requests;
   bool Open = true;
   bool Connected = false;
 
-  far_server() {
+  fake_server() {
     h2_hooks Hooks;
-    Hooks.Output = [this](std::string_view Bytes) { ToProxy += Bytes; };
+    Hooks.Output = [this](std::string_view Bytes) { BytesToProxy += Bytes; };
     Hooks.OnHead = [this](h2_stream Id, const h2_head &Head, bool End) {
       Requests.push_back({Id, Head, "", End, std::nullopt});
     };
@@ -50,8 +50,8 @@
                                            std::move(Hooks));
   }
 
-  seen &at(h2_stream Id) {
-    for (seen &Request : Requests)
+  received_request &at(h2_stream Id) {
+    for (received_request &Request : Requests)
       if (Request.Stream == Id)
         return Request;
     REQUIRE(false);
@@ -65,8 +65,8 @@
   }
 };
 
-/// One caller with its HTTP/2 session.
-struct near_caller {
+/// A caller with its HTTP/2 session.
+struct test_caller {
   struct answer {
     std::string Status;
     h2_head Head;
@@ -74,17 +74,17 @@
     std::optional<h2_error> Closed;
   };
 
-  std::string ToProxy;
-  std::string ToCaller;
+  std::string BytesToProxy;
+  std::string BytesToCaller;
   std::unique_ptr<h2_session> Session;
   std::map<h2_stream, answer> Answers;
   bool GoAway = false;
-  std::optional<flow_over> Over;
+  std::optional<proxy_flow_end> FlowEnd;
   std::unique_ptr<proxy_flow> Flow;
 
-  near_caller() {
+  test_caller() {
     h2_hooks Hooks;
-    Hooks.Output = [this](std::string_view Bytes) { ToProxy += Bytes; };
+    Hooks.Output = [this](std::string_view Bytes) { BytesToProxy += Bytes; };
     Hooks.OnHead = [this](h2_stream Id, const h2_head &Head, bool) {
       Answers[Id].Status = Head.get(":status");
       Answers[Id].Head = Head;
@@ -100,8 +100,8 @@
                                            std::move(Hooks));
   }
 
-  h2_stream ask(const std::string &Path,
-                const std::vector<h2_field> &More = {}) {
+  h2_stream sendRequest(const std::string &Path,
+                        const std::vector<h2_field> &More = {}) {
     h2_head Head{{{":method", "POST"},
                   {":scheme", "http"},
                   {":authority", "ledger"},
@@ -111,18 +111,18 @@
   }
 };
 
-/// A proxy, its callers and the servers that it connected to; bytes cross when
-/// the test says so.
-class proxy_bench {
+/// A proxy, its callers and the servers to which it is connected. Bytes are
+/// transferred only when the test calls exchange() or a function that does.
+class proxy_fixture {
 public:
   timer_service Timers;
   proxy_settings Settings;
-  std::map<endpoint, std::deque<std::unique_ptr<far_server>>> Servers;
+  std::map<endpoint, std::deque<std::unique_ptr<fake_server>>> Servers;
   std::map<endpoint, bool> Unreachable;
-  std::deque<std::unique_ptr<near_caller>> Callers;
+  std::deque<std::unique_ptr<test_caller>> Callers;
   std::unique_ptr<request_proxy> Proxy;
 
-  explicit proxy_bench(std::uint32_t Slots = 4, bool FirstEver = true) {
+  explicit proxy_fixture(std::uint32_t Slots = 4, bool FirstEver = true) {
     Settings.Incarnation = 1;
     Settings.Past =
         FirstEver ? replica_history::NewService : replica_history::MayHaveRun;
@@ -136,45 +136,45 @@
     };
     Hooks.RelayOf = [](host_id) { return std::optional(PeerAddress); };
     Proxy = std::make_unique<request_proxy>(Timers, Settings, std::move(Hooks));
-    Proxy->takeKeyView({{{host_id(1), 1, false}}, {{1, {host_id(1)}}}});
+    Proxy->setKeyView({{{host_id(1), 1, false}}, {{1, {host_id(1)}}}});
   }
 
-  ~proxy_bench() {
+  ~proxy_fixture() {
     Callers.clear();
     Proxy.reset();
   }
 
-  near_caller &open(const flow_origin &Origin = {1, false}) {
-    Callers.push_back(std::make_unique<near_caller>());
-    near_caller *Caller = Callers.back().get();
+  test_caller &open(const flow_origin &Origin = {1, false}) {
+    Callers.push_back(std::make_unique<test_caller>());
+    test_caller *Caller = Callers.back().get();
     proxy_flow::hooks Hooks;
     Hooks.Output = [Caller](std::string_view Bytes) {
-      Caller->ToCaller += Bytes;
+      Caller->BytesToCaller += Bytes;
     };
-    Hooks.OnOver = [Caller](flow_over Why) { Caller->Over = Why; };
+    Hooks.OnEnded = [Caller](proxy_flow_end Why) { Caller->FlowEnd = Why; };
     Caller->Flow = Proxy->open(Origin, std::move(Hooks));
     return *Caller;
   }
 
-  far_server &target(std::size_t Index = 0) {
+  fake_server &target(std::size_t Index = 0) {
     return *Servers[TargetAddress].at(Index);
   }
-  far_server &peer() { return *Servers[PeerAddress].at(0); }
+  fake_server &peer() { return *Servers[PeerAddress].at(0); }
 
-  /// Moves all bytes until none are left.
+  /// Transfers bytes in both directions until none are pending.
   void exchange() {
-    bool Moved = true;
-    while (Moved) {
-      Moved = false;
+    bool Transferred = true;
+    while (Transferred) {
+      Transferred = false;
       for (const auto &Caller : Callers)
-        Moved |= moveCaller(*Caller);
+        Transferred |= transferCaller(*Caller);
       for (auto &[Address, List] : Servers)
         for (std::size_t I = 0; I < List.size(); ++I)
-          Moved |= moveServer(*List[I]);
+          Transferred |= transferServer(*List[I]);
     }
   }
 
-  void pass(duration Time) {
+  void advanceTime(duration Time) {
     exchange();
     for (const instant End = Timers.now() + Time; Timers.now() < End;) {
       Timers.advance(Timers.now() + std::chrono::milliseconds(10));
@@ -182,8 +182,8 @@
     }
   }
 
-  /// The connection ends without a word.
-  void cut(far_server &Server) {
+  /// Ends the connection without sending anything.
+  void disconnect(fake_server &Server) {
     Server.Open = false;
     Server.Events.OnClosed();
     exchange();
@@ -191,15 +191,17 @@
 
 private:
   struct stream : public byte_stream {
-    far_server &Server;
-    explicit stream(far_server &Server) : Server(Server) {}
-    void write(std::string_view Bytes) override { Server.ToServer += Bytes; }
+    fake_server &Server;
+    explicit stream(fake_server &Server) : Server(Server) {}
+    void write(std::string_view Bytes) override {
+      Server.BytesToServer += Bytes;
+    }
   };
 
   std::unique_ptr<byte_stream> connect(const endpoint &To, byte_events Events) {
     auto &List = Servers[To];
-    List.push_back(std::make_unique<far_server>());
-    far_server &Server = *List.back();
+    List.push_back(std::make_unique<fake_server>());
+    fake_server &Server = *List.back();
     Server.Events = std::move(Events);
     Timers.after(std::chrono::milliseconds(1), [this, To, &Server] {
       if (Unreachable[To])
@@ -210,25 +212,25 @@
     return std::make_unique<stream>(Server);
   }
 
-  static bool moveCaller(near_caller &Caller) {
+  static bool transferCaller(test_caller &Caller) {
     Caller.Session->flush();
-    const std::string Up = std::exchange(Caller.ToProxy, {});
+    const std::string Up = std::exchange(Caller.BytesToProxy, {});
     if (!Up.empty() && Caller.Flow)
       Caller.Flow->input(Up);
-    const std::string Down = std::exchange(Caller.ToCaller, {});
+    const std::string Down = std::exchange(Caller.BytesToCaller, {});
     if (!Down.empty())
       CHECK(Caller.Session->input(Down));
     return !Up.empty() || !Down.empty();
   }
 
-  static bool moveServer(far_server &Server) {
+  static bool transferServer(fake_server &Server) {
     if (!Server.Open || !Server.Connected)
       return false;
-    const std::string Up = std::exchange(Server.ToServer, {});
+    const std::string Up = std::exchange(Server.BytesToServer, {});
     if (!Up.empty())
       CHECK(Server.Session->input(Up));
     Server.Session->flush();
-    const std::string Down = std::exchange(Server.ToProxy, {});
+    const std::string Down = std::exchange(Server.BytesToProxy, {});
     if (!Down.empty())
       Server.Events.OnData(Down);
     return !Up.empty() || !Down.empty();
@@ -237,4 +239,4 @@
 
 } // namespace marjoramrail::testing
 
-#endif // MARJORAMRAIL_TEST_PROXY_PROXY_BENCH_H
+#endif // MARJORAMRAIL_TEST_PROXY_PROXY_FIXTURE_H
--- a/test/stack/tcp_stack_test.cpp
+++ b/test/stack/tcp_stack_test.cpp
@@ -13,43 +13,44 @@
 constexpr std::uint32_t CallerAddress = 0x0a000001;
 constexpr endpoint Service{0x0a00ff01, 443};
 
-/// Both ends in one stack, joined by a queue of packets that the test moves.
-struct looped_stack {
+/// Both ends of the flows in one stack. Packets are queued in
+/// PacketQueue and delivered by exchange().
+struct loopback_stack {
   timer_service Timers;
-  std::deque<std::vector<std::uint8_t>> Wire;
-  bool Cut = false;
+  std::deque<std::vector<std::uint8_t>> PacketQueue;
+  bool DropPackets = false;
   std::unique_ptr<tcp_stack> Stack;
   std::vector<std::unique_ptr<stack_flow>> Accepted;
-  std::function<stack_flow::hooks(stack_flow &)> HooksOfAccepted;
+  std::function<stack_flow::hooks(stack_flow &)> HooksForAccepted;
 
-  explicit looped_stack(const tcp_stack_settings &Settings = {}) {
+  explicit loopback_stack(const tcp_stack_settings &Settings = {}) {
     Stack = std::make_unique<tcp_stack>(Timers, Settings, [this](auto Packet) {
-      Wire.emplace_back(Packet.begin(), Packet.end());
+      PacketQueue.emplace_back(Packet.begin(), Packet.end());
     });
     Stack->addAddress(CallerAddress);
     Stack->addAddress(Service.Address);
     REQUIRE(Stack->listen(Service, [this](std::unique_ptr<stack_flow> Flow) {
-      if (HooksOfAccepted)
-        Flow->setHooks(HooksOfAccepted(*Flow));
+      if (HooksForAccepted)
+        Flow->setHooks(HooksForAccepted(*Flow));
       Accepted.push_back(std::move(Flow));
     }));
   }
 
-  ~looped_stack() {
+  ~loopback_stack() {
     Accepted.clear();
     Stack.reset();
   }
 
   void exchange() {
-    while (!Wire.empty()) {
-      const auto Packet = std::move(Wire.front());
-      Wire.pop_front();
-      if (!Cut)
+    while (!PacketQueue.empty()) {
+      const auto Packet = std::move(PacketQueue.front());
+      PacketQueue.pop_front();
+      if (!DropPackets)
         Stack->input(Packet);
     }
   }
 
-  void pass(duration Time) {
+  void advanceTime(duration Time) {
     const instant End = Timers.now() + Time;
     while (Timers.now() < End) {
       Timers.advance(Timers.now() + milliseconds(50));
@@ -79,8 +80,8 @@
 } // namespace
 
 TEST_CASE("tcp_stack echoes 100 kB between two addresses") {
-  looped_stack Loop;
-  Loop.HooksOfAccepted = echo;
+  loopback_stack Loop;
+  Loop.HooksForAccepted = echo;
   std::string Sent(100'000, 'x');
   for (std::size_t Index = 0; Index < Sent.size(); ++Index)
     Sent[Index] = static_cast<char>(Index * 7);
@@ -100,15 +101,15 @@
   Flow = Owner.get();
 
   WriteMore();
-  Loop.pass(seconds(5));
+  Loop.advanceTime(seconds(5));
 
   CHECK(Received == Sent);
 }
 
-TEST_CASE("tcp_stack holds the peer back while data is not consumed") {
-  looped_stack Loop;
+TEST_CASE("tcp_stack stops the peer from sending while data is not consumed") {
+  loopback_stack Loop;
   std::size_t Received = 0;
-  Loop.HooksOfAccepted = [&](stack_flow &) {
+  Loop.HooksForAccepted = [&](stack_flow &) {
     stack_flow::hooks Hooks;
     Hooks.OnData = [&](std::string_view Bytes) { Received += Bytes.size(); };
     return Hooks;
@@ -119,7 +120,7 @@
 
   for (int Round = 0; Round < 20; ++Round) {
     Taken += Flow->write(Large);
-    Loop.pass(milliseconds(500));
+    Loop.advanceTime(milliseconds(500));
   }
 
   CHECK(Received <= 0xffff);
@@ -127,11 +128,11 @@
 }
 
 TEST_CASE("a flow may be destroyed in any of its own hooks") {
-  // A target that refuses a connection makes the agent drop the caller's flow
-  // while lwIP is still delivering its first bytes. Without care lwIP goes on
-  // with freed memory; the agent crashes and takes every flow with it.
-  looped_stack Loop;
-  Loop.HooksOfAccepted = [&](stack_flow &) {
+  // When the target refuses a connection, the agent destroys the caller's flow
+  // while lwIP is still delivering its first bytes. If lwIP then continued with
+  // freed memory, the agent would crash and all its flows would break.
+  loopback_stack Loop;
+  Loop.HooksForAccepted = [&](stack_flow &) {
     stack_flow::hooks Hooks;
     Hooks.OnData = [&](std::string_view) { Loop.Accepted.clear(); };
     return Hooks;
@@ -146,16 +147,16 @@
   Flow = Loop.open(4000, std::move(Hooks));
 
   Flow->write("first bytes");
-  Loop.pass(seconds(1));
+  Loop.advanceTime(seconds(1));
 
   CHECK(End == flow_end::Reset);
   CHECK(Loop.Stack->connections() == 0);
 }
 
-TEST_CASE("both ends hear of an orderly end once each direction is over") {
-  looped_stack Loop;
+TEST_CASE("OnClosed is called at both ends once both directions are closed") {
+  loopback_stack Loop;
   std::optional<flow_end> AcceptedEnd;
-  Loop.HooksOfAccepted = [&](stack_flow &Accepted) {
+  Loop.HooksForAccepted = [&](stack_flow &Accepted) {
     stack_flow::hooks Hooks;
     Hooks.OnEnd = [&Accepted] {
       Accepted.write("last words");
@@ -172,19 +173,19 @@
   const auto Flow = Loop.open(4000, std::move(Hooks));
 
   Flow->finishWriting();
-  Loop.pass(seconds(2));
+  Loop.advanceTime(seconds(2));
 
   CHECK(Received == "last words");
   CHECK(End == flow_end::Finished);
   CHECK(AcceptedEnd == flow_end::Finished);
 }
 
-TEST_CASE("a caller may use its port again while the old flow lingers") {
-  // A caller closes a flow and opens the next from the same port. The agent
-  // still keeps the old one for late packets; answered out of it, the caller
-  // would wait for two minutes.
-  looped_stack Loop;
-  Loop.HooksOfAccepted = [](stack_flow &Accepted) {
+TEST_CASE("a caller can reuse its port while the old flow is in TIME_WAIT") {
+  // A caller closes a flow and opens the next one from the same port while the
+  // agent still has the old connection in TIME_WAIT. If the old connection
+  // answered the SYN, the caller would wait for two minutes.
+  loopback_stack Loop;
+  Loop.HooksForAccepted = [](stack_flow &Accepted) {
     stack_flow::hooks Hooks;
     Hooks.OnData = [&Accepted](std::string_view) { Accepted.close(); };
     Hooks.OnEnd = [&Accepted] { Accepted.close(); };
@@ -192,9 +193,9 @@
   };
   auto First = Loop.open(4000);
   First->write("close first");
-  Loop.pass(seconds(1));
+  Loop.advanceTime(seconds(1));
   First->close();
-  Loop.pass(seconds(1));
+  Loop.advanceTime(seconds(1));
   REQUIRE(Loop.Stack->connections() == 1);
   bool Connected = false;
   stack_flow::hooks Hooks;
@@ -205,10 +206,11 @@
   CHECK(Connected);
 }
 
-TEST_CASE("closed flows beyond the bound are freed, the oldest first") {
-  // Thousands of flows a second that the agent closes would each stay for two
-  // minutes, and every packet's search would walk through them.
-  looped_stack Loop({.MaxTimeWait = 10});
+TEST_CASE("flows in TIME_WAIT above the limit are freed, the oldest first") {
+  // If the agent closes thousands of flows per second, each stays in TIME_WAIT
+  // for two minutes, and lwIP searches all of them for every packet. Without
+  // the limit the packet rate of the agent would drop.
+  loopback_stack Loop({.MaxTimeWait = 10});
   for (std::uint16_t Port = 4000; Port < 4050; ++Port) {
     const auto Flow = Loop.open(Port);
     Loop.Accepted.back()->close();
@@ -218,36 +220,38 @@
   }
   CHECK(Loop.Stack->connections() == 50);
 
-  Loop.pass(seconds(1));
+  Loop.advanceTime(seconds(1));
 
   CHECK(Loop.Stack->connections() == 10);
 }
 
-TEST_CASE("keepalives find a peer that has vanished") {
-  // Something between the two ends loses track of the flow. Neither end sends,
-  // so without probes the agent would keep it, and its target busy, for good.
-  looped_stack Loop;
+TEST_CASE("keepalive detects a peer that is unreachable") {
+  // A device in the network loses the state of the flow while neither end
+  // sends. Without keepalive probes the agent would keep the flow and its
+  // resources at the target forever.
+  loopback_stack Loop;
   std::optional<flow_end> End;
-  Loop.HooksOfAccepted = [&](stack_flow &Accepted) {
+  Loop.HooksForAccepted = [&](stack_flow &Accepted) {
     Accepted.keepAlive(seconds(10), seconds(2), 3);
     stack_flow::hooks Hooks;
     Hooks.OnClosed = [&](flow_end Reason) { End = Reason; };
     return Hooks;
   };
   const auto Flow = Loop.open(4000);
-  Loop.pass(seconds(60));
+  Loop.advanceTime(seconds(60));
   REQUIRE(!End);
 
-  Loop.Cut = true;
-  Loop.pass(seconds(30));
+  Loop.DropPackets = true;
+  Loop.advanceTime(seconds(30));
 
   CHECK(End == flow_end::TimedOut);
 }
 
-TEST_CASE("a forgotten flow sends the caller nothing") {
-  // Two agents answered a SYN that was resent, and the caller completed the
-  // other one's handshake. A reset from here would end that flow.
-  looped_stack Loop;
+TEST_CASE("forget() drops a flow without sending a packet") {
+  // Two agents answered a retransmitted SYN and the caller completed the
+  // handshake with the other one. A reset from this agent would end the
+  // caller's flow.
+  loopback_stack Loop;
   const auto Flow = Loop.open(4000);
   REQUIRE(Loop.Accepted.size() == 1);
   std::optional<flow_end> End;
@@ -258,15 +262,16 @@
   Loop.Stack->forget(Flow->key());
 
   CHECK(End == flow_end::Reset);
-  CHECK(Loop.Wire.empty());
+  CHECK(Loop.PacketQueue.empty());
 }
 
-TEST_CASE("what is not a whole TCP packet for an address of ours is refused") {
-  looped_stack Loop;
+TEST_CASE("input() rejects packets that are no complete TCP packet to an own "
+          "address") {
+  loopback_stack Loop;
   const auto Flow =
       Loop.Stack->connect({CallerAddress, 4000}, {0x0a00ff02, 443}, {});
   REQUIRE(Flow);
-  const auto Foreign = Loop.Wire.front();
+  const auto Foreign = Loop.PacketQueue.front();
 
   CHECK_FALSE(Loop.Stack->input(Foreign));
   CHECK_FALSE(Loop.Stack->input({Foreign.data(), 20}));
