--- a/daemons/forwarder/agent_target.cpp
+++ b/daemons/forwarder/agent_target.cpp
@@ -49,7 +49,7 @@
                Report.Id);
     return {409, "{}"};
   }
-  if (Verdict == report_verdict::Late) {
+  if (Verdict == report_verdict::Stale) {
     ++Late;
     Log.record(event_kind::ReportRefused, "late", Report.Id);
     return {200, "{}"};
@@ -69,10 +69,10 @@
 
 page_answer forward_agent_process::onLeave(const std::string &Id) {
   const report_verdict Verdict = Reports.leave(Id, Loop.timers().now());
-  Log.record(Verdict == report_verdict::Taken ? event_kind::ReportTaken
-                                              : event_kind::ReportRefused,
+  Log.record(Verdict == report_verdict::Accepted ? event_kind::ReportTaken
+                                                 : event_kind::ReportRefused,
              "leaves", Id);
-  if (Verdict == report_verdict::Taken) {
+  if (Verdict == report_verdict::Accepted) {
     review("the target left");
     withdrawWhenGone();
   }
@@ -86,7 +86,7 @@
 /// A leaving target refuses connections before its flows have ended: as long as
 /// it sends their last packets again, a refusal proves nothing.
 void forward_agent_process::withdrawWhenGone() {
-  if (!Reports.left() || Stopping)
+  if (!Reports.hasLeft() || Stopping)
     return;
   if (Core.targetGone())
     return withdraw();
@@ -98,7 +98,7 @@
 /// The entry is gone although the target is there. Its next flows wait until
 /// all know it again.
 void forward_agent_process::announceAgain() {
-  if (Stopping || Reports.left() || !Registrar.settled())
+  if (Stopping || Reports.hasLeft() || !Registrar.settled())
     return;
   Registrar.recheck();
 }
--- a/daemons/forwarder/event_log.cpp
+++ b/daemons/forwarder/event_log.cpp
@@ -28,7 +28,7 @@
   if (const std::uint64_t Skipped =
           Budget.leftOut(Event.What, Loop.timers().now())) {
     timeline_event Gap;
-    Gap.What = event_kind::LinesLeftOut;
+    Gap.What = event_kind::LinesDropped;
     Gap.Why = std::string(nameOf(EventKindNames, Event.What));
     Gap.Load = static_cast<double>(Skipped);
     Events.record(std::move(Gap));
--- a/daemons/forwarder/event_log.h
+++ b/daemons/forwarder/event_log.h
@@ -31,7 +31,7 @@
 
   std::uint64_t clock() const { return Events.clock(); }
   /// Puts what is recorded from now on behind what another process recorded.
-  void witness(std::uint64_t Clock) { Events.witness(Clock); }
+  void observeClock(std::uint64_t Clock) { Events.observeClock(Clock); }
 
   std::string recent() const { return Events.recent(); }
   void flush() { Lines.flush(); }
--- a/daemons/forwarder/forward_agent_process.cpp
+++ b/daemons/forwarder/forward_agent_process.cpp
@@ -86,7 +86,7 @@
   Hooks.OnEvent = [this](const flow_event &Event) { recordFlow(Event); };
   Hooks.Unlisted = [this] { announceAgain(); };
   Hooks.Unheard = [this] { announceAgain(); };
-  Hooks.Witness = [this](std::uint64_t Clock) { Log.witness(Clock); };
+  Hooks.Witness = [this](std::uint64_t Clock) { Log.observeClock(Clock); };
   return Hooks;
 }
 
@@ -105,11 +105,11 @@
       return;
     const instant Now = Loop.timers().now();
     Admission.onStored(/*Existed=*/true, Now);
-    Reports.recall(Entry.Draining, Entry.Slots, Now);
+    Reports.restore(Entry.Draining, Entry.Slots, Now);
     Core.setTarget(Entry.Slots, duration::zero(), Now);
     review("the store holds this target");
   };
-  Hooks.OnLooked = [this](bool Existed) {
+  Hooks.OnFirstRead = [this](bool Existed) {
     if (Flows)
       Flows->start(/*HasFormer=*/Existed);
   };
@@ -124,13 +124,13 @@
     Admission.onStored(IsKnown, Loop.timers().now());
     review("the store holds this target");
   };
-  Hooks.OnTrouble = [this](const std::string &Reason) {
+  Hooks.OnFailure = [this](const std::string &Reason) {
     Log.record(event_kind::StoreLost, Reason);
   };
-  Hooks.AskPeers = [this](const target_entry &Entry) {
+  Hooks.RequestPeerRegistration = [this](const target_entry &Entry) {
     if (this->Settings.Without.has(mechanism::PeerAnnouncements))
       return;
-    const std::vector<std::uint8_t> Bytes = encodeAnnouncement(Entry);
+    const std::vector<std::uint8_t> Bytes = encodeRegistrationRequest(Entry);
     for (const endpoint &Balancer : this->Settings.Balancers)
       Routed.send(Balancer, Bytes);
     Routed.flush();
@@ -224,7 +224,7 @@
     Routed.flush();
   });
   Log.record(event_kind::ProcessStarted, startReason(Settings.Without));
-  Registrar.look(Settings.entryName());
+  Registrar.readExisting(Settings.entryName());
   return {};
 }
 
@@ -244,7 +244,7 @@
 
 void forward_agent_process::endWhenDone() {
   const instant Now = Loop.timers().now();
-  const bool IsOver = Reports.left() || Core.targetGone();
+  const bool IsOver = Reports.hasLeft() || Core.targetGone();
   if (IsOver)
     withdraw();
   const bool IsDone = IsOver ? Withdrawn && Registrar.settled() : !Look;
@@ -275,7 +275,7 @@
 }
 
 void forward_agent_process::onTargetBack(const char *Why) {
-  Log.record(event_kind::TargetRegained, Why, toText(Settings.Target));
+  Log.record(event_kind::TargetRecovered, Why, toText(Settings.Target));
   Core.setTargetGone(false, Loop.timers().now());
 }
 
--- a/daemons/forwarder/forward_balancer_process.cpp
+++ b/daemons/forwarder/forward_balancer_process.cpp
@@ -141,7 +141,7 @@
     std::map<std::string, endpoint> Agents;
     if (this->Settings.Without.has(mechanism::KeptFlows))
       return Agents;
-    for (const target_entry &Target : Directory.targetsInCharge())
+    for (const target_entry &Target : Directory.supervisedTargets())
       Agents[Target.Name] = Target.Agent;
     return Agents;
   };
@@ -272,7 +272,7 @@
 void forward_balancer_process::reload(
     const balancer_program_settings &Changed) {
   Settings.Grace = Changed.Grace;
-  Directory.knowPeers(peersOf(Changed));
+  Directory.addPeers(peersOf(Changed));
   Log.record(event_kind::SettingsReloaded, "grace and seeds are taken over");
 }
 
--- a/daemons/marjoramctl/flow_story.cpp
+++ b/daemons/marjoramctl/flow_story.cpp
@@ -48,11 +48,11 @@
   case event_kind::TargetDeclines:
   case event_kind::TargetFailing:
   case event_kind::TargetGone:
-  case event_kind::TargetRegained:
+  case event_kind::TargetRecovered:
   case event_kind::AdmissionChanged:
   case event_kind::ReportTaken:
   case event_kind::StoreLost:
-  case event_kind::RoutesInForce:
+  case event_kind::RoutesActivated:
     return true;
   default:
     return false;
--- a/include/marjoramrail/directory.h
+++ b/include/marjoramrail/directory.h
@@ -89,7 +89,7 @@
   std::vector<service_share> Shares;
   /// Every service that may still hold flows of this address: present, coming
   /// and former ones.
-  std::vector<std::string> Holders;
+  std::vector<std::string> OwnerServices;
 
   bool operator==(const route_rule &) const = default;
 };
@@ -97,9 +97,9 @@
 /// Rules that are other than before, and addresses that have none any more.
 struct rule_changes {
   std::vector<route_rule> Changed;
-  std::vector<endpoint> Gone;
+  std::vector<endpoint> Removed;
 
-  bool empty() const { return Changed.empty() && Gone.empty(); }
+  bool empty() const { return Changed.empty() && Removed.empty(); }
 };
 
 /// The number under which packets between our processes name a service.
@@ -136,10 +136,11 @@
 
 /// An agent that the store refuses asks balancers, in one datagram, to write
 /// its entry.
-std::vector<std::uint8_t> encodeAnnouncement(const target_entry &Target);
-bool isAnnouncement(std::span<const std::uint8_t> Bytes);
+std::vector<std::uint8_t> encodeRegistrationRequest(const target_entry &Target);
+bool isRegistrationRequest(std::span<const std::uint8_t> Bytes);
 /// Fails with step::DecodeMessage or step::ValidateObject.
-result<target_entry> decodeAnnouncement(std::span<const std::uint8_t> Bytes);
+result<target_entry>
+decodeRegistrationRequest(std::span<const std::uint8_t> Bytes);
 
 /// What a target says of itself.
 struct target_report {
@@ -158,16 +159,16 @@
 };
 
 enum class report_verdict {
-  Taken,
+  Accepted,
   /// Of an earlier run, or overtaken by a later report of the same run.
-  Late,
+  Stale,
   /// Names another service than this agent's.
   WrongService,
 };
 
 inline constexpr name_table<report_verdict, 3> ReportVerdictNames = {{
-    {report_verdict::Taken, "taken"},
-    {report_verdict::Late, "late"},
+    {report_verdict::Accepted, "taken"},
+    {report_verdict::Stale, "late"},
     {report_verdict::WrongService, "wrong_service"},
 }};
 
@@ -182,12 +183,14 @@
   /// The target says that the run \p Id is over.
   report_verdict leave(const std::string &Id, instant Now);
   /// What the store holds of the target, until it has spoken itself.
-  void recall(bool Draining, std::uint32_t Slots, instant Now);
+  void restore(bool Draining, std::uint32_t Slots, instant Now);
 
   /// Whether new flows may go there, as far as the target has said.
-  bool acceptsNewFlows() const { return Heard && !Left && !Last.Draining; }
-  bool heard() const { return Heard; }
-  bool left() const { return Left; }
+  bool acceptsNewFlows() const {
+    return HasReport && !HasLeft && !Last.Draining;
+  }
+  bool hasReport() const { return HasReport; }
+  bool hasLeft() const { return HasLeft; }
   const target_report &last() const { return Last; }
   /// How long the target is still warming up.
   duration warmupLeft(instant Now) const;
@@ -198,9 +201,9 @@
   std::string Service;
   target_report Last;
   instant LastAt;
-  bool Heard = false;
-  bool Left = false;
-  bool OnlyRecalled = false;
+  bool HasReport = false;
+  bool HasLeft = false;
+  bool OnlyRestored = false;
 };
 
 /// Keeps an agent's entry in the store. Every write is conditional on the
@@ -218,13 +221,13 @@
     /// What the store held when it was first read, for look().
     std::function<void(const target_entry &)> OnFound;
     /// A call failed; \p Reason for the log.
-    std::function<void(const std::string &Reason)> OnTrouble;
+    std::function<void(const std::string &Reason)> OnFailure;
     /// The store does not serve this process: balancers may announce the
     /// target, which does not leave. Called at each failure; may be empty.
-    std::function<void(const target_entry &)> AskPeers = {};
+    std::function<void(const target_entry &)> RequestPeerRegistration = {};
     /// The store was read for the first time. \p Existed: it held an entry, so
     /// there was a process before this one. May be empty.
-    std::function<void(bool Existed)> OnLooked = {};
+    std::function<void(bool Existed)> OnFirstRead = {};
   };
 
   target_registrar(timer_service &Timers, platform_api Store, std::string Kind,
@@ -234,7 +237,7 @@
   target_registrar &operator=(const target_registrar &) = delete;
 
   /// Reads the entry called \p Name and leaves it as it is.
-  void look(const std::string &Name);
+  void readExisting(const std::string &Name);
   /// From now on the store shall hold \p Entry.
   void set(const target_entry &Entry);
   /// From now on the store shall hold no entry.
@@ -324,7 +327,7 @@
   void start();
 
   /// More peers to ask, from settings that have changed.
-  void knowPeers(const std::vector<endpoint> &Peers);
+  void addPeers(const std::vector<endpoint> &Peers);
 
   /// A datagram that belongs here: of another balancer, or an announcement.
   void input(const endpoint &From, std::span<const std::uint8_t> Bytes);
@@ -346,7 +349,7 @@
   void removeTarget(const endpoint &Agent);
   /// The targets of the own zone, if this balancer is the first of it and has
   /// been running for long enough to tell; none otherwise.
-  std::vector<target_entry> targetsInCharge() const;
+  std::vector<target_entry> supervisedTargets() const;
   /// Peers heard within the last seconds.
   std::size_t livePeers() const;
 
--- a/include/marjoramrail/timeline.h
+++ b/include/marjoramrail/timeline.h
@@ -67,9 +67,9 @@
   /// The target does not hold a flow any more that it held.
   FlowLost,
   /// A balancer that does not know who holds a flow sends a packet to look.
-  FlowSought,
+  OwnerLookupStarted,
   /// An agent whose target does not hold the flow gives a packet on.
-  FlowPassedOn,
+  OwnerLookupForwarded,
   /// The first bytes of a request have reached the agent of its target.
   RequestSeen,
   /// The first bytes of its answer have left: plainly, late for this target, or
@@ -79,23 +79,23 @@
   RequestFailed,
   /// An agent does not confirm what is sent to it, or does again.
   AgentSuspected,
-  AgentRegained,
+  AgentRecovered,
   /// The target does not answer its agent; takes no new flows; answers with
   /// failures, or not any more; its process is gone; it is back.
   TargetSilent,
   TargetDeclines,
   TargetFailing,
   TargetGone,
-  TargetRegained,
+  TargetRecovered,
   /// The target's own word on itself was taken, or was late or malformed.
   ReportTaken,
   ReportRefused,
   /// New flows are given to the target from now on, or not any more.
   AdmissionChanged,
   StoreLost,
-  StoreRegained,
+  StoreRecovered,
   RoutesKnown,
-  RoutesInForce,
+  RoutesActivated,
   RoutesRefused,
   ObjectRefused,
   CopiedFromPeer,
@@ -107,7 +107,7 @@
   /// One turn of the loop took long; no packet was forwarded meanwhile.
   LongTurn,
   /// Lines that the log's budget has left out since the last one of this kind.
-  LinesLeftOut,
+  LinesDropped,
 };
 
 inline constexpr name_table<event_kind, 54> EventKindNames = {{
@@ -137,26 +137,26 @@
     {event_kind::FaultInjected, "fault-injected"},
     {event_kind::FlowRefused, "flow-refused"},
     {event_kind::FlowLost, "flow-lost"},
-    {event_kind::FlowSought, "flow-sought"},
-    {event_kind::FlowPassedOn, "flow-passed-on"},
+    {event_kind::OwnerLookupStarted, "flow-sought"},
+    {event_kind::OwnerLookupForwarded, "flow-passed-on"},
     {event_kind::RequestSeen, "request-seen"},
     {event_kind::RequestAnswered, "request-answered"},
     {event_kind::RequestSlow, "request-slow"},
     {event_kind::RequestFailed, "request-failed"},
     {event_kind::AgentSuspected, "agent-suspected"},
-    {event_kind::AgentRegained, "agent-regained"},
+    {event_kind::AgentRecovered, "agent-regained"},
     {event_kind::TargetSilent, "target-silent"},
     {event_kind::TargetDeclines, "target-declines"},
     {event_kind::TargetFailing, "target-failing"},
     {event_kind::TargetGone, "target-gone"},
-    {event_kind::TargetRegained, "target-regained"},
+    {event_kind::TargetRecovered, "target-regained"},
     {event_kind::ReportTaken, "report-taken"},
     {event_kind::ReportRefused, "report-refused"},
     {event_kind::AdmissionChanged, "admission-changed"},
     {event_kind::StoreLost, "store-lost"},
-    {event_kind::StoreRegained, "store-regained"},
+    {event_kind::StoreRecovered, "store-regained"},
     {event_kind::RoutesKnown, "routes-known"},
-    {event_kind::RoutesInForce, "routes-in-force"},
+    {event_kind::RoutesActivated, "routes-in-force"},
     {event_kind::RoutesRefused, "routes-refused"},
     {event_kind::ObjectRefused, "object-refused"},
     {event_kind::CopiedFromPeer, "copied-from-peer"},
@@ -164,7 +164,7 @@
     {event_kind::CallEnded, "call-ended"},
     {event_kind::StoreCalls, "store-calls"},
     {event_kind::LongTurn, "long-turn"},
-    {event_kind::LinesLeftOut, "lines-left-out"},
+    {event_kind::LinesDropped, "lines-left-out"},
 }};
 
 /// One event; fields that do not apply stay empty.
@@ -203,10 +203,10 @@
   /// Lines of one kind a second, and at once, for the events of healthy flows.
   /// At about 20 us a line a flood costs 0.06% of a core.
   static constexpr double CommonPerSecond = 30;
-  static constexpr double CommonAtOnce = 60;
+  static constexpr double CommonBurst = 60;
   /// The same for everything else.
   static constexpr double RarePerSecond = 50;
-  static constexpr double RareAtOnce = 200;
+  static constexpr double RareBurst = 200;
 
   /// Whether an event of \p Kind may be recorded now.
   bool take(event_kind Kind, instant Now);
@@ -219,7 +219,7 @@
   struct kind_state {
     std::optional<token_bucket> Lines;
     std::uint64_t LeftOut = 0;
-    instant ToldAt;
+    instant LastReportedAt;
   };
 
   std::array<kind_state, EventKindNames.size()> Kinds{};
@@ -231,17 +231,17 @@
   using wall_clock = std::function<std::int64_t()>;
   using sink = std::function<void(const std::string &Line)>;
 
-  static constexpr std::size_t Kept = 4096;
+  static constexpr std::size_t DefaultMaxEvents = 4096;
 
   timeline(std::string Process, wall_clock WallMs, sink Sink,
-           std::size_t Kept = timeline::Kept);
+           std::size_t MaxEvents = timeline::DefaultMaxEvents);
 
   void record(timeline_event Event);
   std::uint64_t clock() const { return Clock; }
   /// Takes in the clock of a received message, unless it is more than an hour
   /// ahead of the wall clock: one corrupted message would otherwise put the
   /// events of the whole fleet in a far future.
-  void witness(std::uint64_t Received);
+  void observeClock(std::uint64_t Received);
 
   /// The last events as JSON lines, for the page /timeline.
   std::string recent() const;
--- a/src/directory/directory.cpp
+++ b/src/directory/directory.cpp
@@ -10,7 +10,7 @@
 
 /// A balancer that does not watch hears of changes, and dates its knowledge, by
 /// these; 120 bytes each, two in a round.
-constexpr duration GreetingPeriod = std::chrono::milliseconds(200);
+constexpr duration SyncPeriod = std::chrono::milliseconds(200);
 /// How often the first in rank lets a watch run out, which dates what all
 /// balancers know, at a rate of calls that does not grow with the fleet. The
 /// rest of SettleTime is for the word's way from balancer to balancer.
@@ -22,22 +22,22 @@
 /// a little longer for the first of its zone. Without these pauses every
 /// balancer of a site that starts would watch the store, and all of them be
 /// answered at each agent's announcement.
-constexpr duration FirstPeersMetAfter = std::chrono::milliseconds(400);
-constexpr duration ZonePeersMetAfter = std::chrono::seconds(2);
+constexpr duration PeerDiscoveryTime = std::chrono::milliseconds(400);
+constexpr duration ZonePeerDiscoveryTime = std::chrono::seconds(2);
 /// A balancer without peers dates its knowledge alone, within SettleTime.
-constexpr duration LoneWatch = std::chrono::milliseconds(900);
+constexpr duration SoloWatchWait = std::chrono::milliseconds(900);
 /// Longer waits only delay the notice that a connection has gone silent.
-constexpr duration MostWatch = std::chrono::seconds(20);
+constexpr duration MaxWatchWait = std::chrono::seconds(20);
 /// Balancers of a zone that watch the configuration: it is too large for a
 /// datagram, and a copy within the zone crosses no link between zones.
-constexpr std::size_t RoutesWatchersInZone = peer_ring::FirstInZone;
+constexpr std::size_t RoutesWatchersInZone = peer_selector::WatchersPerZone;
 /// A balancer whose knowledge is older watches by itself: the watchers may be
 /// cut off from the store, or it from them.
-constexpr duration TrustPeersFor = std::chrono::milliseconds(1200);
+constexpr duration PeerStateMaxAge = std::chrono::milliseconds(1200);
 /// How long a balancer that is no watcher waits between two tries while the
 /// store is away: every call is paid for, also one that is refused.
-constexpr duration PatientRetry = std::chrono::seconds(3);
-constexpr duration RecordPeriod = std::chrono::milliseconds(200);
+constexpr duration BackgroundRetry = std::chrono::seconds(3);
+constexpr duration RecordCheckPeriod = std::chrono::milliseconds(200);
 
 } // namespace
 
@@ -56,10 +56,10 @@
       Site(Timers, this->Platform.Site, this->Settings.SiteKind,
            feedHooks(this->Settings.SiteKind, &impl::onSiteObject,
                      &impl::siteWait)),
-      Intake(intakeHooks()), ZoneNumber(static_cast<std::uint32_t>(
+      Loader(loaderHooks()), ZoneNumber(static_cast<std::uint32_t>(
                                  serviceNumber(this->Settings.Zone))) {
   for (const endpoint &Seed : this->Settings.Seeds)
-    Peers.know(Seed);
+    Peers.add(Seed);
 }
 
 object_feed::hooks
@@ -72,8 +72,8 @@
   };
   Feed.OnBatch = [this] { changed(); };
   Feed.Wait = [this, Wait] { return (this->*Wait)(); };
-  Feed.OnContact = [this, Kind](bool Answers, const std::string &Reason) {
-    Hooks.OnEvent(Answers ? event_kind::StoreRegained : event_kind::StoreLost,
+  Feed.OnAvailability = [this, Kind](bool Answers, const std::string &Reason) {
+    Hooks.OnEvent(Answers ? event_kind::StoreRecovered : event_kind::StoreLost,
                   Kind + ": " + Reason);
   };
   return Feed;
@@ -83,12 +83,13 @@
   const instant Now = Timers.now();
   const auto Wait = nextWait(Routes);
   const bool IsFirst = Peers.rankIn(ZoneNumber, Now) < RoutesWatchersInZone;
-  return !Wait && IsFirst && hasMet(ZonePeersMetAfter, Now) ? ZoneWatch : Wait;
+  return !Wait && IsFirst && hasRunFor(ZonePeerDiscoveryTime, Now) ? ZoneWatch
+                                                                   : Wait;
 }
 
 std::optional<duration> directory::impl::siteWait() { return nextWait(Site); }
 
-bool directory::impl::hasMet(duration After, instant Now) const {
+bool directory::impl::hasRunFor(duration After, instant Now) const {
   return StartedAt && Now - *StartedAt >= After;
 }
 
@@ -99,47 +100,47 @@
   const instant Now = Timers.now();
   const std::size_t Rank = Peers.rank(Now);
   const std::size_t Watchers = Peers.watchers(Now);
-  const bool IsFresh = Feed.asOf() && Now - *Feed.asOf() <= TrustPeersFor;
-  if (IsFresh && (Rank >= Watchers || !hasMet(FirstPeersMetAfter, Now)))
+  const bool IsFresh = Feed.asOf() && Now - *Feed.asOf() <= PeerStateMaxAge;
+  if (IsFresh && (Rank >= Watchers || !hasRunFor(PeerDiscoveryTime, Now)))
     return std::nullopt;
   // The watchers try on behalf of all.
   const bool HasTried =
-      Feed.failedAt() && Now - *Feed.failedAt() < PatientRetry;
+      Feed.failedAt() && Now - *Feed.failedAt() < BackgroundRetry;
   if (Rank >= Watchers && HasTried)
     return std::nullopt;
   if (Rank >= Watchers || Peers.live(Now) == 0)
-    return LoneWatch;
+    return SoloWatchWait;
   if (Rank == 0)
     return WatchSpacing;
-  const duration Wait =
-      std::min(WatchSpacing * static_cast<std::int64_t>(Watchers), MostWatch);
+  const duration Wait = std::min(
+      WatchSpacing * static_cast<std::int64_t>(Watchers), MaxWatchWait);
   return Wait * std::uniform_int_distribution<int>(75, 100)(Random) / 100;
 }
 
 void directory::impl::onRoutesObject(const platform_object &Object) {
   if (Object.Key.Name != Settings.RoutesName || Object.Deleted)
     return;
-  if (!Intake.busy())
-    KnownBeforeIntake = Routes.asOf();
-  Intake.take(Object);
+  if (!Loader.busy())
+    KnownBeforeLoading = Routes.asOf();
+  Loader.take(Object);
 }
 
-route_intake::hooks directory::impl::intakeHooks() {
-  route_intake::hooks Intake;
-  Intake.Read = [this](const platform_object &Object) {
+route_loader::hooks directory::impl::loaderHooks() {
+  route_loader::hooks Loader;
+  Loader.Read = [this](const platform_object &Object) {
     return isEncodedRouteTable(Object.Body) ? readEncodedRouteTable(Object)
                                             : Hooks.ReadRoutes(Object);
   };
-  Intake.Yield = Hooks.Yield;
-  Intake.OnTable = [this](const platform_object &Object, route_table Table) {
+  Loader.Yield = Hooks.Yield;
+  Loader.OnTable = [this](const platform_object &Object, route_table Table) {
     onRoutesRead(Object, std::move(Table));
   };
-  Intake.OnUse = [this] { changed(); };
-  Intake.OnRefused = [this](const std::string &Why) {
+  Loader.OnTableReady = [this] { changed(); };
+  Loader.OnRefused = [this](const std::string &Why) {
     Hooks.OnEvent(event_kind::RoutesRefused, Why);
   };
-  Intake.OnTurn = Hooks.OnTurn;
-  return Intake;
+  Loader.OnTurn = Hooks.OnTurn;
+  return Loader;
 }
 
 void directory::impl::onRoutesRead(const platform_object &Object,
@@ -156,7 +157,7 @@
   if (Name == RecordName && !Object.Deleted) {
     Record.load(Object.Body);
     RulesChanged = true;
-    needRecord();
+    requestRecordUpdate();
     return;
   }
   if (Name.starts_with(BalancerPrefix))
@@ -207,22 +208,22 @@
   if (Object.Deleted)
     Peers.forget(*Peer);
   else
-    Peers.know(*Peer, zoneOf(Object));
+    Peers.add(*Peer, zoneOf(Object));
 }
 
 void directory::impl::changed() {
   takeNewestRoutes();
-  tellRules();
+  notifyRules();
   if (std::exchange(TargetsChanged, false))
     Hooks.OnTargets();
 }
 
-void directory::impl::tellRules() {
+void directory::impl::notifyRules() {
   if (!std::exchange(RulesChanged, false))
     return;
   measured_turn Turn(Hooks.OnTurn, turn_kind::BuildRules);
-  const rule_changes Changes = Gate.changes(Record);
-  Turn.setItems(Changes.Changed.size() + Changes.Gone.size());
+  const rule_changes Changes = Activation.changes(Record);
+  Turn.setItems(Changes.Changed.size() + Changes.Removed.size());
   if (!Changes.empty())
     Hooks.OnRules(Changes);
 }
@@ -233,34 +234,34 @@
     return;
   route_table Table = std::move(*Decoded);
   Decoded.reset();
-  if (!Gate.take(std::move(Table), Record, Timers.now()))
+  if (!Activation.take(std::move(Table), Record, Timers.now()))
     return;
   RulesChanged = true;
-  needRecord();
+  requestRecordUpdate();
   Hooks.OnEvent(event_kind::RoutesKnown,
                 "version " + std::to_string(DecodedVersion));
-  armGate();
+  armActivation();
 }
 
-void directory::impl::armGate() {
-  const auto Due = Gate.nextChange();
+void directory::impl::armActivation() {
+  const auto Due = Activation.nextChange();
   if (!Due)
     return;
   Timers.after(*Due - Timers.now(), guarded([this] {
-    if (!Gate.advance(Timers.now()))
+    if (!Activation.advance(Timers.now()))
       return;
-    Hooks.OnEvent(event_kind::RoutesInForce,
-                  "version " + std::to_string(Gate.versionInForce()));
+    Hooks.OnEvent(event_kind::RoutesActivated,
+                  "version " + std::to_string(Activation.activeVersion()));
     RulesChanged = true;
-    tellRules();
-    armGate();
+    notifyRules();
+    armActivation();
   }));
 }
 
 /// A configuration that is still being read is not known: a list without the
 /// service that it brings would be called whole.
 std::optional<instant> directory::impl::knownAsOf() const {
-  const auto RoutesAsOf = Intake.busy() ? KnownBeforeIntake : Routes.asOf();
+  const auto RoutesAsOf = Loader.busy() ? KnownBeforeLoading : Routes.asOf();
   const auto SiteAsOf = Site.asOf();
   if (!RoutesAsOf || !SiteAsOf)
     return std::nullopt;
@@ -282,26 +283,27 @@
   Impl->StartedAt = Impl->Timers.now();
   Impl->Routes.start();
   Impl->Site.start();
-  Impl->greet();
-  Impl->Timers.every(GreetingPeriod, Impl->guarded([this] { Impl->greet(); }));
-  Impl->Timers.every(RecordPeriod,
-                     Impl->guarded([this] { Impl->keepRecord(); }));
+  Impl->sendSyncMessages();
+  Impl->Timers.every(SyncPeriod,
+                     Impl->guarded([this] { Impl->sendSyncMessages(); }));
+  Impl->Timers.every(RecordCheckPeriod,
+                     Impl->guarded([this] { Impl->maintainRecord(); }));
 }
 
-void directory::knowPeers(const std::vector<endpoint> &Peers) {
+void directory::addPeers(const std::vector<endpoint> &Peers) {
   for (const endpoint &Peer : Peers)
-    Impl->Peers.know(Peer);
+    Impl->Peers.add(Peer);
 }
 
 void directory::input(const endpoint &From,
                       std::span<const std::uint8_t> Bytes) {
-  if (isAnnouncement(Bytes))
-    return Impl->announce(From, Bytes);
+  if (isRegistrationRequest(Bytes))
+    return Impl->onRegistrationRequest(From, Bytes);
   Impl->input(From, Bytes);
 }
 
 bool directory::isForDirectory(std::span<const std::uint8_t> Bytes) {
-  return isGreeting(Bytes) || isAnnouncement(Bytes);
+  return isSyncMessage(Bytes) || isRegistrationRequest(Bytes);
 }
 
 std::optional<std::string> directory::serve(const std::string &Kind) const {
@@ -313,7 +315,7 @@
   if (!Feed || !Feed->known())
     return std::nullopt;
   // What is being read has no short form yet.
-  if (Feed == &Impl->Routes && Impl->Intake.busy())
+  if (Feed == &Impl->Routes && Impl->Loader.busy())
     return std::nullopt;
   measured_turn Turn(Impl->Hooks.OnTurn, turn_kind::ServeCopies);
   platform_reply List;
@@ -326,11 +328,11 @@
 }
 
 bool directory::ready() const {
-  return Impl->Gate.known() && Impl->Site.known();
+  return Impl->Activation.known() && Impl->Site.known();
 }
 
 std::vector<route_rule> directory::rules() const {
-  return Impl->Gate.rules(Impl->Record);
+  return Impl->Activation.rules(Impl->Record);
 }
 
 std::vector<target_entry> directory::targets() const {
@@ -341,7 +343,7 @@
 }
 
 std::uint64_t directory::routesVersion() const {
-  return Impl->Gate.versionInForce();
+  return Impl->Activation.activeVersion();
 }
 
 std::optional<instant> directory::knownAsOf() const {
@@ -364,10 +366,10 @@
   }
 }
 
-std::vector<target_entry> directory::targetsInCharge() const {
+std::vector<target_entry> directory::supervisedTargets() const {
   const instant Now = Impl->Timers.now();
   std::vector<target_entry> Zone;
-  if (!Impl->hasMet(ZonePeersMetAfter, Now) ||
+  if (!Impl->hasRunFor(ZonePeerDiscoveryTime, Now) ||
       Impl->Peers.rankIn(Impl->ZoneNumber, Now) != 0)
     return Zone;
   for (const auto &[Name, Target] : Impl->Targets)
--- a/src/directory/directory_impl.h
+++ b/src/directory/directory_impl.h
@@ -13,11 +13,11 @@
 #include "marjoramrail/directory.h"
 
 #include "directory/object_feed.h"
-#include "directory/peer_greeting.h"
-#include "directory/peer_ring.h"
-#include "directory/route_gate.h"
-#include "directory/route_intake.h"
+#include "directory/peer_selector.h"
+#include "directory/route_activation.h"
+#include "directory/route_loader.h"
 #include "directory/route_table_codec.h"
+#include "directory/sync_message.h"
 
 #include <random>
 
@@ -42,39 +42,40 @@
   std::optional<duration> siteWait();
   std::optional<duration> nextWait(const object_feed &Feed);
   /// This balancer has been running for so long.
-  bool hasMet(duration After, instant Now) const;
+  bool hasRunFor(duration After, instant Now) const;
 
   void onRoutesObject(const platform_object &Object);
   void onSiteObject(const platform_object &Object);
   void onBalancer(const platform_object &Object);
-  route_intake::hooks intakeHooks();
+  route_loader::hooks loaderHooks();
   void onRoutesRead(const platform_object &Object, route_table Table);
   std::optional<instant> knownAsOf() const;
   void takeNewestRoutes();
   void changed();
-  void tellRules();
-  void needRecord();
-  void armGate();
+  void notifyRules();
+  void requestRecordUpdate();
+  void armActivation();
 
-  void greet();
+  void sendSyncMessages();
   void input(const endpoint &From, std::span<const std::uint8_t> Bytes);
-  peer_greeting greeting() const;
-  kind_knowledge knowledgeOf(const object_feed &Feed) const;
-  void takeChanges(peer_greeting &Reply);
-  void learnFrom(const endpoint &Peer, object_feed &Feed,
-                 const std::string &Kind, const kind_knowledge &Theirs,
-                 instant Asked);
+  sync_message makeSyncMessage() const;
+  sync_state syncStateOf(const object_feed &Feed) const;
+  void applyChanges(sync_message &Reply);
+  void applySyncState(const endpoint &Peer, object_feed &Feed,
+                      const std::string &Kind, const sync_state &PeerState,
+                      instant Asked);
   duration pullDelay(const endpoint &Peer, const object_feed &Feed) const;
   void pull(const endpoint &Peer, object_feed &Feed, const std::string &Kind,
-            std::uint64_t TheirChange);
+            std::uint64_t PeerLastChange);
 
-  void keepRecord();
+  void maintainRecord();
   std::optional<std::string> compareRecord();
   void writeRecord(const std::string &Body);
   void writeSelf();
-  void dropGonePeers();
-  void announce(const endpoint &From, std::span<const std::uint8_t> Bytes);
-  void writeFor(const target_entry &Target);
+  void removeDeadPeers();
+  void onRegistrationRequest(const endpoint &From,
+                             std::span<const std::uint8_t> Bytes);
+  void registerTarget(const target_entry &Target);
   /// The balancer that \p Object names, if it is a balancer's entry.
   static std::optional<endpoint> balancerAt(const platform_object &Object);
   /// The number of the zone that a balancer's entry names, or 0.
@@ -93,14 +94,14 @@
   directory_settings Settings;
   directory_hooks Hooks;
   std::mt19937_64 Random;
-  peer_ring Peers;
+  peer_selector Peers;
   route_record Record;
-  route_gate Gate;
+  route_activation Activation;
   object_feed Routes;
   object_feed Site;
-  route_intake Intake;
+  route_loader Loader;
   /// While the intake is at work: what was known before it began.
-  std::optional<instant> KnownBeforeIntake;
+  std::optional<instant> KnownBeforeLoading;
   std::uint32_t ZoneNumber;
   std::optional<instant> StartedAt;
   std::map<std::string, target_entry> Targets;
--- a/src/directory/directory_peers.cpp
+++ b/src/directory/directory_peers.cpp
@@ -7,99 +7,102 @@
 static constexpr duration PullDelay = std::chrono::milliseconds(120);
 /// A whole kind may be a megabyte: a peer of another zone is asked only after
 /// those of the own zone have had their turn.
-static constexpr duration FarPullDelay = std::chrono::milliseconds(700);
+static constexpr duration OtherZonePullDelay = std::chrono::milliseconds(700);
 /// A balancer that has just started is about to get the store's own list.
 static constexpr duration FirstPullDelay = std::chrono::milliseconds(500);
 
 /// What a balancer knows is asked for again well before SettleTime is over.
-static constexpr duration OldNews = std::chrono::milliseconds(500);
+static constexpr duration RefreshAfter = std::chrono::milliseconds(500);
 
-kind_knowledge directory::impl::knowledgeOf(const object_feed &Feed) const {
-  kind_knowledge Knowledge;
+sync_state directory::impl::syncStateOf(const object_feed &Feed) const {
+  sync_state State;
   // Peers would ask for what cannot be served before it is read.
-  if (!Feed.known() || (&Feed == &Routes && Intake.busy()))
-    return Knowledge;
-  Knowledge.Version = Feed.version();
-  Knowledge.LastChange = Feed.lastChange();
+  if (!Feed.known() || (&Feed == &Routes && Loader.busy()))
+    return State;
+  State.Version = Feed.version();
+  State.LastChange = Feed.lastChange();
   if (const auto AsOf = Feed.asOf())
-    Knowledge.AgeUs = (Timers.now() - *AsOf).count();
-  return Knowledge;
+    State.AgeUs = (Timers.now() - *AsOf).count();
+  return State;
 }
 
-peer_greeting directory::impl::greeting() const {
-  peer_greeting Greeting;
-  Greeting.Self = Settings.Self;
-  Greeting.Zone = ZoneNumber;
-  Greeting.AskedUs = Timers.now().time_since_epoch().count();
-  Greeting.IsServed = Site.answering();
-  Greeting.Routes = knowledgeOf(Routes);
-  Greeting.Site = knowledgeOf(Site);
-  return Greeting;
+sync_message directory::impl::makeSyncMessage() const {
+  sync_message Message;
+  Message.Self = Settings.Self;
+  Message.Zone = ZoneNumber;
+  Message.AskedUs = Timers.now().time_since_epoch().count();
+  Message.IsServed = Site.answering();
+  Message.Routes = syncStateOf(Routes);
+  Message.Site = syncStateOf(Site);
+  return Message;
 }
 
-void directory::impl::greet() {
-  const std::vector<std::uint8_t> Bytes = encodeGreeting(greeting());
+void directory::impl::sendSyncMessages() {
+  const std::vector<std::uint8_t> Bytes = encodeSyncMessage(makeSyncMessage());
   const instant Now = Timers.now();
   const auto AsOf = knownAsOf();
-  const bool NeedsNews = !AsOf || Now - *AsOf > OldNews;
-  for (const endpoint &Peer : Peers.round(Now, NeedsNews))
+  const bool NeedsUpdates = !AsOf || Now - *AsOf > RefreshAfter;
+  for (const endpoint &Peer : Peers.choosePeers(Now, NeedsUpdates))
     Hooks.Send(Peer, Bytes);
 }
 
 void directory::impl::input(const endpoint &,
                             std::span<const std::uint8_t> Bytes) {
-  auto Greeting = decodeGreeting(Bytes);
-  if (!Greeting)
+  auto Message = decodeSyncMessage(Bytes);
+  if (!Message)
     return;
-  Peers.heard(Greeting->Self, Greeting->Zone, Timers.now(), Greeting->IsServed);
-  if (!Greeting->IsReply) {
+  Peers.recordMessage(Message->Self, Message->Zone, Timers.now(),
+                      Message->IsServed);
+  if (!Message->IsReply) {
     const measured_turn Turn(Hooks.OnTurn, turn_kind::AnswerGreeting);
-    peer_greeting Reply = greeting();
+    sync_message Reply = makeSyncMessage();
     Reply.IsReply = true;
-    Reply.AskedUs = Greeting->AskedUs;
-    Reply.ChangesSince = Greeting->Site.Version;
-    if (Site.lastChange() > Greeting->Site.Version)
-      Reply.Changes = Site.changesSince(Greeting->Site.Version);
+    Reply.AskedUs = Message->AskedUs;
+    Reply.ChangesSince = Message->Site.Version;
+    if (Site.lastChange() > Message->Site.Version)
+      Reply.Changes = Site.changesSince(Message->Site.Version);
     Reply.ChangesUpTo = Site.version();
     fitChanges(Reply);
-    Hooks.Send(Greeting->Self, encodeGreeting(Reply));
+    Hooks.Send(Message->Self, encodeSyncMessage(Reply));
     return;
   }
-  const instant Asked{duration(Greeting->AskedUs)};
+  const instant Asked{duration(Message->AskedUs)};
   if (Asked > Timers.now())
     return;
-  if (Greeting->Changes)
-    takeChanges(*Greeting);
-  learnFrom(Greeting->Self, Routes, Settings.RoutesKind, Greeting->Routes,
-            Asked);
-  const bool MoreComes = Greeting->Changes && Site.known();
-  if (!MoreComes || Greeting->Site.LastChange <= Site.version())
-    learnFrom(Greeting->Self, Site, Settings.SiteKind, Greeting->Site, Asked);
+  if (Message->Changes)
+    applyChanges(*Message);
+  applySyncState(Message->Self, Routes, Settings.RoutesKind, Message->Routes,
+                 Asked);
+  const bool MoreComes = Message->Changes && Site.known();
+  if (!MoreComes || Message->Site.LastChange <= Site.version())
+    applySyncState(Message->Self, Site, Settings.SiteKind, Message->Site,
+                   Asked);
 }
 
 /// A reply holds what fits a datagram; the rest is asked for at once, as long
 /// as each reply brings something.
-void directory::impl::takeChanges(peer_greeting &Reply) {
+void directory::impl::applyChanges(sync_message &Reply) {
   for (platform_object &Object : *Reply.Changes)
     Object.Key.Kind = Settings.SiteKind;
   const std::uint64_t Before = Site.version();
-  Site.takeChanges(*Reply.Changes, Reply.ChangesSince, Reply.ChangesUpTo);
+  Site.applyChanges(*Reply.Changes, Reply.ChangesSince, Reply.ChangesUpTo);
   if (Site.version() > Before && Site.version() < Reply.Site.LastChange)
-    Hooks.Send(Reply.Self, encodeGreeting(greeting()));
+    Hooks.Send(Reply.Self, encodeSyncMessage(makeSyncMessage()));
 }
 
-void directory::impl::learnFrom(const endpoint &Peer, object_feed &Feed,
-                                const std::string &Kind,
-                                const kind_knowledge &Theirs, instant Asked) {
-  if (Theirs.Version == 0)
+void directory::impl::applySyncState(const endpoint &Peer, object_feed &Feed,
+                                     const std::string &Kind,
+                                     const sync_state &PeerState,
+                                     instant Asked) {
+  if (PeerState.Version == 0)
     return;
-  if (Theirs.AgeUs >= 0)
-    Feed.confirm(Theirs.LastChange, Asked - duration(Theirs.AgeUs));
-  const bool Behind = !Feed.known() || Theirs.LastChange > Feed.version();
+  if (PeerState.AgeUs >= 0)
+    Feed.confirm(PeerState.LastChange, Asked - duration(PeerState.AgeUs));
+  const bool Behind = !Feed.known() || PeerState.LastChange > Feed.version();
   if (!Behind)
     return;
-  Timers.after(pullDelay(Peer, Feed),
-               guarded([this, Peer, &Feed, Kind, Change = Theirs.LastChange] {
+  Timers.after(pullDelay(Peer, Feed), guarded([this, Peer, &Feed, Kind,
+                                               Change = PeerState.LastChange] {
                  pull(Peer, Feed, Kind, Change);
                }));
 }
@@ -108,12 +111,13 @@
                                     const object_feed &Feed) const {
   if (!Feed.known())
     return FirstPullDelay;
-  return Peers.isOfZone(Peer, ZoneNumber) ? PullDelay : FarPullDelay;
+  return Peers.isOfZone(Peer, ZoneNumber) ? PullDelay : OtherZonePullDelay;
 }
 
 void directory::impl::pull(const endpoint &Peer, object_feed &Feed,
-                           const std::string &Kind, std::uint64_t TheirChange) {
-  if (Pulling || (Feed.known() && TheirChange <= Feed.version()))
+                           const std::string &Kind,
+                           std::uint64_t PeerLastChange) {
+  if (Pulling || (Feed.known() && PeerLastChange <= Feed.version()))
     return;
   Pulling = true;
   Hooks.ListFromPeer(
@@ -124,7 +128,7 @@
           return;
         Hooks.OnEvent(event_kind::CopiedFromPeer,
                       Kind + " from " + toText(Peer));
-        Feed.takeCopy(Reply);
+        Feed.applyPeerList(Reply);
       }));
 }
 
--- a/src/directory/directory_writes.cpp
+++ b/src/directory/directory_writes.cpp
@@ -15,7 +15,7 @@
 static constexpr duration RankDelay = std::chrono::milliseconds(200);
 /// Ranks that wait their turn; beyond, a store that many cannot reach would
 /// hold up the record longer than SettleTime.
-static constexpr std::size_t MostRanks = 5;
+static constexpr std::size_t MaxRanks = 5;
 
 std::string directory::impl::selfBody() const {
   return json{{"self", toText(Settings.Self)}, {"zone", Settings.Zone}}.dump();
@@ -48,14 +48,14 @@
 /// Entries of balancers that were replaced. Left there, every balancer would
 /// greet them for ever. One that lives finds its entry missing and writes it
 /// again.
-void directory::impl::dropGonePeers() {
+void directory::impl::removeDeadPeers() {
   const instant Now = Timers.now();
   if (Now < NextPeerSweep || !Site.known() || Peers.rank(Now) != 0)
     return;
   NextPeerSweep = Now + PeerSweepPeriod;
   for (const auto &[Name, Object] : Site.objects()) {
     const auto Peer = balancerAt(Object);
-    if (!Peer || !Peers.isGone(*Peer, Now))
+    if (!Peer || !Peers.isDead(*Peer, Now))
       continue;
     Hooks.OnEvent(event_kind::TargetDown, Name);
     Platform.Site.Remove(Object.Key, Object.Version,
@@ -63,11 +63,11 @@
   }
 }
 
-void directory::impl::announce(const endpoint &From,
-                               std::span<const std::uint8_t> Bytes) {
+void directory::impl::onRegistrationRequest(
+    const endpoint &From, std::span<const std::uint8_t> Bytes) {
   const auto Failure = failureOf([&]() -> result<void> {
-    BOOST_LEAF_AUTO(Target, decodeAnnouncement(Bytes));
-    writeFor(Target);
+    BOOST_LEAF_AUTO(Target, decodeRegistrationRequest(Bytes));
+    registerTarget(Target);
     return {};
   });
   if (Failure)
@@ -78,7 +78,7 @@
 /// The store may refuse the VM of a new target for long, and serve this one.
 /// Only an entry that is not there is written: of one that is, its agent alone
 /// knows more than the store.
-void directory::impl::writeFor(const target_entry &Target) {
+void directory::impl::registerTarget(const target_entry &Target) {
   if (!Site.known() || !Target.Name.starts_with(TargetPrefix) ||
       Site.objects().contains(Target.Name))
     return;
@@ -92,28 +92,28 @@
 }
 
 /// The routes or the record have changed, or a write may have failed.
-void directory::impl::needRecord() {
+void directory::impl::requestRecordUpdate() {
   RecordNeededSince = RecordNeededSince.value_or(Timers.now());
 }
 
 std::optional<std::string> directory::impl::compareRecord() {
-  const route_services &Current = Gate.newestServices();
+  const route_services &Current = Activation.newestServices();
   const measured_turn Turn(Hooks.OnTurn, turn_kind::CompareRecord,
                            Current.entries().size());
   return Record.update(Current, Timers.now());
 }
 
-void directory::impl::keepRecord() {
+void directory::impl::maintainRecord() {
   writeSelf();
-  dropGonePeers();
+  removeDeadPeers();
   if (RecheckRecordAt && Timers.now() >= *RecheckRecordAt) {
     RecheckRecordAt.reset();
-    needRecord();
+    requestRecordUpdate();
   }
-  if (!RecordNeededSince || !Gate.known() || !Site.known() || RecordBusy)
+  if (!RecordNeededSince || !Activation.known() || !Site.known() || RecordBusy)
     return;
   // Whoever waits its turn compares only then: mostly the record has come.
-  const auto Rank = std::min(Peers.rank(Timers.now()), MostRanks);
+  const auto Rank = std::min(Peers.rank(Timers.now()), MaxRanks);
   if (Timers.now() - *RecordNeededSince <
       RankDelay * static_cast<std::int64_t>(Rank))
     return;
--- a/src/directory/object_feed.cpp
+++ b/src/directory/object_feed.cpp
@@ -13,11 +13,11 @@
 /// After news the next watch begins this much later, so that changes in quick
 /// succession (all agents of a site start, configurations follow each other)
 /// come in one answer, not in a call each for every watcher.
-static constexpr duration NewsPause = std::chrono::milliseconds(150);
+static constexpr duration UpdateDelay = std::chrono::milliseconds(150);
 /// How often a feed that lives on peers' news looks whether they still come.
 static constexpr duration IdlePeriod = std::chrono::milliseconds(200);
 /// Deletions remembered; older ones make peers copy the whole kind.
-static constexpr std::size_t MaxGone = 1000;
+static constexpr std::size_t MaxDeletions = 1000;
 
 object_feed::object_feed(timer_service &Timers, platform_api Store,
                          std::string Kind, hooks Hooks)
@@ -45,9 +45,9 @@
 void object_feed::listed(const platform_reply &Reply, instant Asked) {
   if (Reply.Outcome != platform_outcome::Ok)
     return retry(Reply, &object_feed::list);
-  contact(true, "");
+  setAnswering(true, "");
   if (Reply.StoreVersion >= Version) {
-    takeWhole(Reply);
+    applyList(Reply);
     advance(Reply.StoreVersion, Asked);
   }
   Hooks.OnBatch();
@@ -74,15 +74,15 @@
 void object_feed::watched(const platform_reply &Reply, instant Asked,
                           duration Wait) {
   if (Reply.Outcome == platform_outcome::HistoryGone) {
-    contact(true, "the history is gone");
+    setAnswering(true, "the history is gone");
     return list();
   }
   if (Reply.Outcome != platform_outcome::Ok)
     return retry(Reply, &object_feed::follow);
-  contact(true, "");
+  setAnswering(true, "");
   bool Changed = false;
   for (const platform_object &Object : Reply.Objects)
-    Changed |= offer(Object);
+    Changed |= applyObject(Object);
   // A watch that ran its full wait without news was true at its end; one that
   // ended early is only known to have been true when it was asked.
   const bool WaitedOut = Reply.Objects.empty() && Timers.now() - Asked >= Wait;
@@ -91,17 +91,17 @@
   if (!Changed)
     return follow();
   Hooks.OnBatch();
-  Timers.after(NewsPause, [this, Alive = Alive] {
+  Timers.after(UpdateDelay, [this, Alive = Alive] {
     if (*Alive)
       follow();
   });
 }
 
-void object_feed::takeWhole(const platform_reply &Reply) {
+void object_feed::applyList(const platform_reply &Reply) {
   std::set<std::string> Names;
   for (const platform_object &Object : Reply.Objects) {
     Names.insert(Object.Key.Name);
-    offer(Object);
+    applyObject(Object);
   }
   std::vector<platform_object> Missing;
   for (const auto &[Name, Object] : Objects)
@@ -110,34 +110,34 @@
   for (platform_object &Object : Missing) {
     Object.Deleted = true;
     Object.Version = Reply.StoreVersion;
-    offer(Object);
+    applyObject(Object);
   }
   // What went before this list, and when, is not known.
-  GoneSince = std::max(GoneSince, Reply.StoreVersion);
+  DeletionsSince = std::max(DeletionsSince, Reply.StoreVersion);
   Known = true;
 }
 
 /// An object's version never goes back: a late answer must not undo a change.
-bool object_feed::offer(platform_object Object) {
+bool object_feed::applyObject(platform_object Object) {
   const std::string &Name = Object.Key.Name;
   const auto Held = Objects.find(Name);
   if (Held != Objects.end() && Held->second.Version >= Object.Version)
     return false;
-  const auto Left = Gone.find(Name);
-  if (Left != Gone.end() && Left->second >= Object.Version)
+  const auto Left = Deletions.find(Name);
+  if (Left != Deletions.end() && Left->second >= Object.Version)
     return false;
   if (Object.Deleted) {
     Objects.erase(Name);
-    Gone[Name] = Object.Version;
-    if (Gone.size() > MaxGone) {
+    Deletions[Name] = Object.Version;
+    if (Deletions.size() > MaxDeletions) {
       const auto Oldest = std::min_element(
-          Gone.begin(), Gone.end(),
+          Deletions.begin(), Deletions.end(),
           [](const auto &A, const auto &B) { return A.second < B.second; });
-      GoneSince = std::max(GoneSince, Oldest->second);
-      Gone.erase(Oldest);
+      DeletionsSince = std::max(DeletionsSince, Oldest->second);
+      Deletions.erase(Oldest);
     }
   } else {
-    Gone.erase(Name);
+    Deletions.erase(Name);
   }
   LastChange = std::max(LastChange, Object.Version);
   if (Object.Deleted) {
@@ -167,23 +167,23 @@
   AsOf = AsOf ? std::max(*AsOf, Moment) : Moment;
 }
 
-void object_feed::takeCopy(const platform_reply &List) {
+void object_feed::applyPeerList(const platform_reply &List) {
   if (List.StoreVersion <= Version && Known)
     return;
-  takeWhole(List);
+  applyList(List);
   Version = std::max(Version, List.StoreVersion);
   Hooks.OnBatch();
 }
 
 std::optional<std::vector<platform_object>>
 object_feed::changesSince(std::uint64_t Since) const {
-  if (!Known || Since < GoneSince)
+  if (!Known || Since < DeletionsSince)
     return std::nullopt;
   std::vector<platform_object> Changes;
   for (const auto &[Name, Object] : Objects)
     if (Object.Version > Since && Object.Version <= Version)
       Changes.push_back(Object);
-  for (const auto &[Name, At] : Gone) {
+  for (const auto &[Name, At] : Deletions) {
     if (At <= Since)
       continue;
     platform_object Object;
@@ -195,30 +195,30 @@
   return Changes;
 }
 
-void object_feed::takeChanges(const std::vector<platform_object> &Changes,
-                              std::uint64_t Since, std::uint64_t UpTo) {
+void object_feed::applyChanges(const std::vector<platform_object> &Changes,
+                               std::uint64_t Since, std::uint64_t UpTo) {
   if (!Known || Since > Version || UpTo <= Version)
     return;
   bool Changed = false;
   for (const platform_object &Object : Changes)
-    Changed |= offer(Object);
+    Changed |= applyObject(Object);
   Version = UpTo;
   if (Changed)
     Hooks.OnBatch();
 }
 
-void object_feed::contact(bool Answers, const std::string &Reason) {
+void object_feed::setAnswering(bool Answers, const std::string &Reason) {
   if (Answers)
     Failures = 0;
   else
     FailedAt = Timers.now();
   if (std::exchange(Answering, Answers) != Answers)
-    Hooks.OnContact(Answers, Reason);
+    Hooks.OnAvailability(Answers, Reason);
 }
 
 void object_feed::retry(const platform_reply &Reply,
                         void (object_feed::*Step)()) {
-  contact(false, Reply.Reason);
+  setAnswering(false, Reply.Reason);
   const duration Wait =
       std::min(FirstRetry * (1 << std::min(Failures++, 3)), LastRetry);
   Timers.after(Wait, [this, Alive = Alive, Step] {
--- a/src/directory/object_feed.h
+++ b/src/directory/object_feed.h
@@ -29,7 +29,7 @@
     /// How long the next watch may wait; nothing while peers' news are enough.
     std::function<std::optional<duration>()> Wait;
     /// The store stopped or began to answer.
-    std::function<void(bool Answers, const std::string &Reason)> OnContact;
+    std::function<void(bool Answers, const std::string &Reason)> OnAvailability;
   };
 
   object_feed(timer_service &Timers, platform_api Store, std::string Kind,
@@ -66,13 +66,13 @@
   /// \p Moment.
   void confirm(std::uint64_t PeerChange, instant Moment);
   /// A peer's word on everything that changed between \p Since and \p UpTo.
-  void takeChanges(const std::vector<platform_object> &Changes,
-                   std::uint64_t Since, std::uint64_t UpTo);
+  void applyChanges(const std::vector<platform_object> &Changes,
+                    std::uint64_t Since, std::uint64_t UpTo);
   /// Keeps a shorter body in the place of the one that \p Object came with,
   /// unless a newer one has come since.
   void replaceBody(const platform_object &Object, std::string Body);
   /// A peer's copy of the whole kind.
-  void takeCopy(const platform_reply &List);
+  void applyPeerList(const platform_reply &List);
 
 private:
   void list();
@@ -80,11 +80,11 @@
   void follow();
   void watch(duration Wait);
   void watched(const platform_reply &Reply, instant Asked, duration Wait);
-  void takeWhole(const platform_reply &Reply);
-  bool offer(platform_object Object);
+  void applyList(const platform_reply &Reply);
+  bool applyObject(platform_object Object);
   void advance(std::uint64_t NewVersion, instant Moment);
   void retry(const platform_reply &Reply, void (object_feed::*Step)());
-  void contact(bool Answers, const std::string &Reason);
+  void setAnswering(bool Answers, const std::string &Reason);
   platform_callback guarded(platform_callback Task);
 
   timer_service &Timers;
@@ -93,9 +93,9 @@
   hooks Hooks;
   std::map<std::string, platform_object> Objects;
   /// Versions at which objects went, for peers that ask for changes and
-  /// against late news; complete from GoneSince on.
-  std::map<std::string, std::uint64_t> Gone;
-  std::uint64_t GoneSince = 0;
+  /// against late news; complete from DeletionsSince on.
+  std::map<std::string, std::uint64_t> Deletions;
+  std::uint64_t DeletionsSince = 0;
   bool Known = false;
   bool Answering = true;
   std::optional<instant> FailedAt;
--- a/src/directory/peer_ring.h
+++ b/src/directory/peer_selector.h
@@ -1,4 +1,5 @@
-//===- peer_ring.h - The other balancers, as far as heard -------*- C++ -*-===//
+//===- peer_selector.h - The other balancers, as far as heard -------*- C++
+//-*-===//
 ///
 /// \file
 /// Whom a balancer greets next. Greeting everyone would cost a fleet of
@@ -9,8 +10,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef MARJORAMRAIL_DIRECTORY_PEER_RING_H
-#define MARJORAMRAIL_DIRECTORY_PEER_RING_H
+#ifndef MARJORAMRAIL_DIRECTORY_PEER_SELECTOR_H
+#define MARJORAMRAIL_DIRECTORY_PEER_SELECTOR_H
 
 #include "marjoramrail/base.h"
 
@@ -20,41 +21,41 @@
 
 namespace marjoramrail::internal {
 
-class peer_ring {
+class peer_selector {
 public:
   /// How often one that goes before this balancer is asked in vain, until it
   /// is left to the turns of silent ones.
-  static constexpr int TriesAhead = 2;
+  static constexpr int MaxTriesAhead = 2;
   /// Peers greeted in one round.
   static constexpr std::size_t Fanout = 2;
   /// Every so many rounds the last turn goes to a silent peer.
-  static constexpr std::uint64_t RoundsASilent = 5;
+  static constexpr std::uint64_t RoundsPerSilentPeer = 5;
   /// A peer counts as gone after so many greetings without a word,
-  static constexpr int GoneAfterGreetings = 5;
+  static constexpr int DeadAfterMessages = 5;
   /// and so long a silence: a restart or a cut that heals is shorter.
-  static constexpr duration GoneAfter = std::chrono::minutes(1);
+  static constexpr duration DeadAfter = std::chrono::minutes(1);
   /// A peer that was not heard for longer does not count as live: some rounds
   /// of greetings, so that lost datagrams do not matter.
   static constexpr duration LiveFor = std::chrono::seconds(3);
 
-  peer_ring(const endpoint &Self, std::uint32_t Zone, std::uint64_t Seed)
+  peer_selector(const endpoint &Self, std::uint32_t Zone, std::uint64_t Seed)
       : Self(Self), Zone(Zone), Random(Seed) {}
 
   /// \p Peer may be a balancer, of \p Zone if that is not 0: from the settings
   /// or from the store.
-  void know(const endpoint &Peer, std::uint32_t Zone = 0);
+  void add(const endpoint &Peer, std::uint32_t Zone = 0);
   /// \p IsServed: the store answers it.
-  void heard(const endpoint &Peer, std::uint32_t Zone, instant Now,
-             bool IsServed = true);
+  void recordMessage(const endpoint &Peer, std::uint32_t Zone, instant Now,
+                     bool IsServed = true);
   std::size_t live(instant Now) const;
   /// How many watch for all and are greeted by rank, at least,
-  static constexpr std::size_t FirstInRank = 3;
+  static constexpr std::size_t MinWatchers = 3;
   /// and one for so many balancers: each is greeted by some hundred others, a
   /// few hundred datagrams a second, whatever the fleet's size.
-  static constexpr std::size_t BalancersAWatcher = 100;
+  static constexpr std::size_t BalancersPerWatcher = 100;
   /// How many of a zone watch the configuration, and are asked for news by the
   /// others of the zone.
-  static constexpr std::size_t FirstInZone = 2;
+  static constexpr std::size_t WatchersPerZone = 2;
   /// The number of those watchers among the live balancers.
   std::size_t watchers(instant Now) const;
 
@@ -66,11 +67,11 @@
   std::size_t rankIn(std::uint32_t Zone, instant Now) const;
   bool isOfZone(const endpoint &Peer, std::uint32_t Zone) const;
   /// Whether \p Peer has left for good, as far as this balancer can tell.
-  bool isGone(const endpoint &Peer, instant Now) const;
+  bool isDead(const endpoint &Peer, instant Now) const;
   void forget(const endpoint &Peer) { Peers.erase(Peer); }
-  /// Whom to greet in this round. \p NeedsNews: what this balancer knows has
+  /// Whom to greet in this round. \p NeedsUpdates: what this balancer knows has
   /// grown old, and only those ahead are worth asking.
-  std::vector<endpoint> round(instant Now, bool NeedsNews = false);
+  std::vector<endpoint> choosePeers(instant Now, bool NeedsUpdates = false);
 
 private:
   struct peer {
@@ -89,16 +90,16 @@
   /// Whom a round may greet; one peer may stand in several.
   struct candidates {
     std::vector<endpoint> Live;
-    std::vector<endpoint> Silent;
+    std::vector<endpoint> Unresponsive;
     std::vector<endpoint> Watchers;
-    std::vector<endpoint> FirstOfZone;
+    std::vector<endpoint> ZoneWatchers;
   };
 
   candidates candidatesAt(instant Now) const;
   /// A balancer that takes itself for one of the first, of its zone or of all,
   /// asks those before it whom it has not heard: after a start it would take
   /// duties that are others' until it has met them by chance.
-  std::optional<endpoint> unheardAhead(bool OfZone, instant Now) const;
+  std::optional<endpoint> unheardPeerAhead(bool OfZone, instant Now) const;
   std::size_t liveIn(std::uint32_t Zone, instant Now) const;
   bool anyServed(instant Now) const;
   /// Live peers that go before this balancer and for which \p Counts. Those
@@ -106,8 +107,8 @@
   std::size_t countAhead(instant Now,
                          const std::function<bool(const peer &)> &Counts) const;
   /// Adds one of \p Peers to those chosen for a round, if there is room.
-  void chooseOneOf(const std::vector<endpoint> &Peers,
-                   std::vector<endpoint> &Chosen);
+  void addOneOf(const std::vector<endpoint> &Peers,
+                std::vector<endpoint> &Chosen);
 
   endpoint Self;
   std::uint32_t Zone;
@@ -118,4 +119,4 @@
 
 } // namespace marjoramrail::internal
 
-#endif // MARJORAMRAIL_DIRECTORY_PEER_RING_H
+#endif // MARJORAMRAIL_DIRECTORY_PEER_SELECTOR_H
--- a/src/directory/route_gate.cpp
+++ b/src/directory/route_activation.cpp
@@ -1,11 +1,11 @@
-#include "directory/route_gate.h"
+#include "directory/route_activation.h"
 
 #include <algorithm>
 #include <xxhash.h>
 
 namespace marjoramrail::internal {
 
-route_gate::sorted_table::sorted_table(route_table Unsorted)
+route_activation::sorted_table::sorted_table(route_table Unsorted)
     : Table(std::move(Unsorted)), Services(Table) {
   // Stable: the shares of a route keep their order.
   std::stable_sort(
@@ -13,8 +13,8 @@
       [](const route &A, const route &B) { return A.Address < B.Address; });
 }
 
-bool route_gate::take(route_table Table, const route_record &Record,
-                      instant Now) {
+bool route_activation::take(route_table Table, const route_record &Record,
+                            instant Now) {
   if (Newest && Table.Version <= Newest->Table.Version)
     return false;
   const bool IsFirst = !Newest;
@@ -22,14 +22,14 @@
   if (IsFirst) {
     // What was on record before this process started is known to whoever can
     // be asked about its flows.
-    InForce = Newest;
+    Active = Newest;
     Withheld = Newest->Services.without(Record.all());
     if (!Withheld.empty())
       Due = Now + SettleTime;
     return true;
   }
-  if (InForce->Services.containsAll(Newest->Services)) {
-    InForce = Newest;
+  if (Active->Services.containsAll(Newest->Services)) {
+    Active = Newest;
     if (Withheld.empty())
       Due.reset();
     return true;
@@ -41,18 +41,18 @@
   return true;
 }
 
-bool route_gate::advance(instant Now) {
+bool route_activation::advance(instant Now) {
   if (!Due || Now < *Due)
     return false;
   Due.reset();
   Withheld.clear();
-  InForce = Newest;
+  Active = Newest;
   return true;
 }
 
-std::optional<instant> route_gate::nextChange() const { return Due; }
+std::optional<instant> route_activation::nextChange() const { return Due; }
 
-bool route_gate::isWithheld(const route_service &Entry) const {
+bool route_activation::isWithheld(const route_service &Entry) const {
   return std::binary_search(Withheld.begin(), Withheld.end(), Entry);
 }
 
@@ -60,12 +60,12 @@
 /// order of address, and gives \p Take each address with the parts of its rule:
 /// services in force in the order of their shares, then coming, then former.
 template <typename Callable>
-void route_gate::eachRule(const route_record &Record,
-                          const Callable &Take) const {
-  const std::vector<route> &Present = InForce->Table.Routes;
+void route_activation::forEachRule(const route_record &Record,
+                                   const Callable &Take) const {
+  const std::vector<route> &Present = Active->Table.Routes;
   static const std::vector<route> None;
   const std::vector<route> &Coming =
-      Newest && Newest != InForce ? Newest->Table.Routes : None;
+      Newest && Newest != Active ? Newest->Table.Routes : None;
   const route_services &Recorded = Record.all();
   std::vector<rule_part> Parts;
   const auto Add = [&](std::string_view Name, service_id Service) {
@@ -78,8 +78,8 @@
   };
   auto Now = Present.begin();
   auto Next = Coming.begin();
-  auto Former = Recorded.entries().begin();
-  const auto FormerEnd = Recorded.entries().end();
+  auto Previous = Recorded.entries().begin();
+  const auto PreviousEnd = Recorded.entries().end();
   while (Now != Present.end() || Next != Coming.end()) {
     endpoint Address = Now != Present.end() ? Now->Address : Next->Address;
     if (Next != Coming.end())
@@ -94,30 +94,30 @@
     for (; Next != Coming.end() && Next->Address == Address; ++Next)
       for (const service_share &Share : Next->Shares)
         Add(Share.Service, serviceNumber(Share.Service));
-    while (Former != FormerEnd && Former->Address < Address)
-      ++Former;
-    for (; Former != FormerEnd && Former->Address == Address; ++Former)
-      Add(Recorded.nameOf(Former->Service), Former->Service);
+    while (Previous != PreviousEnd && Previous->Address < Address)
+      ++Previous;
+    for (; Previous != PreviousEnd && Previous->Address == Address; ++Previous)
+      Add(Recorded.nameOf(Previous->Service), Previous->Service);
     Take(Address, Parts);
   }
 }
 
-route_rule route_gate::ruleOf(const endpoint &Address,
-                              const std::vector<rule_part> &Parts) {
+route_rule route_activation::ruleOf(const endpoint &Address,
+                                    const std::vector<rule_part> &Parts) {
   route_rule Rule;
   Rule.Address = Address;
   for (const rule_part &Part : Parts) {
     std::string Name(Part.Name);
     if (Part.TakesNew)
       Rule.Shares.push_back({Name, Part.Weight});
-    if (std::find(Rule.Holders.begin(), Rule.Holders.end(), Name) ==
-        Rule.Holders.end())
-      Rule.Holders.push_back(std::move(Name));
+    if (std::find(Rule.OwnerServices.begin(), Rule.OwnerServices.end(), Name) ==
+        Rule.OwnerServices.end())
+      Rule.OwnerServices.push_back(std::move(Name));
   }
   return Rule;
 }
 
-std::uint64_t route_gate::hashOf(const std::vector<rule_part> &Parts) {
+std::uint64_t route_activation::hashOf(const std::vector<rule_part> &Parts) {
   std::uint64_t Hash = Parts.size();
   for (const rule_part &Part : Parts) {
     const std::uint32_t Fields[] = {static_cast<std::uint32_t>(Part.Service),
@@ -128,37 +128,39 @@
   return Hash;
 }
 
-std::vector<route_rule> route_gate::rules(const route_record &Record) const {
+std::vector<route_rule>
+route_activation::rules(const route_record &Record) const {
   std::vector<route_rule> All;
-  eachRule(Record,
-           [&](const endpoint &Address, const std::vector<rule_part> &Parts) {
-             All.push_back(ruleOf(Address, Parts));
-           });
+  forEachRule(Record, [&](const endpoint &Address,
+                          const std::vector<rule_part> &Parts) {
+    All.push_back(ruleOf(Address, Parts));
+  });
   return All;
 }
 
-rule_changes route_gate::changes(const route_record &Record) {
+rule_changes route_activation::changes(const route_record &Record) {
   rule_changes Changes;
-  std::vector<rule_mark> Marks;
-  Marks.reserve(Newest ? Newest->Table.Routes.size() : 0);
-  auto Before = Given.begin();
+  std::vector<rule_fingerprint> Fingerprints;
+  Fingerprints.reserve(Newest ? Newest->Table.Routes.size() : 0);
+  auto Before = ReportedRules.begin();
   const auto SkipTo = [&](const endpoint &Address) {
-    for (; Before != Given.end() && Before->Address < Address; ++Before)
-      Changes.Gone.push_back(Before->Address);
+    for (; Before != ReportedRules.end() && Before->Address < Address; ++Before)
+      Changes.Removed.push_back(Before->Address);
   };
-  eachRule(Record, [&](const endpoint &Address,
-                       const std::vector<rule_part> &Parts) {
+  forEachRule(Record, [&](const endpoint &Address,
+                          const std::vector<rule_part> &Parts) {
     SkipTo(Address);
-    const bool Known = Before != Given.end() && Before->Address == Address;
-    Marks.push_back({Address, hashOf(Parts)});
-    if (!Known || Before->Hash != Marks.back().Hash)
+    const bool Known =
+        Before != ReportedRules.end() && Before->Address == Address;
+    Fingerprints.push_back({Address, hashOf(Parts)});
+    if (!Known || Before->Hash != Fingerprints.back().Hash)
       Changes.Changed.push_back(ruleOf(Address, Parts));
     if (Known)
       ++Before;
   });
-  for (; Before != Given.end(); ++Before)
-    Changes.Gone.push_back(Before->Address);
-  Given = std::move(Marks);
+  for (; Before != ReportedRules.end(); ++Before)
+    Changes.Removed.push_back(Before->Address);
+  ReportedRules = std::move(Fingerprints);
   return Changes;
 }
 
--- a/src/directory/route_gate.h
+++ b/src/directory/route_activation.h
@@ -1,4 +1,5 @@
-//===- route_gate.h - When a new configuration takes effect -----*- C++ -*-===//
+//===- route_activation.h - When a new configuration takes effect -----*- C++
+//-*-===//
 ///
 /// \file
 /// Holds back what a configuration adds until everyone can know it. A balancer
@@ -10,14 +11,14 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef MARJORAMRAIL_DIRECTORY_ROUTE_GATE_H
-#define MARJORAMRAIL_DIRECTORY_ROUTE_GATE_H
+#ifndef MARJORAMRAIL_DIRECTORY_ROUTE_ACTIVATION_H
+#define MARJORAMRAIL_DIRECTORY_ROUTE_ACTIVATION_H
 
 #include "directory/route_record.h"
 
 namespace marjoramrail::internal {
 
-class route_gate {
+class route_activation {
 public:
   /// Takes a newer table; false if it is not newer than the newest known.
   bool take(route_table Table, const route_record &Record, instant Now);
@@ -32,7 +33,7 @@
   }
   /// The services of newest(), which must be there.
   const route_services &newestServices() const { return Newest->Services; }
-  std::uint64_t versionInForce() const { return InForce->Table.Version; }
+  std::uint64_t activeVersion() const { return Active->Table.Version; }
 
   /// The rules of all routes in force or coming.
   std::vector<route_rule> rules(const route_record &Record) const;
@@ -59,28 +60,28 @@
   };
 
   /// What a rule was, to find out whether it has changed.
-  struct rule_mark {
+  struct rule_fingerprint {
     endpoint Address;
     std::uint64_t Hash = 0;
   };
 
   template <typename Callable>
-  void eachRule(const route_record &Record, const Callable &Take) const;
+  void forEachRule(const route_record &Record, const Callable &Take) const;
   bool isWithheld(const route_service &Entry) const;
   static route_rule ruleOf(const endpoint &Address,
                            const std::vector<rule_part> &Parts);
   static std::uint64_t hashOf(const std::vector<rule_part> &Parts);
 
-  std::shared_ptr<const sorted_table> InForce =
+  std::shared_ptr<const sorted_table> Active =
       std::make_shared<const sorted_table>(route_table());
   std::shared_ptr<const sorted_table> Newest;
   std::optional<instant> Due;
   /// Of the first table: services that were not on record, until Due. Sorted.
   std::vector<route_service> Withheld;
   /// Of the rules given last, in order of address.
-  std::vector<rule_mark> Given;
+  std::vector<rule_fingerprint> ReportedRules;
 };
 
 } // namespace marjoramrail::internal
 
-#endif // MARJORAMRAIL_DIRECTORY_ROUTE_GATE_H
+#endif // MARJORAMRAIL_DIRECTORY_ROUTE_ACTIVATION_H
--- a/src/directory/route_intake.cpp
+++ b/src/directory/route_loader.cpp
@@ -1,8 +1,8 @@
-#include "directory/route_intake.h"
+#include "directory/route_loader.h"
 
 namespace marjoramrail::internal {
 
-void route_intake::take(const platform_object &Object) {
+void route_loader::take(const platform_object &Object) {
   if (!Reading)
     return begin(Object);
   const std::uint64_t Newest =
@@ -11,51 +11,51 @@
     Waiting = Object;
 }
 
-void route_intake::begin(const platform_object &Object) {
+void route_loader::begin(const platform_object &Object) {
   platform_object Head = Object;
   Head.Body.clear();
   Reading = reading{std::move(Head), Hooks.Read(Object), {}};
-  IsWhole = false;
-  goOn();
+  IsComplete = false;
+  readNextPart();
 }
 
-void route_intake::goOn() {
+void route_loader::readNextPart() {
   const auto Failure = failureOf([&] { return readPart(); });
   if (Failure) {
     // The last good one stays in force.
     Hooks.OnRefused(toText(*Failure));
     return end();
   }
-  yield(IsWhole ? &route_intake::giveTable : &route_intake::goOn);
+  yield(IsComplete ? &route_loader::deliverTable : &route_loader::readNextPart);
 }
 
-void route_intake::giveTable() {
+void route_loader::deliverTable() {
   Hooks.OnTable(Reading->Object, std::move(Reading->Table));
-  yield(&route_intake::use);
+  yield(&route_loader::notifyTableReady);
 }
 
-void route_intake::use() {
-  Hooks.OnUse();
+void route_loader::notifyTableReady() {
+  Hooks.OnTableReady();
   end();
 }
 
-void route_intake::yield(void (route_intake::*Step)()) {
+void route_loader::yield(void (route_loader::*Step)()) {
   Hooks.Yield([this, Step, Alive = Alive] {
     if (*Alive)
       (this->*Step)();
   });
 }
 
-result<void> route_intake::readPart() {
+result<void> route_loader::readPart() {
   measured_turn Turn(Hooks.OnTurn, turn_kind::DecodeRoutes);
   const std::size_t Before = Reading->Table.Routes.size();
-  BOOST_LEAF_AUTO(Whole, Reading->Read(RoutesATurn, Reading->Table));
-  IsWhole = Whole;
+  BOOST_LEAF_AUTO(Whole, Reading->Read(RoutesPerStep, Reading->Table));
+  IsComplete = Whole;
   Turn.setItems(Reading->Table.Routes.size() - Before);
   return {};
 }
 
-void route_intake::end() {
+void route_loader::end() {
   Reading.reset();
   if (Waiting)
     begin(*std::exchange(Waiting, std::nullopt));
--- a/src/directory/route_intake.h
+++ b/src/directory/route_loader.h
@@ -1,4 +1,4 @@
-//===- route_intake.h - Reads configurations between packets ----*- C++ -*-===//
+//===- route_loader.h - Reads configurations between packets ----*- C++ -*-===//
 ///
 /// \file
 /// Reads a configuration a part at a time and lets the loop forward packets
@@ -12,17 +12,17 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef MARJORAMRAIL_DIRECTORY_ROUTE_INTAKE_H
-#define MARJORAMRAIL_DIRECTORY_ROUTE_INTAKE_H
+#ifndef MARJORAMRAIL_DIRECTORY_ROUTE_LOADER_H
+#define MARJORAMRAIL_DIRECTORY_ROUTE_LOADER_H
 
 #include "marjoramrail/directory.h"
 
 namespace marjoramrail::internal {
 
-class route_intake {
+class route_loader {
 public:
   /// Routes read in one turn: half a millisecond of a whole core at most.
-  static constexpr std::size_t RoutesATurn = 256;
+  static constexpr std::size_t RoutesPerStep = 256;
 
   struct hooks {
     std::function<route_reader(const platform_object &)> Read;
@@ -32,15 +32,15 @@
     std::function<void(const platform_object &Object, route_table Table)>
         OnTable;
     /// In a turn of its own after OnTable: the table may be used.
-    std::function<void()> OnUse;
+    std::function<void()> OnTableReady;
     std::function<void(const std::string &Why)> OnRefused;
     turn_hook OnTurn;
   };
 
-  explicit route_intake(hooks Hooks) : Hooks(std::move(Hooks)) {}
-  ~route_intake() { *Alive = false; }
-  route_intake(const route_intake &) = delete;
-  route_intake &operator=(const route_intake &) = delete;
+  explicit route_loader(hooks Hooks) : Hooks(std::move(Hooks)) {}
+  ~route_loader() { *Alive = false; }
+  route_loader(const route_loader &) = delete;
+  route_loader &operator=(const route_loader &) = delete;
 
   void take(const platform_object &Object);
   /// A configuration is being read or waits.
@@ -54,20 +54,20 @@
   };
 
   void begin(const platform_object &Object);
-  void goOn();
-  void giveTable();
-  void use();
+  void readNextPart();
+  void deliverTable();
+  void notifyTableReady();
   result<void> readPart();
-  void yield(void (route_intake::*Step)());
+  void yield(void (route_loader::*Step)());
   void end();
 
   hooks Hooks;
   std::optional<reading> Reading;
-  bool IsWhole = false;
+  bool IsComplete = false;
   std::optional<platform_object> Waiting;
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
 };
 
 } // namespace marjoramrail::internal
 
-#endif // MARJORAMRAIL_DIRECTORY_ROUTE_INTAKE_H
+#endif // MARJORAMRAIL_DIRECTORY_ROUTE_LOADER_H
--- a/src/directory/route_record.cpp
+++ b/src/directory/route_record.cpp
@@ -31,7 +31,7 @@
         Services.add(Address, Name);
 }
 
-static void readEarlierForm(const json &Record, route_services &Services) {
+static void readOldFormat(const json &Record, route_services &Services) {
   for (const auto &[Text, Names] : Record.items()) {
     const auto Address = parseEndpoint(Text);
     if (!Address || !Names.is_array())
@@ -52,7 +52,7 @@
   if (Names != Record.end() && Names->is_object())
     readServices(*Names, Services);
   else
-    readEarlierForm(Record, Services);
+    readOldFormat(Record, Services);
   Services.sort();
 }
 
@@ -69,20 +69,20 @@
   return Names;
 }
 
-void route_record::noteFormer(const route_services &Current, instant Now) {
-  std::map<route_service, instant> Former;
+void route_record::notePrevious(const route_services &Current, instant Now) {
+  std::map<route_service, instant> Previous;
   for (const route_service &Entry : Services.without(Current)) {
-    const auto Known = FormerSince.find(Entry);
-    Former.emplace(Entry, Known == FormerSince.end() ? Now : Known->second);
+    const auto Known = PreviousSince.find(Entry);
+    Previous.emplace(Entry, Known == PreviousSince.end() ? Now : Known->second);
   }
-  FormerSince = std::move(Former);
+  PreviousSince = std::move(Previous);
 }
 
 std::optional<std::string> route_record::update(const route_services &Current,
                                                 instant Now) {
-  noteFormer(Current, Now);
+  notePrevious(Current, Now);
   std::vector<route_service> Expired;
-  for (const auto &[Entry, Since] : FormerSince)
+  for (const auto &[Entry, Since] : PreviousSince)
     if (Now - Since >= FlowLife + RecordSlack)
       Expired.push_back(Entry);
   if (Expired.empty() && Services.containsAll(Current))
@@ -92,7 +92,7 @@
 
 std::optional<instant> route_record::nextExpiry() const {
   std::optional<instant> Next;
-  for (const auto &[Entry, Since] : FormerSince)
+  for (const auto &[Entry, Since] : PreviousSince)
     Next =
         std::min(Next.value_or(instant::max()), Since + FlowLife + RecordSlack);
   return Next;
--- a/src/directory/route_record.h
+++ b/src/directory/route_record.h
@@ -47,13 +47,13 @@
   std::optional<instant> nextExpiry() const;
 
 private:
-  void noteFormer(const route_services &Current, instant Now);
+  void notePrevious(const route_services &Current, instant Now);
 
   duration FlowLife;
   bool Loaded = false;
   route_services Services;
   /// Since when a service on record is not in force any more.
-  std::map<route_service, instant> FormerSince;
+  std::map<route_service, instant> PreviousSince;
 };
 
 } // namespace marjoramrail::internal
--- a/src/directory/route_services.cpp
+++ b/src/directory/route_services.cpp
@@ -62,10 +62,10 @@
 
 route_services
 route_services::merged(const route_services &Others,
-                       const std::vector<route_service> &Gone) const {
+                       const std::vector<route_service> &Removed) const {
   std::vector<route_service> Kept;
-  std::set_difference(Entries.begin(), Entries.end(), Gone.begin(), Gone.end(),
-                      std::back_inserter(Kept));
+  std::set_difference(Entries.begin(), Entries.end(), Removed.begin(),
+                      Removed.end(), std::back_inserter(Kept));
   route_services All;
   std::set_union(Kept.begin(), Kept.end(), Others.Entries.begin(),
                  Others.Entries.end(), std::back_inserter(All.Entries));
--- a/src/directory/route_services.h
+++ b/src/directory/route_services.h
@@ -49,9 +49,9 @@
   bool containsAll(const route_services &Others) const;
   /// What this set has and \p Others have not.
   std::vector<route_service> without(const route_services &Others) const;
-  /// Takes in \p Others and drops \p Gone, which is sorted.
+  /// Takes in \p Others and drops \p Removed, which is sorted.
   route_services merged(const route_services &Others,
-                        const std::vector<route_service> &Gone) const;
+                        const std::vector<route_service> &Removed) const;
 
 private:
   std::vector<route_service> Entries;
--- a/src/directory/peer_greeting.cpp
+++ b/src/directory/sync_message.cpp
@@ -1,4 +1,4 @@
-#include "directory/peer_greeting.h"
+#include "directory/sync_message.h"
 
 #include "base/cbor.h"
 #include "wire/byte_order.h"
@@ -14,8 +14,8 @@
 /// 2 x (u64 version, u64 change, i64 age) | u64 changes since | u64 up to |
 /// changes as CBOR, [[name, version, body or null for deleted], ...], or
 /// nothing
-static constexpr std::uint16_t GreetingMagic = 0x4d47;
-static constexpr std::uint8_t GreetingFormat = 4;
+static constexpr std::uint16_t SyncMessageMagic = 0x4d47;
+static constexpr std::uint8_t SyncMessageFormat = 4;
 static constexpr std::uint8_t ReplyBit = 1;
 static constexpr std::uint8_t ServedBit = 2;
 static constexpr std::size_t FixedBytes = 2 + 1 + 1 + 8 + 6 + 4 + 2 * 24 + 16;
@@ -57,10 +57,10 @@
 
 /// Each change is encoded once: a balancer that is far behind asks for hundreds
 /// of them, several times a second, and the answer holds packets up.
-void fitChanges(peer_greeting &Greeting) {
-  if (!Greeting.Changes)
+void fitChanges(sync_message &Message) {
+  if (!Message.Changes)
     return;
-  std::vector<platform_object> &Changes = *Greeting.Changes;
+  std::vector<platform_object> &Changes = *Message.Changes;
   std::sort(Changes.begin(), Changes.end(),
             [](const platform_object &A, const platform_object &B) {
               return A.Version < B.Version;
@@ -71,7 +71,7 @@
   std::size_t Fitting = 0;
   for (; Fitting < Changes.size(); ++Fitting) {
     Bytes += json::to_cbor(changeAsJson(Changes[Fitting])).size();
-    if (Bytes > MaxGreetingBytes)
+    if (Bytes > MaxSyncMessageBytes)
       break;
   }
   if (Fitting == Changes.size() && Fitting > 0)
@@ -83,69 +83,69 @@
       return Object.Version >= TooMuch;
     });
   }
-  Greeting.ChangesUpTo = Changes.empty() ? 0 : Changes.back().Version;
+  Message.ChangesUpTo = Changes.empty() ? 0 : Changes.back().Version;
   if (Changes.empty())
-    Greeting.Changes.reset();
+    Message.Changes.reset();
 }
 
-std::vector<std::uint8_t> encodeGreeting(const peer_greeting &Greeting) {
+std::vector<std::uint8_t> encodeSyncMessage(const sync_message &Message) {
   std::vector<std::uint8_t> Changes;
-  if (Greeting.Changes)
-    Changes = encodeChanges(*Greeting.Changes);
+  if (Message.Changes)
+    Changes = encodeChanges(*Message.Changes);
   std::vector<std::uint8_t> Bytes(FixedBytes + Changes.size());
   byte_writer Writer(Bytes.data());
-  Writer.put(GreetingMagic);
-  Writer.put(GreetingFormat);
-  Writer.put(static_cast<std::uint8_t>((Greeting.IsReply ? ReplyBit : 0) |
-                                       (Greeting.IsServed ? ServedBit : 0)));
-  Writer.put(static_cast<std::uint64_t>(Greeting.AskedUs));
-  Writer.put(Greeting.Self);
-  Writer.put(Greeting.Zone);
-  for (const kind_knowledge &Kind : {Greeting.Routes, Greeting.Site}) {
+  Writer.put(SyncMessageMagic);
+  Writer.put(SyncMessageFormat);
+  Writer.put(static_cast<std::uint8_t>((Message.IsReply ? ReplyBit : 0) |
+                                       (Message.IsServed ? ServedBit : 0)));
+  Writer.put(static_cast<std::uint64_t>(Message.AskedUs));
+  Writer.put(Message.Self);
+  Writer.put(Message.Zone);
+  for (const sync_state &Kind : {Message.Routes, Message.Site}) {
     Writer.put(Kind.Version);
     Writer.put(Kind.LastChange);
     Writer.put(static_cast<std::uint64_t>(Kind.AgeUs));
   }
-  Writer.put(Greeting.ChangesSince);
-  Writer.put(Greeting.ChangesUpTo);
+  Writer.put(Message.ChangesSince);
+  Writer.put(Message.ChangesUpTo);
   std::copy(Changes.begin(), Changes.end(), Writer.position());
   return Bytes;
 }
 
-bool isGreeting(std::span<const std::uint8_t> Bytes) {
+bool isSyncMessage(std::span<const std::uint8_t> Bytes) {
   return Bytes.size() >= FixedBytes &&
-         byte_reader(Bytes.data()).take<std::uint16_t>() == GreetingMagic;
+         byte_reader(Bytes.data()).take<std::uint16_t>() == SyncMessageMagic;
 }
 
-std::optional<peer_greeting>
-decodeGreeting(std::span<const std::uint8_t> Bytes) {
-  if (!isGreeting(Bytes))
+std::optional<sync_message>
+decodeSyncMessage(std::span<const std::uint8_t> Bytes) {
+  if (!isSyncMessage(Bytes))
     return std::nullopt;
   byte_reader Reader(Bytes.data());
   Reader.take<std::uint16_t>();
-  if (Reader.take<std::uint8_t>() != GreetingFormat)
+  if (Reader.take<std::uint8_t>() != SyncMessageFormat)
     return std::nullopt;
-  peer_greeting Greeting;
+  sync_message Message;
   const auto Flags = Reader.take<std::uint8_t>();
-  Greeting.IsReply = (Flags & ReplyBit) != 0;
-  Greeting.IsServed = (Flags & ServedBit) != 0;
-  Greeting.AskedUs = static_cast<std::int64_t>(Reader.take<std::uint64_t>());
-  Greeting.Self = Reader.takeEndpoint();
-  Greeting.Zone = Reader.take<std::uint32_t>();
-  for (kind_knowledge *Kind : {&Greeting.Routes, &Greeting.Site}) {
+  Message.IsReply = (Flags & ReplyBit) != 0;
+  Message.IsServed = (Flags & ServedBit) != 0;
+  Message.AskedUs = static_cast<std::int64_t>(Reader.take<std::uint64_t>());
+  Message.Self = Reader.takeEndpoint();
+  Message.Zone = Reader.take<std::uint32_t>();
+  for (sync_state *Kind : {&Message.Routes, &Message.Site}) {
     Kind->Version = Reader.take<std::uint64_t>();
     Kind->LastChange = Reader.take<std::uint64_t>();
     Kind->AgeUs = static_cast<std::int64_t>(Reader.take<std::uint64_t>());
   }
-  Greeting.ChangesSince = Reader.take<std::uint64_t>();
-  Greeting.ChangesUpTo = Reader.take<std::uint64_t>();
+  Message.ChangesSince = Reader.take<std::uint64_t>();
+  Message.ChangesUpTo = Reader.take<std::uint64_t>();
   const auto Tail = Bytes.subspan(FixedBytes);
   if (Tail.empty())
-    return Greeting;
-  Greeting.Changes = decodeChanges(Tail);
-  if (!Greeting.Changes)
+    return Message;
+  Message.Changes = decodeChanges(Tail);
+  if (!Message.Changes)
     return std::nullopt;
-  return Greeting;
+  return Message;
 }
 
 } // namespace marjoramrail::internal
--- a/src/directory/peer_greeting.h
+++ b/src/directory/sync_message.h
@@ -1,4 +1,4 @@
-//===- peer_greeting.h - What balancers tell each other ---------*- C++ -*-===//
+//===- sync_message.h - What balancers tell each other ---------*- C++ -*-===//
 ///
 /// \file
 /// A datagram of some 100 bytes in which a balancer says how much of the store
@@ -11,8 +11,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef MARJORAMRAIL_DIRECTORY_PEER_GREETING_H
-#define MARJORAMRAIL_DIRECTORY_PEER_GREETING_H
+#ifndef MARJORAMRAIL_DIRECTORY_SYNC_MESSAGE_H
+#define MARJORAMRAIL_DIRECTORY_SYNC_MESSAGE_H
 
 #include "marjoramrail/platform.h"
 
@@ -23,7 +23,7 @@
 namespace marjoramrail::internal {
 
 /// How much of one kind a balancer knows.
-struct kind_knowledge {
+struct sync_state {
   /// Every change up to this version of the store is known.
   std::uint64_t Version = 0;
   /// Version of the newest change known; 0 = nothing is known yet.
@@ -33,7 +33,7 @@
   std::int64_t AgeUs = -1;
 };
 
-struct peer_greeting {
+struct sync_message {
   endpoint Self;
   /// A number for the balancer's zone, equal for all in it.
   std::uint32_t Zone = 0;
@@ -42,8 +42,8 @@
   bool IsServed = true;
   /// The asker's clock when it asked, microseconds; unchanged in the reply.
   std::int64_t AskedUs = 0;
-  kind_knowledge Routes;
-  kind_knowledge Site;
+  sync_state Routes;
+  sync_state Site;
   /// In a reply: the asker's Site.Version, and all changes of that kind from
   /// there up to ChangesUpTo, in order of version.
   std::uint64_t ChangesSince = 0;
@@ -52,18 +52,18 @@
 };
 
 /// What a link carries in one piece, with room for its own heads.
-inline constexpr std::size_t MaxGreetingBytes = 1300;
+inline constexpr std::size_t MaxSyncMessageBytes = 1300;
 
 /// Sorts the changes and leaves out the newest until the greeting fits; lowers
 /// ChangesUpTo to what is left. The asker goes on from there. Without changes
 /// if not even the oldest fit.
-void fitChanges(peer_greeting &Greeting);
+void fitChanges(sync_message &Message);
 
-std::vector<std::uint8_t> encodeGreeting(const peer_greeting &Greeting);
-bool isGreeting(std::span<const std::uint8_t> Bytes);
-std::optional<peer_greeting>
-decodeGreeting(std::span<const std::uint8_t> Bytes);
+std::vector<std::uint8_t> encodeSyncMessage(const sync_message &Message);
+bool isSyncMessage(std::span<const std::uint8_t> Bytes);
+std::optional<sync_message>
+decodeSyncMessage(std::span<const std::uint8_t> Bytes);
 
 } // namespace marjoramrail::internal
 
-#endif // MARJORAMRAIL_DIRECTORY_PEER_GREETING_H
+#endif // MARJORAMRAIL_DIRECTORY_SYNC_MESSAGE_H
--- a/src/directory/target_entry.cpp
+++ b/src/directory/target_entry.cpp
@@ -7,10 +7,10 @@
 namespace marjoramrail {
 
 /// u16 magic | u8 format | u8 length of the name | name | entry as JSON
-static constexpr std::uint16_t AnnouncementMagic = 0x4d41;
-static constexpr std::uint8_t AnnouncementFormat = 1;
-static constexpr std::size_t AnnouncementHeadBytes = 4;
-static constexpr std::size_t MostNameBytes = 128;
+static constexpr std::uint16_t RegistrationMagic = 0x4d41;
+static constexpr std::uint8_t RegistrationFormat = 1;
+static constexpr std::size_t RegistrationHeaderBytes = 4;
+static constexpr std::size_t MaxNameBytes = 128;
 
 service_id serviceNumber(std::string_view Name) {
   return service_id(
@@ -47,33 +47,35 @@
   return Target;
 }
 
-std::vector<std::uint8_t> encodeAnnouncement(const target_entry &Target) {
-  const std::string Name = Target.Name.substr(0, MostNameBytes);
+std::vector<std::uint8_t>
+encodeRegistrationRequest(const target_entry &Target) {
+  const std::string Name = Target.Name.substr(0, MaxNameBytes);
   const std::string Body = encodeTarget(Target);
-  std::vector<std::uint8_t> Bytes(AnnouncementHeadBytes);
+  std::vector<std::uint8_t> Bytes(RegistrationHeaderBytes);
   internal::byte_writer Writer(Bytes.data());
-  Writer.put(AnnouncementMagic);
-  Writer.put(AnnouncementFormat);
+  Writer.put(RegistrationMagic);
+  Writer.put(RegistrationFormat);
   Writer.put(static_cast<std::uint8_t>(Name.size()));
   Bytes.insert(Bytes.end(), Name.begin(), Name.end());
   Bytes.insert(Bytes.end(), Body.begin(), Body.end());
   return Bytes;
 }
 
-bool isAnnouncement(std::span<const std::uint8_t> Bytes) {
-  if (Bytes.size() < AnnouncementHeadBytes)
+bool isRegistrationRequest(std::span<const std::uint8_t> Bytes) {
+  if (Bytes.size() < RegistrationHeaderBytes)
     return false;
   internal::byte_reader Reader(Bytes.data());
-  return Reader.take<std::uint16_t>() == AnnouncementMagic &&
-         Reader.take<std::uint8_t>() == AnnouncementFormat;
+  return Reader.take<std::uint16_t>() == RegistrationMagic &&
+         Reader.take<std::uint8_t>() == RegistrationFormat;
 }
 
-result<target_entry> decodeAnnouncement(std::span<const std::uint8_t> Bytes) {
-  if (!isAnnouncement(Bytes))
+result<target_entry>
+decodeRegistrationRequest(std::span<const std::uint8_t> Bytes) {
+  if (!isRegistrationRequest(Bytes))
     return fail(step::DecodeMessage, "", "this is no announcement");
-  const std::size_t NameBytes = Bytes[AnnouncementHeadBytes - 1];
-  const auto Text = Bytes.subspan(AnnouncementHeadBytes);
-  if (NameBytes == 0 || NameBytes > std::min(Text.size(), MostNameBytes))
+  const std::size_t NameBytes = Bytes[RegistrationHeaderBytes - 1];
+  const auto Text = Bytes.subspan(RegistrationHeaderBytes);
+  if (NameBytes == 0 || NameBytes > std::min(Text.size(), MaxNameBytes))
     return fail(step::DecodeMessage, "", "the announcement has no name");
   const auto Middle = Text.begin() + static_cast<std::ptrdiff_t>(NameBytes);
   return decodeTarget({Text.begin(), Middle}, {Middle, Text.end()});
--- a/src/directory/target_registrar.cpp
+++ b/src/directory/target_registrar.cpp
@@ -17,10 +17,10 @@
   void onRead(const platform_reply &Reply);
   void onWritten(const platform_reply &Reply);
   void retry(const std::string &Reason);
-  void askPeers();
+  void requestPeerRegistration();
   platform_callback then(void (impl::*Step)(const platform_reply &));
   bool settled() const;
-  void tellStored();
+  void notifyStored();
 
   timer_service &Timers;
   platform_api Store;
@@ -32,12 +32,12 @@
   /// What the store holds, as far as known.
   std::optional<target_entry> Held;
   std::uint64_t Version = 0;
-  bool Fresh = false;
+  bool IsReadCurrent = false;
   /// The store shall hold Wanted; until then it is only read.
-  bool Keeping = false;
-  bool Busy = false;
+  bool WriteEnabled = false;
+  bool IsBusy = false;
   bool WroteBefore = false;
-  bool HasLooked = false;
+  bool HasRead = false;
   int Failures = 0;
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
 };
@@ -47,24 +47,26 @@
   return [this, Step, Alive = Alive](const platform_reply &Reply) {
     if (!*Alive)
       return;
-    Busy = false;
+    IsBusy = false;
     (this->*Step)(Reply);
   };
 }
 
-bool target_registrar::impl::settled() const { return Fresh && Held == Wanted; }
+bool target_registrar::impl::settled() const {
+  return IsReadCurrent && Held == Wanted;
+}
 
 void target_registrar::impl::work() {
-  if (Busy)
+  if (IsBusy)
     return;
-  if (!Fresh)
+  if (!IsReadCurrent)
     return read();
-  if (Keeping && Held != Wanted)
+  if (WriteEnabled && Held != Wanted)
     write();
 }
 
 void target_registrar::impl::read() {
-  Busy = true;
+  IsBusy = true;
   Store.Read({Kind, Name}, then(&impl::onRead));
 }
 
@@ -73,33 +75,33 @@
       Reply.Outcome != platform_outcome::NotFound)
     return retry(Reply.Reason);
   Failures = 0;
-  Fresh = true;
+  IsReadCurrent = true;
   Held.reset();
   Version = Reply.Object.Version;
   if (Reply.Outcome == platform_outcome::NotFound)
     Version = 0;
   else if (auto Entry = decodeTarget(Name, Reply.Object.Body))
     Held = *Entry;
-  if (!std::exchange(HasLooked, true) && Hooks.OnLooked)
-    Hooks.OnLooked(/*Existed=*/Version != 0);
-  if (!Held && Keeping && Wanted && Hooks.OnMissing)
+  if (!std::exchange(HasRead, true) && Hooks.OnFirstRead)
+    Hooks.OnFirstRead(/*Existed=*/Version != 0);
+  if (!Held && WriteEnabled && Wanted && Hooks.OnMissing)
     Hooks.OnMissing();
   if (Held && !Held->ByPeer && !WroteBefore && Hooks.OnFound)
     Hooks.OnFound(*Held);
-  tellStored();
+  notifyStored();
   work();
 }
 
 /// The entry counts as known to the fleet when service and address stand there;
 /// whether it drains is told on faster ways.
-void target_registrar::impl::tellStored() {
+void target_registrar::impl::notifyStored() {
   if (Held && Wanted && Held->Service == Wanted->Service &&
       Held->Agent == Wanted->Agent)
     Hooks.OnStored(!WroteBefore && !Held->ByPeer);
 }
 
 void target_registrar::impl::write() {
-  Busy = true;
+  IsBusy = true;
   if (!Wanted) {
     Store.Remove({Kind, Name}, Version, then(&impl::onWritten));
     return;
@@ -117,11 +119,11 @@
 void target_registrar::impl::onWritten(const platform_reply &Reply) {
   if (Reply.Outcome == platform_outcome::Conflict ||
       Reply.Outcome == platform_outcome::NotFound) {
-    Fresh = false;
+    IsReadCurrent = false;
     return work();
   }
   if (Reply.Outcome != platform_outcome::Ok) {
-    Fresh = false;
+    IsReadCurrent = false;
     return retry(Reply.Reason);
   }
   Failures = 0;
@@ -130,26 +132,26 @@
   Held.reset();
   if (auto Entry = decodeTarget(Name, Reply.Object.Body))
     Held = *Entry;
-  tellStored();
+  notifyStored();
   work();
 }
 
-void target_registrar::impl::askPeers() {
-  if (!Hooks.AskPeers || !Wanted || Wanted->Draining)
+void target_registrar::impl::requestPeerRegistration() {
+  if (!Hooks.RequestPeerRegistration || !Wanted || Wanted->Draining)
     return;
-  Hooks.AskPeers(*Wanted);
+  Hooks.RequestPeerRegistration(*Wanted);
 }
 
 void target_registrar::impl::retry(const std::string &Reason) {
-  Hooks.OnTrouble(Reason);
-  askPeers();
+  Hooks.OnFailure(Reason);
+  requestPeerRegistration();
   const duration Wait =
       std::min(FirstRetry * (1 << std::min(Failures++, 3)), LastRetry);
-  Busy = true;
+  IsBusy = true;
   Timers.after(Wait, [this, Alive = Alive] {
     if (!*Alive)
       return;
-    Busy = false;
+    IsBusy = false;
     work();
   });
 }
@@ -161,7 +163,7 @@
 
 target_registrar::~target_registrar() { *Impl->Alive = false; }
 
-void target_registrar::look(const std::string &Name) {
+void target_registrar::readExisting(const std::string &Name) {
   Impl->Name = Name;
   Impl->work();
 }
@@ -169,19 +171,19 @@
 void target_registrar::set(const target_entry &Entry) {
   Impl->Name = Entry.Name;
   Impl->Wanted = Entry;
-  Impl->Keeping = true;
+  Impl->WriteEnabled = true;
   Impl->work();
-  Impl->tellStored();
+  Impl->notifyStored();
 }
 
 void target_registrar::withdraw() {
   Impl->Wanted.reset();
-  Impl->Keeping = true;
+  Impl->WriteEnabled = true;
   Impl->work();
 }
 
 void target_registrar::recheck() {
-  Impl->Fresh = false;
+  Impl->IsReadCurrent = false;
   Impl->work();
 }
 
@@ -190,7 +192,7 @@
 bool target_registrar::hasWritten() const { return Impl->WroteBefore; }
 
 bool target_registrar::knownMissing() const {
-  return Impl->Fresh && !Impl->Held;
+  return Impl->IsReadCurrent && !Impl->Held;
 }
 
 } // namespace marjoramrail
--- a/src/directory/target_reports.cpp
+++ b/src/directory/target_reports.cpp
@@ -5,7 +5,7 @@
 /// A report of the same run counts by its sequence, one of another run by the
 /// time at which the run began.
 bool target_reports::isLate(const target_report &Report) const {
-  if (!Heard || OnlyRecalled)
+  if (!HasReport || OnlyRestored)
     return false;
   if (Report.Id == Last.Id && Report.Born == Last.Born)
     return Report.Sequence <= Last.Sequence;
@@ -16,31 +16,31 @@
   if (Report.Service != Service)
     return report_verdict::WrongService;
   if (isLate(Report))
-    return report_verdict::Late;
+    return report_verdict::Stale;
   Last = Report;
   LastAt = Now;
-  Heard = true;
-  Left = false;
-  OnlyRecalled = false;
-  return report_verdict::Taken;
+  HasReport = true;
+  HasLeft = false;
+  OnlyRestored = false;
+  return report_verdict::Accepted;
 }
 
 report_verdict target_reports::leave(const std::string &Id, instant Now) {
-  if (Heard && !OnlyRecalled && Id != Last.Id)
-    return report_verdict::Late;
-  Left = true;
-  Heard = true;
+  if (HasReport && !OnlyRestored && Id != Last.Id)
+    return report_verdict::Stale;
+  HasLeft = true;
+  HasReport = true;
   LastAt = Now;
-  return report_verdict::Taken;
+  return report_verdict::Accepted;
 }
 
-void target_reports::recall(bool Draining, std::uint32_t Slots, instant Now) {
-  if (Heard)
+void target_reports::restore(bool Draining, std::uint32_t Slots, instant Now) {
+  if (HasReport)
     return;
   Last.Draining = Draining;
   Last.Slots = Slots;
-  Heard = true;
-  OnlyRecalled = true;
+  HasReport = true;
+  OnlyRestored = true;
   LastAt = Now;
 }
 
--- a/src/forward/flow_walk.cpp
+++ b/src/forward/flow_walk.cpp
@@ -143,7 +143,7 @@
 void forward_balancer::impl::tellSought(std::string_view Where,
                                         const flow_key &Flow,
                                         const holder_list &List, instant Now) {
-  tell(event_kind::FlowSought, Where, Flow, List.front(), Now,
+  tell(event_kind::OwnerLookupStarted, Where, Flow, List.front(), Now,
        static_cast<double>(List.size()));
 }
 
--- a/src/forward/forward_balancer.cpp
+++ b/src/forward/forward_balancer.cpp
@@ -136,13 +136,13 @@
     State.Shares.push_back({serviceNumber(Share.Service), Share.Weight});
     State.TotalWeight += Share.Weight;
   }
-  for (const std::string &Service : Rule.Holders)
+  for (const std::string &Service : Rule.OwnerServices)
     State.Holders.push_back(serviceNumber(Service));
   return State;
 }
 
 void forward_balancer::changeRoutes(const rule_changes &Changes) {
-  for (const endpoint &Address : Changes.Gone)
+  for (const endpoint &Address : Changes.Removed)
     Impl->Routes.erase(Address);
   for (const route_rule &Rule : Changes.Changed)
     Impl->Routes[Rule.Address] = stateOf(Rule);
--- a/src/forward/routed_packets.cpp
+++ b/src/forward/routed_packets.cpp
@@ -126,7 +126,8 @@
   const std::size_t Size = encodeRouted(Routed, Buffer);
   if (Size == 0)
     return agent_outcome::Malformed;
-  tell(Head.opensFlow() ? event_kind::FlowHandedOn : event_kind::FlowPassedOn,
+  tell(Head.opensFlow() ? event_kind::FlowHandedOn
+                        : event_kind::OwnerLookupForwarded,
        Why, Head.Flow, Routed.Owners[Routed.Position]);
   Hooks.SendToPeer(Routed.Owners[Routed.Position], {Buffer.data(), Size});
   return agent_outcome::PassedOn;
@@ -150,13 +151,13 @@
                                              std::string_view Why) {
   const bool IsNew = Head.opensFlow();
   if (!IsNew && Routed.has(routed_flag::Continues)) {
-    tell(event_kind::FlowPassedOn, "back to its balancer, for the next list",
-         Head.Flow, Routed.Balancer);
+    tell(event_kind::OwnerLookupForwarded,
+         "back to its balancer, for the next list", Head.Flow, Routed.Balancer);
     return askForMore(Routed);
   }
   if (Head.Rst || (!IsNew && !Routed.has(routed_flag::Whole))) {
-    tell(event_kind::FlowPassedOn, "to nobody: its list may not be whole",
-         Head.Flow, {});
+    tell(event_kind::OwnerLookupForwarded,
+         "to nobody: its list may not be whole", Head.Flow, {});
     return agent_outcome::Unsure;
   }
   if (!sendReset(Head))
--- a/src/platform/call.cpp
+++ b/src/platform/call.cpp
@@ -33,7 +33,7 @@
   }
 }
 
-std::string faultOf(const platform_call &Call) {
+std::string validationError(const platform_call &Call) {
   const std::string Rule = ": expected 1 to " + std::to_string(MaxKeyLength) +
                            " of letters, digits, \".\", \"_\", \":\" and \"-\"";
   if (Call.Verb == call_verb::Watch && Call.Key.Kind.empty())
@@ -63,8 +63,8 @@
 }
 
 static platform_reply unreadable(const platform_call &Call) {
-  return replyToLoss(Call, call_loss::NoAnswer,
-                     "the platform's answer cannot be read");
+  return replyToFailure(Call, call_failure::NoAnswer,
+                        "the platform's answer cannot be read");
 }
 
 static platform_reply replyToOk(const platform_call &Call,
@@ -116,15 +116,16 @@
     Reply.RetryAfter = retryAfterOf(Answer.RetryAfter);
     return Reply;
   default:
-    return replyToLoss(Call, call_loss::NoAnswer,
-                       "the platform answered with code " +
-                           std::to_string(Answer.Code));
+    return replyToFailure(Call, call_failure::NoAnswer,
+                          "the platform answered with code " +
+                              std::to_string(Answer.Code));
   }
 }
 
-platform_reply replyToLoss(const platform_call &Call, call_loss Loss,
-                           const std::string &Reason) {
-  const bool MayHaveChanged = Call.changes() && Loss == call_loss::NoAnswer;
+platform_reply replyToFailure(const platform_call &Call, call_failure Failure,
+                              const std::string &Reason) {
+  const bool MayHaveChanged =
+      Call.changes() && Failure == call_failure::NoAnswer;
   platform_reply Reply;
   Reply.Outcome = MayHaveChanged ? platform_outcome::Unknown
                                  : platform_outcome::Unavailable;
--- a/src/platform/call.h
+++ b/src/platform/call.h
@@ -18,7 +18,7 @@
 using call_verb = platform_verb;
 
 /// How a call can end without an answer.
-enum class call_loss {
+enum class call_failure {
   /// No connection came about, or none was free: nothing was sent.
   NotSent,
   /// The connection broke, or time ran out, after the request went out.
@@ -46,14 +46,14 @@
 /// What keeps a call from being sent, or "". Kinds, names and writers become
 /// part of paths and header fields, where other characters would change the
 /// request's meaning.
-std::string faultOf(const platform_call &Call);
+std::string validationError(const platform_call &Call);
 
 platform_reply replyTo(const platform_call &Call, const http_answer &Answer);
 
 /// The reply to a call that was not answered. A change that went out may have
 /// taken effect: taken for a failure, it would be written a second time.
-platform_reply replyToLoss(const platform_call &Call, call_loss Loss,
-                           const std::string &Reason);
+platform_reply replyToFailure(const platform_call &Call, call_failure Failure,
+                              const std::string &Reason);
 
 } // namespace marjoramrail::internal
 
--- a/src/platform/http_lane.cpp
+++ b/src/platform/http_connection.cpp
@@ -1,4 +1,4 @@
-#include "platform/http_lane.h"
+#include "platform/http_connection.h"
 
 #include <event2/buffer.h>
 #include <event2/http.h>
@@ -13,8 +13,8 @@
 
 static constexpr std::size_t MaxAnswerBytes = 256 * 1024 * 1024;
 
-http_lane::http_lane(event_loop &Loop, std::size_t Server,
-                     const endpoint &Address)
+http_connection::http_connection(event_loop &Loop, std::size_t Server,
+                                 const endpoint &Address)
     : Server(Server), Address(Address) {
   const std::string Text = toText(Address);
   const std::string Host = Text.substr(0, Text.rfind(':'));
@@ -24,7 +24,7 @@
   evhttp_connection_set_max_body_size(Connection, MaxAnswerBytes);
 }
 
-http_lane::~http_lane() { evhttp_connection_free(Connection); }
+http_connection::~http_connection() { evhttp_connection_free(Connection); }
 
 static evhttp_cmd_type commandOf(http_method Method) {
   switch (Method) {
@@ -40,22 +40,22 @@
   return EVHTTP_REQ_GET;
 }
 
-void http_lane::carry(const dialect_request &Sent, std::function<void()> Part,
-                      done_hook Hook) {
+void http_connection::send(const dialect_request &Sent,
+                           std::function<void()> Part, done_hook Hook) {
   OnPart = std::move(Part);
   Done = std::move(Hook);
   Body.clear();
   evhttp_request *Request = evhttp_request_new(
       [](evhttp_request *Request, void *User) {
-        static_cast<http_lane *>(User)->finish(Request);
+        static_cast<http_connection *>(User)->finish(Request);
       },
       this);
-  evhttp_request_set_chunked_cb(Request,
-                                [](evhttp_request *Request, void *User) {
-                                  auto &Self = *static_cast<http_lane *>(User);
-                                  Self.gather(Request);
-                                  Self.OnPart();
-                                });
+  evhttp_request_set_chunked_cb(
+      Request, [](evhttp_request *Request, void *User) {
+        auto &Self = *static_cast<http_connection *>(User);
+        Self.appendBody(Request);
+        Self.OnPart();
+      });
   evkeyvalq *Fields = evhttp_request_get_output_headers(Request);
   evhttp_add_header(Fields, "Host", toText(Address).c_str());
   for (const auto &[Name, Value] : Sent.Fields)
@@ -65,12 +65,12 @@
   if (evhttp_make_request(Connection, Request, commandOf(Sent.Method),
                           Sent.Path.c_str()) != 0) {
     if (Done)
-      std::exchange(Done, nullptr)(std::nullopt, call_loss::NotSent);
+      std::exchange(Done, nullptr)(std::nullopt, call_failure::NotSent);
   }
 }
 
 /// libevent throws a part away after its hook.
-void http_lane::gather(evhttp_request *Request) {
+void http_connection::appendBody(evhttp_request *Request) {
   evbuffer *Input = evhttp_request_get_input_buffer(Request);
   const std::size_t Before = Body.size();
   const std::size_t Part = evbuffer_get_length(Input);
@@ -90,16 +90,16 @@
 
 /// libevent gives no request when a connection broke, and a request with code 0
 /// when none came about.
-void http_lane::finish(evhttp_request *Request) {
+void http_connection::finish(evhttp_request *Request) {
   if (!Done)
     return;
   const done_hook Hook = std::exchange(Done, nullptr);
   if (!Request)
-    return Hook(std::nullopt, call_loss::NoAnswer);
+    return Hook(std::nullopt, call_failure::NoAnswer);
   if (evhttp_request_get_response_code(Request) == 0)
-    return Hook(std::nullopt, call_loss::NotSent);
-  gather(Request);
-  Hook(answerOf(Request, std::move(Body)), call_loss::NoAnswer);
+    return Hook(std::nullopt, call_failure::NotSent);
+  appendBody(Request);
+  Hook(answerOf(Request, std::move(Body)), call_failure::NoAnswer);
 }
 
 } // namespace marjoramrail::internal
--- a/src/platform/platform_client.cpp
+++ b/src/platform/platform_client.cpp
@@ -1,4 +1,4 @@
-#include "platform/http_lane.h"
+#include "platform/http_connection.h"
 #include "platform/object_codec.h"
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 
 static constexpr const char *ClosedReason = "the client was closed";
 
-static platform_reply refusal(const std::string &Reason) {
+static platform_reply invalidReply(const std::string &Reason) {
   platform_reply Reply;
   Reply.Outcome = platform_outcome::Invalid;
   Reply.Reason = Reason;
@@ -34,37 +34,38 @@
 private:
   /// A connection and the call on it. A spent one goes at the next pump, since
   /// a connection must not be freed from within its own callback.
-  struct lane {
-    std::unique_ptr<http_lane> Http;
+  struct pooled_connection {
+    std::unique_ptr<http_connection> Http;
     call_ptr Call;
-    bool Spent = false;
+    bool Unusable = false;
   };
 
   /// Of the calls for one object or kind before the first answer, each so many
   /// waits for long.
-  static constexpr unsigned PatientCalls = 4;
+  static constexpr unsigned FullTimeoutInterval = 4;
   /// A server that sends a byte now and then must not hold a call for ever.
-  static constexpr duration LongestAnswer = std::chrono::seconds(30);
+  static constexpr duration MaxAnswerTime = std::chrono::seconds(30);
 
   void start(call Call);
   duration timeoutOf(const call &Call);
-  void pump();
-  void schedulePump();
-  lane *laneFor(const call &Call);
-  void carry(lane &Lane, const call_ptr &Call);
-  void onDone(lane &Lane, std::optional<http_answer> Answer, call_loss Loss);
+  void dispatchWaiting();
+  void scheduleDispatch();
+  pooled_connection *connectionFor(const call &Call);
+  void send(pooled_connection &Pooled, const call_ptr &Call);
+  void onDone(pooled_connection &Pooled, std::optional<http_answer> Answer,
+              call_failure Failure);
   void onPart(const call_ptr &Call);
   void armTimer(const call_ptr &Call, duration Limit);
   void onTimeout(const call_ptr &Call);
   platform_reply decode(const call &Call, const http_answer &Answer);
   void take(const call_ptr &Call, platform_reply Reply);
-  void tellEnd(const call &Call, const platform_reply &Reply);
+  void reportEnd(const call &Call, const platform_reply &Reply);
   void finish(const call_ptr &Call, platform_reply Reply);
   void deliver(const call_ptr &Call);
 
   /// Calls that wait for a connection.
   std::deque<call_ptr> Waiting;
-  std::vector<std::unique_ptr<lane>> Lanes;
+  std::vector<std::unique_ptr<pooled_connection>> Pool;
   /// Calls that are over and whose callback has not run yet.
   std::map<call_ptr, platform_reply> Finished;
   /// The server that new connections go to.
@@ -73,7 +74,7 @@
   bool HasAnswered = false;
   /// Calls before the first answer, by what they read.
   std::map<object_key, unsigned> FirstCalls;
-  bool PumpScheduled = false;
+  bool DispatchScheduled = false;
   bool Closing = false;
   /// Deferred tasks look here whether the client is still there.
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
@@ -90,16 +91,16 @@
   auto Shared = std::make_shared<call>(std::move(Call));
   Shared->StartedAt = Loop.timers().now();
   armTimer(Shared, timeoutOf(*Shared));
-  if (const std::string Fault = faultOf(*Shared); !Fault.empty())
-    return finish(Shared, refusal(Fault));
+  if (const std::string Fault = validationError(*Shared); !Fault.empty())
+    return finish(Shared, invalidReply(Fault));
   if (Settings.Servers.empty())
-    return finish(Shared, replyToLoss(*Shared, call_loss::NotSent,
-                                      "no server of the platform is set"));
+    return finish(Shared, replyToFailure(*Shared, call_failure::NotSent,
+                                         "no server of the platform is set"));
   if (Waiting.size() >= Settings.MaxWaiting)
-    return finish(Shared, replyToLoss(*Shared, call_loss::NotSent,
-                                      "too many calls wait already"));
+    return finish(Shared, replyToFailure(*Shared, call_failure::NotSent,
+                                         "too many calls wait already"));
   Waiting.push_back(Shared);
-  schedulePump();
+  scheduleDispatch();
 }
 
 duration platform_client::impl::timeoutOf(const call &Call) {
@@ -107,62 +108,66 @@
       Call.Verb == call_verb::Read || Call.Verb == call_verb::List;
   if (HasAnswered || !IsRead || Settings.FirstTimeout == duration::zero())
     return Call.Wait + Settings.Timeout;
-  const bool IsPatient = ++FirstCalls[Call.Key] % PatientCalls == 0;
-  return IsPatient ? Settings.Timeout : Settings.FirstTimeout;
+  const bool UsesFullTimeout =
+      ++FirstCalls[Call.Key] % FullTimeoutInterval == 0;
+  return UsesFullTimeout ? Settings.Timeout : Settings.FirstTimeout;
 }
 
-void platform_client::impl::schedulePump() {
-  if (std::exchange(PumpScheduled, true))
+void platform_client::impl::scheduleDispatch() {
+  if (std::exchange(DispatchScheduled, true))
     return;
   Loop.defer([this, Alive = std::weak_ptr<bool>(Alive)] {
     if (Alive.expired())
       return;
-    PumpScheduled = false;
-    pump();
+    DispatchScheduled = false;
+    dispatchWaiting();
   });
 }
 
 /// Gives waiting calls to free connections, in their order; a watch does not
 /// wait behind calls nor hold them up.
-void platform_client::impl::pump() {
-  std::erase_if(Lanes, [&](const std::unique_ptr<lane> &Lane) {
-    return Lane->Spent || (!Lane->Call && Lane->Http->server() != Current);
+void platform_client::impl::dispatchWaiting() {
+  std::erase_if(Pool, [&](const std::unique_ptr<pooled_connection> &Pooled) {
+    return Pooled->Unusable ||
+           (!Pooled->Call && Pooled->Http->server() != Current);
   });
   // A connection may fail at once and put its call back into Waiting.
   std::deque<call_ptr> Left;
   for (const call_ptr &Call : std::exchange(Waiting, {})) {
-    if (lane *Lane = laneFor(*Call))
-      carry(*Lane, Call);
+    if (pooled_connection *Pooled = connectionFor(*Call))
+      send(*Pooled, Call);
     else
       Left.push_back(Call);
   }
   Waiting.insert(Waiting.end(), Left.begin(), Left.end());
 }
 
-platform_client::impl::lane *platform_client::impl::laneFor(const call &Call) {
+platform_client::impl::pooled_connection *
+platform_client::impl::connectionFor(const call &Call) {
   const bool IsWatch = Call.Verb == call_verb::Watch;
   std::size_t InUse = 0;
-  for (const auto &Lane : Lanes) {
-    if (!Lane->Call && !Lane->Spent)
-      return Lane.get();
-    InUse += Lane->Call && Lane->Call->Verb != call_verb::Watch;
+  for (const auto &Pooled : Pool) {
+    if (!Pooled->Call && !Pooled->Unusable)
+      return Pooled.get();
+    InUse += Pooled->Call && Pooled->Call->Verb != call_verb::Watch;
   }
   if (!IsWatch && InUse >= Settings.MaxConnections)
     return nullptr;
-  auto Lane = std::make_unique<lane>();
-  Lane->Http =
-      std::make_unique<http_lane>(Loop, Current, Settings.Servers[Current]);
-  Lanes.push_back(std::move(Lane));
-  return Lanes.back().get();
+  auto Pooled = std::make_unique<pooled_connection>();
+  Pooled->Http = std::make_unique<http_connection>(Loop, Current,
+                                                   Settings.Servers[Current]);
+  Pool.push_back(std::move(Pooled));
+  return Pool.back().get();
 }
 
-void platform_client::impl::carry(lane &Lane, const call_ptr &Call) {
-  Lane.Call = Call;
-  Call->Server = Lane.Http->address();
-  Lane.Http->carry(
+void platform_client::impl::send(pooled_connection &Pooled,
+                                 const call_ptr &Call) {
+  Pooled.Call = Call;
+  Call->Server = Pooled.Http->address();
+  Pooled.Http->send(
       Settings.Dialect.Request(*Call), [this, Call] { onPart(Call); },
-      [this, &Lane](std::optional<http_answer> Answer, call_loss Loss) {
-        onDone(Lane, std::move(Answer), Loss);
+      [this, &Pooled](std::optional<http_answer> Answer, call_failure Failure) {
+        onDone(Pooled, std::move(Answer), Failure);
       });
 }
 
@@ -174,7 +179,7 @@
 void platform_client::impl::onPart(const call_ptr &Call) {
   Loop.wake();
   const duration Left =
-      Call->StartedAt + Call->Wait + LongestAnswer - Loop.timers().now();
+      Call->StartedAt + Call->Wait + MaxAnswerTime - Loop.timers().now();
   Loop.timers().cancel(Call->Timer);
   armTimer(Call, std::min(Settings.Timeout, Left));
 }
@@ -183,12 +188,12 @@
   Call->Timer = Loop.timers().after(Limit, [this, Call] { onTimeout(Call); });
 }
 
-void platform_client::impl::onDone(lane &Lane,
+void platform_client::impl::onDone(pooled_connection &Pooled,
                                    std::optional<http_answer> Answer,
-                                   call_loss Loss) {
-  const call_ptr Call = std::exchange(Lane.Call, nullptr);
-  const std::size_t Server = Lane.Http->server();
-  schedulePump();
+                                   call_failure Failure) {
+  const call_ptr Call = std::exchange(Pooled.Call, nullptr);
+  const std::size_t Server = Pooled.Http->server();
+  scheduleDispatch();
   HasAnswered |= Answer.has_value();
   if (HasAnswered)
     FirstCalls.clear();
@@ -196,17 +201,17 @@
     Call->Bytes += Answer->Body.size();
     return take(Call, decode(*Call, *Answer));
   }
-  Lane.Spent = true;
+  Pooled.Unusable = true;
   const std::string Where = toText(Settings.Servers[Server]);
-  if (Loss == call_loss::NoAnswer)
-    return finish(Call, replyToLoss(*Call, Loss, Where + " broke off"));
+  if (Failure == call_failure::NoAnswer)
+    return finish(Call, replyToFailure(*Call, Failure, Where + " broke off"));
   if (Server == Current)
     Current = (Current + 1) % Settings.Servers.size();
   if (!Call->changes() && ++Call->Refusals < Settings.Servers.size()) {
     Waiting.push_front(Call);
     return;
   }
-  finish(Call, replyToLoss(*Call, Loss, Where + " takes no connection"));
+  finish(Call, replyToFailure(*Call, Failure, Where + " takes no connection"));
 }
 
 platform_reply platform_client::impl::decode(const call &Call,
@@ -241,25 +246,25 @@
 /// can go at once: the server may still be at work on the call.
 void platform_client::impl::onTimeout(const call_ptr &Call) {
   const auto Held =
-      std::find_if(Lanes.begin(), Lanes.end(),
-                   [&](const auto &Lane) { return Lane->Call == Call; });
-  if (Held != Lanes.end()) {
+      std::find_if(Pool.begin(), Pool.end(),
+                   [&](const auto &Pooled) { return Pooled->Call == Call; });
+  if (Held != Pool.end()) {
     const std::string Where = toText(Settings.Servers[(*Held)->Http->server()]);
     Call->Bytes += (*Held)->Http->received();
-    Lanes.erase(Held);
-    schedulePump();
-    return finish(Call, replyToLoss(*Call, call_loss::NoAnswer,
-                                    Where + " did not answer in time"));
+    Pool.erase(Held);
+    scheduleDispatch();
+    return finish(Call, replyToFailure(*Call, call_failure::NoAnswer,
+                                       Where + " did not answer in time"));
   }
   std::erase(Waiting, Call);
-  finish(Call, replyToLoss(*Call, call_loss::NotSent,
-                           "no connection was free in time"));
+  finish(Call, replyToFailure(*Call, call_failure::NotSent,
+                              "no connection was free in time"));
 }
 
 /// The callback runs later: a core must not be entered from its own call.
 void platform_client::impl::finish(const call_ptr &Call, platform_reply Reply) {
   Loop.timers().cancel(Call->Timer);
-  tellEnd(*Call, Reply);
+  reportEnd(*Call, Reply);
   Finished.emplace(Call, std::move(Reply));
   Loop.defer([this, Call, Alive = std::weak_ptr<bool>(Alive)] {
     if (!Alive.expired())
@@ -267,8 +272,8 @@
   });
 }
 
-void platform_client::impl::tellEnd(const call &Call,
-                                    const platform_reply &Reply) {
+void platform_client::impl::reportEnd(const call &Call,
+                                      const platform_reply &Reply) {
   if (!Settings.OnCallEnd)
     return;
   platform_call_end End;
@@ -297,12 +302,12 @@
 /// Ends what is under way when the client goes.
 void platform_client::impl::finishAll() {
   Closing = true;
-  for (const auto &Lane : std::exchange(Lanes, {}))
-    if (Lane->Call)
-      finish(Lane->Call,
-             replyToLoss(*Lane->Call, call_loss::NoAnswer, ClosedReason));
+  for (const auto &Pooled : std::exchange(Pool, {}))
+    if (Pooled->Call)
+      finish(Pooled->Call, replyToFailure(*Pooled->Call, call_failure::NoAnswer,
+                                          ClosedReason));
   for (const call_ptr &Call : std::exchange(Waiting, {}))
-    finish(Call, replyToLoss(*Call, call_loss::NotSent, ClosedReason));
+    finish(Call, replyToFailure(*Call, call_failure::NotSent, ClosedReason));
   while (!Finished.empty()) {
     // A pointer of our own: deliver() drops the map's.
     const call_ptr Call = Finished.begin()->first;
@@ -326,7 +331,7 @@
     if (!Alive.expired() && !Closing)
       return start(std::move(Call));
     Loop->defer([Call = std::move(Call)] {
-      Call.Done(replyToLoss(Call, call_loss::NotSent, ClosedReason));
+      Call.Done(replyToFailure(Call, call_failure::NotSent, ClosedReason));
     });
   };
 }
--- a/src/timeline/event_budget.cpp
+++ b/src/timeline/event_budget.cpp
@@ -13,8 +13,8 @@
 bool event_budget::take(event_kind Kind, instant Now) {
   kind_state &State = Kinds[static_cast<std::size_t>(Kind)];
   if (!State.Lines)
-    State.Lines = isCommon(Kind) ? token_bucket(CommonPerSecond, CommonAtOnce)
-                                 : token_bucket(RarePerSecond, RareAtOnce);
+    State.Lines = isCommon(Kind) ? token_bucket(CommonPerSecond, CommonBurst)
+                                 : token_bucket(RarePerSecond, RareBurst);
   if (State.Lines->take(Now))
     return true;
   ++State.LeftOut;
@@ -24,9 +24,9 @@
 std::uint64_t event_budget::leftOut(event_kind Kind, instant Now) {
   constexpr duration Spacing = std::chrono::seconds(1);
   kind_state &State = Kinds[static_cast<std::size_t>(Kind)];
-  if (State.LeftOut == 0 || Now - State.ToldAt < Spacing)
+  if (State.LeftOut == 0 || Now - State.LastReportedAt < Spacing)
     return 0;
-  State.ToldAt = Now;
+  State.LastReportedAt = Now;
   return std::exchange(State.LeftOut, 0);
 }
 
--- a/src/timeline/timeline.cpp
+++ b/src/timeline/timeline.cpp
@@ -15,9 +15,9 @@
 static constexpr std::int64_t MaxAheadMs = 3600 * 1000;
 
 timeline::timeline(std::string Process, wall_clock WallMs, sink Sink,
-                   std::size_t Kept)
+                   std::size_t MaxEvents)
     : Process(std::move(Process)), WallMs(std::move(WallMs)),
-      Sink(std::move(Sink)), Limit(Kept) {}
+      Sink(std::move(Sink)), Limit(MaxEvents) {}
 
 void timeline::record(timeline_event Event) {
   Event.WallMs = WallMs();
@@ -32,7 +32,7 @@
     Lines.pop_front();
 }
 
-void timeline::witness(std::uint64_t Received) {
+void timeline::observeClock(std::uint64_t Received) {
   if (Received <= clockOf(WallMs() + MaxAheadMs))
     Clock = std::max(Clock, Received);
 }
--- a/test/directory/directory_world.h
+++ b/test/directory/directory_cluster.h
@@ -1,7 +1,8 @@
-//===- directory_world.h - Directories of many balancers --------*- C++ -*-===//
+//===- directory_cluster.h - Directories of many balancers --------*- C++
+//-*-===//
 
-#ifndef MARJORAMRAIL_TEST_DIRECTORY_DIRECTORY_WORLD_H
-#define MARJORAMRAIL_TEST_DIRECTORY_DIRECTORY_WORLD_H
+#ifndef MARJORAMRAIL_TEST_DIRECTORY_DIRECTORY_CLUSTER_H
+#define MARJORAMRAIL_TEST_DIRECTORY_DIRECTORY_CLUSTER_H
 
 #include "directory/site_store.h"
 
@@ -28,7 +29,7 @@
 }
 
 /// Some balancers' directories, one store, and datagrams that take 2 ms.
-class directory_world {
+class directory_cluster {
 public:
   struct balancer {
     std::unique_ptr<store_faults> Faults = std::make_unique<store_faults>();
@@ -83,7 +84,7 @@
 
   /// Calls under way still pass by the balancer's faults.
   void stop(unsigned Number) {
-    Former.push_back(std::move(Balancers.at(Number).Faults));
+    StoppedFaults.push_back(std::move(Balancers.at(Number).Faults));
     Balancers.erase(Number);
   }
 
@@ -103,7 +104,7 @@
   }
 
 private:
-  std::vector<std::unique_ptr<store_faults>> Former;
+  std::vector<std::unique_ptr<store_faults>> StoppedFaults;
 
   unsigned numberOf(const endpoint &Address) {
     return Address.Address - addressOf(0).Address;
@@ -139,4 +140,4 @@
 
 } // namespace marjoramrail::testing
 
-#endif // MARJORAMRAIL_TEST_DIRECTORY_DIRECTORY_WORLD_H
+#endif // MARJORAMRAIL_TEST_DIRECTORY_DIRECTORY_CLUSTER_H
--- a/test/directory/directory_test.cpp
+++ b/test/directory/directory_test.cpp
@@ -1,4 +1,4 @@
-#include "directory/directory_world.h"
+#include "directory/directory_cluster.h"
 
 #include <doctest/doctest.h>
 
@@ -20,7 +20,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(directory_world, "a balancer learns routes and targets") {
+TEST_CASE_FIXTURE(directory_cluster, "a balancer learns routes and targets") {
   configure(1, {"ledger"});
   addTarget("one");
   start(1);
@@ -32,7 +32,7 @@
   CHECK(at(1).targets().size() == 1);
 }
 
-TEST_CASE_FIXTURE(directory_world,
+TEST_CASE_FIXTURE(directory_cluster,
                   "a change reaches a balancer that the store refuses") {
   // The store turns one balancer away and serves the others. Callers whose
   // packets land there would be sent by the old configuration for as long as
@@ -50,7 +50,7 @@
   CHECK(sharesAt(at(3)) == names{"archive"});
 }
 
-TEST_CASE_FIXTURE(directory_world,
+TEST_CASE_FIXTURE(directory_cluster,
                   "a balancer that starts without the store asks a peer") {
   configure(1, {"ledger"});
   addTarget("one");
@@ -64,7 +64,7 @@
   CHECK(at(2).targets().size() == 1);
 }
 
-TEST_CASE_FIXTURE(directory_world,
+TEST_CASE_FIXTURE(directory_cluster,
                   "a balancer that knows nothing stays out of rotation") {
   Store.Down = true;
   start(1);
@@ -73,7 +73,7 @@
   CHECK_FALSE(at(1).ready());
 }
 
-TEST_CASE_FIXTURE(directory_world,
+TEST_CASE_FIXTURE(directory_cluster,
                   "former services outlive every balancer of ours") {
   // A route moves; later all balancers are replaced, one of them starts while
   // the store is away and hears a peer. Old flows live on at the former service
@@ -92,12 +92,12 @@
 
   for (const unsigned Number : {2U, 3U}) {
     REQUIRE(at(Number).rules().size() == 1);
-    const names Holders = at(Number).rules().front().Holders;
-    CHECK(Holders == names{"archive", "ledger"});
+    const names OwnerServices = at(Number).rules().front().OwnerServices;
+    CHECK(OwnerServices == names{"archive", "ledger"});
   }
 }
 
-TEST_CASE_FIXTURE(directory_world,
+TEST_CASE_FIXTURE(directory_cluster,
                   "an own write does not stand for what came before it") {
   // While a balancer's watch hangs a target joins, and the balancer writes an
   // object of its own. A copy of what it knows, taken for whole, would lack the
@@ -119,7 +119,8 @@
   CHECK(Copy.StoreVersion < Store.get("marjoramrail", "target.one").Version);
 }
 
-TEST_CASE_FIXTURE(directory_world, "an invalid configuration changes nothing") {
+TEST_CASE_FIXTURE(directory_cluster,
+                  "an invalid configuration changes nothing") {
   configure(1, {"ledger"});
   start(1);
   pass(3s);
@@ -130,7 +131,7 @@
   CHECK(sharesAt(at(1)) == names{"ledger"});
 }
 
-TEST_CASE_FIXTURE(directory_world, "entries of replaced balancers go") {
+TEST_CASE_FIXTURE(directory_cluster, "entries of replaced balancers go") {
   // VMs are replaced every day. Were their entries kept, each balancer would
   // greet thousands that are gone, and reach those that are there too late.
   configure(1, {"ledger"});
@@ -150,7 +151,7 @@
   CHECK_FALSE(Store.get("marjoramrail", "balancer.balancer-3").Deleted);
 }
 
-TEST_CASE_FIXTURE(directory_world, "a dead VM leaves nothing in the store") {
+TEST_CASE_FIXTURE(directory_cluster, "a dead VM leaves nothing in the store") {
   // VMs die every day. Their entries would stay for ever, and the store would
   // fill up.
   start(1);
@@ -164,14 +165,15 @@
   CHECK((Left.Version == 0 || Left.Deleted));
 }
 
-TEST_CASE_FIXTURE(directory_world, "a balancer announces for a refused agent") {
+TEST_CASE_FIXTURE(directory_cluster,
+                  "a balancer announces for a refused agent") {
   // The store serves balancers and refuses the agent of a new target.
   start(1);
   configure(1, {"ledger"});
   pass(3s);
   const target_entry Entry{"target.new", "ledger", {0x0a000307, 700},
                            "brugge",     4,        false};
-  at(1).input({0x0a000307, 700}, encodeAnnouncement(Entry));
+  at(1).input({0x0a000307, 700}, encodeRegistrationRequest(Entry));
   pass(1s);
 
   REQUIRE(at(1).targets().size() == 1);
@@ -179,7 +181,7 @@
   CHECK(at(1).targets().front().ByPeer);
 }
 
-TEST_CASE_FIXTURE(directory_world, "an announcement changes no entry") {
+TEST_CASE_FIXTURE(directory_cluster, "an announcement changes no entry") {
   // A datagram that was held up, or comes from another writer, must not undo
   // what an agent has written itself: a leaver would get new flows again.
   start(1);
@@ -190,28 +192,28 @@
   pass(3s);
   target_entry Other = Entry;
   Other.Draining = false;
-  at(1).input({0x0a000307, 700}, encodeAnnouncement(Other));
+  at(1).input({0x0a000307, 700}, encodeRegistrationRequest(Other));
   pass(1s);
 
   REQUIRE(at(1).targets().size() == 1);
   CHECK(at(1).targets().front() == Entry);
 }
 
-TEST_CASE_FIXTURE(directory_world, "only targets are announced") {
+TEST_CASE_FIXTURE(directory_cluster, "only targets are announced") {
   start(1);
   configure(1, {"ledger"});
   pass(3s);
   const target_entry Entry{"routes", "ledger", {0x0a000307, 700},
                            "brugge", 4,        false};
   const std::string Before = Store.get("marjoramrail", "routes").Body;
-  at(1).input({0x0a000307, 700}, encodeAnnouncement(Entry));
+  at(1).input({0x0a000307, 700}, encodeRegistrationRequest(Entry));
   pass(1s);
 
   CHECK(at(1).targets().empty());
   CHECK(Store.get("marjoramrail", "routes").Body == Before);
 }
 
-TEST_CASE_FIXTURE(directory_world,
+TEST_CASE_FIXTURE(directory_cluster,
                   "who waits its turn compares the record once") {
   // A route is added to thousands. The first in rank writes the record of
   // services; the others only look whether it has. If they build it anew at
--- a/test/directory/many_balancers_test.cpp
+++ b/test/directory/many_balancers_test.cpp
@@ -1,4 +1,4 @@
-#include "directory/directory_world.h"
+#include "directory/directory_cluster.h"
 
 #include <doctest/doctest.h>
 
@@ -6,7 +6,8 @@
 using namespace marjoramrail::testing;
 using namespace std::chrono_literals;
 
-TEST_CASE_FIXTURE(directory_world, "many balancers stay sure with few calls") {
+TEST_CASE_FIXTURE(directory_cluster,
+                  "many balancers stay sure with few calls") {
   // At hundreds of balancers each watch of each would be a call; the store's
   // rate is fixed. All must still be able to tell a lost flow within
   // SettleTime.
@@ -15,25 +16,25 @@
     start(Number, {addressOf(1)});
   pass(10s);
   const std::uint64_t Before = Store.Calls;
-  std::size_t Sure = 0;
-  std::size_t Looks = 0;
+  std::size_t Current = 0;
+  std::size_t Checks = 0;
   for (int Round = 0; Round < 100; ++Round) {
     pass(100ms);
     for (auto &[Number, Balancer] : Balancers) {
       const auto AsOf = Balancer.Directory->knownAsOf();
-      Sure += AsOf && Timers.now() - *AsOf < SettleTime - 100ms;
-      ++Looks;
+      Current += AsOf && Timers.now() - *AsOf < SettleTime - 100ms;
+      ++Checks;
     }
   }
 
-  CHECK(static_cast<double>(Sure) / static_cast<double>(Looks) > 0.95);
+  CHECK(static_cast<double>(Current) / static_cast<double>(Checks) > 0.95);
   CHECK(Store.Calls - Before < 10 * 12);
 }
 
 namespace {
 
 /// Ninety balancers in five zones, as on a site of hundreds of VMs.
-struct large_site : directory_world {
+struct large_site : directory_cluster {
   static constexpr unsigned Count = 90;
   static constexpr unsigned Zones = 5;
 
@@ -46,19 +47,19 @@
 
   /// The share of looks within \p Time at which a balancer was sure of what it
   /// knows.
-  double sureFor(duration Time) {
-    std::size_t Sure = 0;
-    std::size_t Looks = 0;
+  double currentShareFor(duration Time) {
+    std::size_t Current = 0;
+    std::size_t Checks = 0;
     const instant End = Timers.now() + Time;
     while (Timers.now() < End) {
       pass(100ms);
       for (auto &[Number, Balancer] : Balancers) {
         const auto AsOf = Balancer.Directory->knownAsOf();
-        Sure += AsOf && Timers.now() - *AsOf < SettleTime - 100ms;
-        ++Looks;
+        Current += AsOf && Timers.now() - *AsOf < SettleTime - 100ms;
+        ++Checks;
       }
     }
-    return static_cast<double>(Sure) / static_cast<double>(Looks);
+    return static_cast<double>(Current) / static_cast<double>(Checks);
   }
 };
 
@@ -70,9 +71,9 @@
   startAll();
   pass(10s);
   const std::uint64_t Before = Store.Calls;
-  const double Sure = sureFor(10s);
+  const double Current = currentShareFor(10s);
 
-  CHECK(Sure > 0.95);
+  CHECK(Current > 0.95);
   CHECK(Store.Calls - Before < 10 * 12);
 }
 
@@ -86,9 +87,9 @@
     Balancers.at(Number).Faults->Link.Cut = true;
   pass(3s);
   const std::uint64_t Before = Store.Calls;
-  const double Sure = sureFor(10s);
+  const double Current = currentShareFor(10s);
 
-  CHECK(Sure > 0.95);
+  CHECK(Current > 0.95);
   // As on a calm day, and the tries of those three.
   CHECK(Store.Calls - Before < 10 * 12 + 10 * 6 * 2);
 }
@@ -109,7 +110,7 @@
   pass(2s);
   for (auto &[Number, Balancer] : Balancers)
     CHECK(Balancer.Directory->targets().size() == 1);
-  CHECK(sureFor(1s) > 0.95);
+  CHECK(currentShareFor(1s) > 0.95);
 }
 
 TEST_CASE_FIXTURE(large_site, "a site that starts asks little") {
@@ -129,7 +130,7 @@
     CHECK(Balancer.Directory->targets().size() == 200);
 }
 
-TEST_CASE_FIXTURE(directory_world, "a new target is soon known to all") {
+TEST_CASE_FIXTURE(directory_cluster, "a new target is soon known to all") {
   configure(1, {"ledger"});
   for (unsigned Number = 1; Number <= 20; ++Number)
     start(Number, {addressOf(1)});
@@ -141,7 +142,7 @@
     CHECK(Balancer.Directory->targets().size() == 1);
 }
 
-TEST_CASE_FIXTURE(directory_world,
+TEST_CASE_FIXTURE(directory_cluster,
                   "many targets at once reach all by greetings") {
   // A site of two hundred targets starts. Few balancers watch; the others must
   // not copy everything from them again and again.
@@ -159,7 +160,7 @@
   CHECK(Copies == 0);
 }
 
-TEST_CASE_FIXTURE(directory_world, "a site that starts copies nothing") {
+TEST_CASE_FIXTURE(directory_cluster, "a site that starts copies nothing") {
   // All balancers start at once; each is about to get the store's own list.
   configure(1, {"ledger"});
   addTarget("one");
--- a/test/directory/many_routes_test.cpp
+++ b/test/directory/many_routes_test.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t ManyRoutes = 4200;
 /// A narrow link (10 Mbit/s) carries so much in 50 ms.
-constexpr std::size_t MostBytes = 64 * 1024;
+constexpr std::size_t MaxBytes = 64 * 1024;
 
 /// {"version": 3, "count": 2}: so many routes on successive addresses, spelled
 /// out to the size that a site's own configuration has.
@@ -54,7 +54,7 @@
   store_faults Faults;
   std::unique_ptr<directory> Directory;
   /// Routes that were looked at, by kind of work.
-  std::map<turn_kind, std::size_t> Looked;
+  std::map<turn_kind, std::size_t> ItemsByWork;
 
   many_routes() {
     Store.put("config", "main", bodyOf(1, ManyRoutes));
@@ -76,7 +76,7 @@
     Hooks.ListFromPeer = [](const endpoint &, const std::string &,
                             const platform_callback &) {};
     Hooks.OnTurn = [this](const turn_done &Turn) {
-      Looked[Turn.What] += Turn.Items;
+      ItemsByWork[Turn.What] += Turn.Items;
     };
     Directory = std::make_unique<directory>(
         Timers,
@@ -87,7 +87,7 @@
     pass(5s);
     REQUIRE(Directory->routesVersion() == 1);
     REQUIRE(Directory->rules().size() == ManyRoutes);
-    Looked.clear();
+    ItemsByWork.clear();
   }
 
   void pass(duration Time) { Timers.advance(Timers.now() + Time); }
@@ -113,8 +113,8 @@
   }
 
   CHECK(Directory->targets().size() == 10);
-  CHECK(Looked[turn_kind::BuildRules] == 0);
-  CHECK(Looked[turn_kind::CompareRecord] == 0);
+  CHECK(ItemsByWork[turn_kind::BuildRules] == 0);
+  CHECK(ItemsByWork[turn_kind::CompareRecord] == 0);
 }
 
 TEST_CASE_FIXTURE(many_routes, "a peer copies many routes in little") {
@@ -124,7 +124,7 @@
   const auto Copy = Directory->serve("config");
 
   REQUIRE(Copy);
-  CHECK(Copy->size() <= MostBytes);
+  CHECK(Copy->size() <= MaxBytes);
 }
 
 TEST_CASE_FIXTURE(many_routes, "the record of many routes is small") {
@@ -133,5 +133,5 @@
   const platform_object Record = Store.get("marjoramrail", "routes");
 
   REQUIRE(Record.Version != 0);
-  CHECK(Record.Body.size() <= MostBytes);
+  CHECK(Record.Body.size() <= MaxBytes);
 }
--- a/test/directory/object_feed_test.cpp
+++ b/test/directory/object_feed_test.cpp
@@ -14,14 +14,14 @@
   timer_service Timers;
   fake_platform Store{Timers};
   store_faults Faults;
-  std::vector<platform_object> News;
+  std::vector<platform_object> Updates;
   std::optional<duration> Wait = 1s;
   object_feed Feed{
       Timers,
       siteStore(Store, Faults, "site"),
       "site",
-      {[this](const platform_object &Object) { News.push_back(Object); }, [] {},
-       [this] { return Wait; }, [](bool, const std::string &) {}}};
+      {[this](const platform_object &Object) { Updates.push_back(Object); },
+       [] {}, [this] { return Wait; }, [](bool, const std::string &) {}}};
 
   void pass(duration Time) { Timers.advance(Timers.now() + Time); }
 };
@@ -38,8 +38,8 @@
 
   CHECK(Feed.objects().size() == 1);
   CHECK(Feed.objects().contains("b"));
-  REQUIRE(News.size() == 3);
-  CHECK(News.back().Deleted);
+  REQUIRE(Updates.size() == 3);
+  CHECK(Updates.back().Deleted);
 }
 
 TEST_CASE_FIXTURE(feed_fixture, "a lost history is listed anew") {
@@ -105,7 +105,7 @@
   const platform_object Old = Feed.objects().at("a");
   Store.erase("site", "a");
   pass(200ms);
-  Feed.takeChanges({Old}, 0, Feed.version() + 1);
+  Feed.applyChanges({Old}, 0, Feed.version() + 1);
 
   CHECK_FALSE(Feed.objects().contains("a"));
   CHECK(Feed.version() > Before);
@@ -158,7 +158,7 @@
   platform_object Later;
   Later.Key = {"site", "z"};
   Later.Version = Version + 9;
-  Feed.takeChanges({Later}, Version + 5, Version + 9);
+  Feed.applyChanges({Later}, Version + 5, Version + 9);
 
   CHECK(Feed.version() == Version);
   CHECK_FALSE(Feed.objects().contains("z"));
--- a/test/directory/peer_ring_test.cpp
+++ b/test/directory/peer_selector_test.cpp
@@ -1,4 +1,4 @@
-#include "directory/peer_ring.h"
+#include "directory/peer_selector.h"
 
 #include <doctest/doctest.h>
 
@@ -8,12 +8,12 @@
 
 static endpoint balancer(std::uint32_t Number) { return {Number, 7000}; }
 
-static peer_ring ringOf(std::uint32_t Self, std::uint32_t Balancers,
-                        instant Now) {
-  peer_ring Ring(balancer(Self), 1, Self);
+static peer_selector ringOf(std::uint32_t Self, std::uint32_t Balancers,
+                            instant Now) {
+  peer_selector Selector(balancer(Self), 1, Self);
   for (std::uint32_t Number = 1; Number <= Balancers; ++Number)
-    Ring.heard(balancer(Number), 1, Now);
-  return Ring;
+    Selector.recordMessage(balancer(Number), 1, Now);
+  return Selector;
 }
 
 TEST_CASE("no balancer is greeted by a whole large fleet") {
@@ -23,8 +23,8 @@
   constexpr std::uint32_t Fleet = 2000;
   std::map<endpoint, int> Greeted;
   for (std::uint32_t Self = 1; Self <= Fleet; Self += 20) {
-    peer_ring Ring = ringOf(Self, Fleet, Now);
-    for (const endpoint &Peer : Ring.round(Now))
+    peer_selector Selector = ringOf(Self, Fleet, Now);
+    for (const endpoint &Peer : Selector.choosePeers(Now))
       ++Greeted[Peer];
   }
 
@@ -37,45 +37,47 @@
 
 TEST_CASE("a silent peer is asked now and then, and given up in the end") {
   const instant Start(10s);
-  peer_ring Ring = ringOf(1, 5, Start);
-  Ring.know(balancer(9));
+  peer_selector Selector = ringOf(1, 5, Start);
+  Selector.add(balancer(9));
   int Asked = 0;
   instant Now = Start;
   for (int Round = 0; Round < 400; ++Round) {
     Now += 200ms;
     for (std::uint32_t Number = 2; Number <= 5; ++Number)
-      Ring.heard(balancer(Number), 1, Now);
-    for (const endpoint &Peer : Ring.round(Now))
+      Selector.recordMessage(balancer(Number), 1, Now);
+    for (const endpoint &Peer : Selector.choosePeers(Now))
       Asked += Peer == balancer(9);
   }
 
   CHECK(Asked >= 50);
   CHECK(Asked <= 100);
-  CHECK(Ring.isGone(balancer(9), Now));
-  CHECK_FALSE(Ring.isGone(balancer(2), Now));
+  CHECK(Selector.isDead(balancer(9), Now));
+  CHECK_FALSE(Selector.isDead(balancer(2), Now));
 }
 
 TEST_CASE("ranks count live peers below") {
   const instant Now(10s);
-  const peer_ring Ring = ringOf(3, 5, Now);
+  const peer_selector Selector = ringOf(3, 5, Now);
 
-  CHECK(Ring.live(Now) == 4);
-  CHECK(Ring.rank(Now) == 2);
-  CHECK(Ring.rank(Now + 10s) == 0);
+  CHECK(Selector.live(Now) == 4);
+  CHECK(Selector.rank(Now) == 2);
+  CHECK(Selector.rank(Now + 10s) == 0);
 }
 
 TEST_CASE("who takes itself for the first asks those ahead") {
   // After a start a balancer has heard three of ninety. Until it meets one that
   // goes before it by chance, it would do the others' duties.
   const instant Now(10s);
-  peer_ring Ring(balancer(50), 1, 50);
+  peer_selector Selector(balancer(50), 1, 50);
   for (std::uint32_t Number = 1; Number <= 90; ++Number)
-    Ring.know(balancer(Number), 1);
-  CHECK(Ring.rank(Now) == 0);
+    Selector.add(balancer(Number), 1);
+  CHECK(Selector.rank(Now) == 0);
   int Rounds = 0;
-  for (; Ring.rankIn(1, Now) < peer_ring::FirstInZone && Rounds < 10; ++Rounds)
-    for (const endpoint &Peer : Ring.round(Now))
-      Ring.heard(Peer, 1, Now);
+  for (;
+       Selector.rankIn(1, Now) < peer_selector::WatchersPerZone && Rounds < 10;
+       ++Rounds)
+    for (const endpoint &Peer : Selector.choosePeers(Now))
+      Selector.recordMessage(Peer, 1, Now);
 
   CHECK(Rounds <= 2);
 }
@@ -83,27 +85,28 @@
 TEST_CASE("one ahead that is dead is asked twice only") {
   // VMs that were replaced stay in the list for a while.
   instant Now(10s);
-  peer_ring Ring(balancer(50), 1, 50);
-  Ring.know(balancer(1), 1);
+  peer_selector Selector(balancer(50), 1, 50);
+  Selector.add(balancer(1), 1);
   for (std::uint32_t Number = 60; Number <= 90; ++Number)
-    Ring.heard(balancer(Number), 1, Now);
+    Selector.recordMessage(balancer(Number), 1, Now);
   int Asked = 0;
   for (int Round = 0; Round < 10; ++Round)
-    for (const endpoint &Peer : Ring.round(Now))
+    for (const endpoint &Peer : Selector.choosePeers(Now))
       Asked += Peer == balancer(1);
 
   // Two turns of silent peers come in ten rounds as well.
-  CHECK(Asked >= peer_ring::TriesAhead);
-  CHECK(Asked <= peer_ring::TriesAhead + 2);
+  CHECK(Asked >= peer_selector::MaxTriesAhead);
+  CHECK(Asked <= peer_selector::MaxTriesAhead + 2);
 }
 
 TEST_CASE("who needs news asks a watcher and the first of its zone") {
   const instant Now(10s);
-  peer_ring Ring(balancer(80), 2, 80);
+  peer_selector Selector(balancer(80), 2, 80);
   for (std::uint32_t Number = 1; Number <= 90; ++Number)
-    Ring.heard(balancer(Number), 1 + Number / 46, Now);
+    Selector.recordMessage(balancer(Number), 1 + Number / 46, Now);
   for (int Round = 0; Round < 20; ++Round) {
-    const std::vector<endpoint> Asked = Ring.round(Now, /*NeedsNews=*/true);
+    const std::vector<endpoint> Asked =
+        Selector.choosePeers(Now, /*NeedsUpdates=*/true);
     REQUIRE(Asked.size() == 2);
     const auto Ahead = std::minmax(Asked[0], Asked[1]);
     CHECK(Ahead.first <= balancer(3));
--- /dev/null
+++ b/test/directory/route_activation_test.cpp
@@ -0,0 +1,193 @@
+#include "directory/route_activation.h"
+#include "directory/site_store.h"
+
+#include <doctest/doctest.h>
+#include <random>
+
+using namespace marjoramrail;
+using namespace marjoramrail::internal;
+using namespace marjoramrail::testing;
+using namespace std::chrono_literals;
+
+namespace {
+
+struct activation_fixture {
+  instant Now{1s};
+  route_record Record{60s};
+  route_activation Activation;
+
+  activation_fixture() { Record.load(R"({"10.0.0.1:443": ["ledger"]})"); }
+
+  std::vector<std::string> sharesNow() {
+    std::vector<std::string> Names;
+    for (const route_rule &Rule : Activation.rules(Record))
+      for (const service_share &Share : Rule.Shares)
+        Names.push_back(Share.Service);
+    return Names;
+  }
+
+  std::vector<std::string> ownerServicesNow() {
+    return Activation.rules(Record).front().OwnerServices;
+  }
+};
+
+using names = std::vector<std::string>;
+
+} // namespace
+
+TEST_CASE_FIXTURE(activation_fixture, "what is on record is used at once") {
+  Activation.take(tableOf(1, {"ledger"}), Record, Now);
+
+  CHECK(sharesNow() == names{"ledger"});
+  CHECK_FALSE(Activation.nextChange());
+}
+
+TEST_CASE_FIXTURE(activation_fixture,
+                  "a new service waits until all can know it") {
+  // A route moves. A balancer that sent flows to the new service at once would
+  // see another one, which is still behind, have them reset as nobody's.
+  Activation.take(tableOf(1, {"ledger"}), Record, Now);
+  Activation.take(tableOf(2, {"archive"}), Record, Now);
+
+  CHECK(sharesNow() == names{"ledger"});
+  CHECK(ownerServicesNow() == names{"ledger", "archive"});
+  CHECK_FALSE(Activation.advance(Now + SettleTime - 1ms));
+  CHECK(Activation.advance(Now + SettleTime));
+  CHECK(sharesNow() == names{"archive"});
+}
+
+TEST_CASE_FIXTURE(activation_fixture,
+                  "a former service still holds its flows") {
+  Activation.take(tableOf(1, {"ledger"}), Record, Now);
+  Activation.take(tableOf(2, {"archive"}), Record, Now);
+  Activation.advance(Now + SettleTime);
+
+  CHECK(ownerServicesNow() == names{"archive", "ledger"});
+}
+
+TEST_CASE_FIXTURE(activation_fixture, "a version never goes back") {
+  // Balancers hear versions by the store and by peers, in any order.
+  Activation.take(tableOf(5, {"ledger"}), Record, Now);
+
+  CHECK_FALSE(Activation.take(tableOf(4, {"archive"}), Record, Now));
+  CHECK_FALSE(Activation.take(tableOf(5, {"archive"}), Record, Now));
+  CHECK(sharesNow() == names{"ledger"});
+  CHECK(Activation.activeVersion() == 5);
+}
+
+TEST_CASE_FIXTURE(activation_fixture,
+                  "changes in quick succession take effect") {
+  // Configurations come every 80 ms for seconds. If each started the wait anew,
+  // none would take effect before the last one.
+  Activation.take(tableOf(1, {"ledger"}), Record, Now);
+  for (std::uint64_t Version = 2; Version < 22; ++Version)
+    Activation.take(tableOf(Version, {"archive"}), Record,
+                    Now + 80ms * static_cast<int>(Version));
+
+  REQUIRE(Activation.nextChange());
+  CHECK(*Activation.nextChange() <= Now + 160ms + SettleTime);
+  CHECK(Activation.advance(*Activation.nextChange()));
+  CHECK(Activation.activeVersion() == 21);
+}
+
+TEST_CASE_FIXTURE(activation_fixture, "taking away and weighing need no wait") {
+  Activation.take(tableOf(1, {"ledger"}), Record, Now);
+  route_table Weighed = tableOf(2, {"ledger"});
+  Weighed.Routes[0].Shares[0].Weight = 7;
+  Activation.take(Weighed, Record, Now);
+  CHECK(Activation.rules(Record).front().Shares.front().Weight == 7);
+
+  route_table Empty;
+  Empty.Version = 3;
+  Activation.take(Empty, Record, Now);
+  CHECK(Activation.rules(Record).empty());
+}
+
+TEST_CASE_FIXTURE(activation_fixture,
+                  "after a start, what is not on record waits") {
+  Activation.take(tableOf(7, {"ledger", "archive"}), Record, Now);
+
+  CHECK(sharesNow() == names{"ledger"});
+  Activation.advance(Now + SettleTime);
+  CHECK(sharesNow() == names{"ledger", "archive"});
+}
+
+namespace {
+
+/// Some routes of a few addresses and services, by chance.
+route_table drawTable(std::uint64_t Version, std::mt19937 &Random) {
+  route_table Table;
+  Table.Version = Version;
+  const auto Below = [&](unsigned Bound) { return Random() % Bound; };
+  for (unsigned Number = 0; Number < 8; ++Number) {
+    if (Below(3) == 0)
+      continue;
+    route Route{{0x0a000001 + Number, 443}, {}};
+    for (const char *Service : {"ledger", "archive", "catalogue"})
+      if (Below(2) == 0)
+        Route.Shares.push_back(share(Service, Below(3)));
+    Table.Routes.push_back(Route);
+  }
+  return Table;
+}
+
+} // namespace
+
+TEST_CASE_FIXTURE(activation_fixture, "only rules that differ are told") {
+  // One of many routes moves. Whoever takes the rules pays for that one alone.
+  route_table Table = tableOf(1, {"ledger"});
+  Table.Routes.push_back({{0x0a000002, 443}, {share("ledger")}});
+  Activation.take(Table, Record, Now);
+  Activation.advance(Now + SettleTime);
+  CHECK(Activation.changes(Record).Changed.size() == 2);
+  CHECK(Activation.changes(Record).empty());
+  Table.Version = 2;
+  Table.Routes[1].Shares = {share("archive")};
+  Activation.take(Table, Record, Now);
+
+  const rule_changes Changes = Activation.changes(Record);
+
+  REQUIRE(Changes.Changed.size() == 1);
+  CHECK(Changes.Changed[0].Address == Table.Routes[1].Address);
+  CHECK(Changes.Changed[0].OwnerServices == names{"ledger", "archive"});
+  CHECK(Changes.Removed.empty());
+}
+
+TEST_CASE_FIXTURE(activation_fixture,
+                  "a route that is taken away is told gone") {
+  Activation.take(tableOf(1, {"ledger"}), Record, Now);
+  Activation.changes(Record);
+  route_table Empty;
+  Empty.Version = 2;
+  Activation.take(Empty, Record, Now);
+
+  const rule_changes Changes = Activation.changes(Record);
+
+  CHECK(Changes.Changed.empty());
+  CHECK(Changes.Removed == std::vector<endpoint>{FirstAddress});
+}
+
+TEST_CASE_FIXTURE(activation_fixture, "changes add up to all rules") {
+  // Whoever applies the changes one after the other has to arrive at what the
+  // rules are, whatever the order of versions, waits and records.
+  std::mt19937 Random(5);
+  std::map<endpoint, route_rule> Applied;
+  for (std::uint64_t Version = 1; Version < 2000; ++Version) {
+    Activation.take(drawTable(Version, Random), Record, Now);
+    if (Random() % 3 == 0)
+      if (const auto Body = Record.update(drawTable(Version, Random), Now))
+        Record.load(*Body);
+    Now += std::chrono::milliseconds(Random() % 1500);
+    Activation.advance(Now);
+    const rule_changes Changes = Activation.changes(Record);
+    for (const endpoint &Address : Changes.Removed)
+      Applied.erase(Address);
+    for (const route_rule &Rule : Changes.Changed)
+      Applied[Rule.Address] = Rule;
+
+    std::vector<route_rule> Sum;
+    for (const auto &[Address, Rule] : Applied)
+      Sum.push_back(Rule);
+    REQUIRE(Sum == Activation.rules(Record));
+  }
+}
--- a/test/directory/route_intake_test.cpp
+++ b/test/directory/route_loader_test.cpp
@@ -1,4 +1,4 @@
-#include "directory/route_intake.h"
+#include "directory/route_loader.h"
 
 #include <deque>
 #include <doctest/doctest.h>
@@ -11,16 +11,16 @@
 constexpr std::size_t Parts = 3;
 
 /// Configurations that take some turns to read; "bad" fails in its last one.
-struct intake_fixture {
+struct loader_fixture {
   std::deque<std::function<void()>> Turns;
   std::vector<std::uint64_t> Tables;
   std::vector<std::string> Refused;
   int Begun = 0;
   int Used = 0;
-  std::optional<route_intake> Intake;
+  std::optional<route_loader> Loader;
 
-  intake_fixture() {
-    route_intake::hooks Hooks;
+  loader_fixture() {
+    route_loader::hooks Hooks;
     Hooks.Read = [this](const platform_object &Object) {
       ++Begun;
       return reader(Object);
@@ -33,11 +33,11 @@
       CHECK(Table.Routes.size() == Parts);
       Tables.push_back(Object.Version);
     };
-    Hooks.OnUse = [this] { ++Used; };
+    Hooks.OnTableReady = [this] { ++Used; };
     Hooks.OnRefused = [this](const std::string &Why) {
       Refused.push_back(Why);
     };
-    Intake.emplace(Hooks);
+    Loader.emplace(Hooks);
   }
 
   static route_reader reader(const platform_object &Object) {
@@ -54,7 +54,7 @@
     platform_object Object;
     Object.Version = Version;
     Object.Body = Body;
-    Intake->take(Object);
+    Loader->take(Object);
   }
 
   void turn() {
@@ -74,7 +74,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(intake_fixture, "a table is given on when it is whole") {
+TEST_CASE_FIXTURE(loader_fixture, "a table is given on when it is whole") {
   // Half a table in force would reset the flows of the routes in its other
   // half.
   take(1);
@@ -85,14 +85,14 @@
   turn();
   CHECK(Tables == versions{1});
   CHECK(Used == 0);
-  CHECK(Intake->busy());
+  CHECK(Loader->busy());
   turn();
 
   CHECK(Used == 1);
-  CHECK_FALSE(Intake->busy());
+  CHECK_FALSE(Loader->busy());
 }
 
-TEST_CASE_FIXTURE(intake_fixture,
+TEST_CASE_FIXTURE(loader_fixture,
                   "changes that follow each other do not hold one up") {
   // Configurations come faster than one is read. Were each to end the reading
   // of the one before, none would ever be in force.
@@ -109,7 +109,7 @@
   CHECK(std::is_sorted(Tables.begin(), Tables.end()));
 }
 
-TEST_CASE_FIXTURE(intake_fixture, "only the newest one waits") {
+TEST_CASE_FIXTURE(loader_fixture, "only the newest one waits") {
   take(1);
   take(2);
   take(3);
@@ -119,7 +119,7 @@
   CHECK(Begun == 2);
 }
 
-TEST_CASE_FIXTURE(intake_fixture, "older news do not wait") {
+TEST_CASE_FIXTURE(loader_fixture, "older news do not wait") {
   take(5);
   take(4);
   finish();
@@ -127,17 +127,17 @@
   CHECK(Tables == versions{5});
 }
 
-TEST_CASE_FIXTURE(intake_fixture, "what fails in its last part is refused") {
+TEST_CASE_FIXTURE(loader_fixture, "what fails in its last part is refused") {
   take(1, "bad");
   finish();
 
   CHECK(Tables.empty());
   REQUIRE(Refused.size() == 1);
   CHECK(Refused[0].find("bad") != std::string::npos);
-  CHECK_FALSE(Intake->busy());
+  CHECK_FALSE(Loader->busy());
 }
 
-TEST_CASE_FIXTURE(intake_fixture, "a good one is read after one that fails") {
+TEST_CASE_FIXTURE(loader_fixture, "a good one is read after one that fails") {
   take(1, "bad");
   take(2);
   finish();
@@ -146,10 +146,10 @@
   CHECK(Refused.size() == 1);
 }
 
-TEST_CASE_FIXTURE(intake_fixture, "a process may end in the middle") {
+TEST_CASE_FIXTURE(loader_fixture, "a process may end in the middle") {
   take(1);
   turn();
-  Intake.reset();
+  Loader.reset();
   finish();
 
   CHECK(Tables.empty());
--- a/test/directory/route_table_codec_test.cpp
+++ b/test/directory/route_table_codec_test.cpp
@@ -27,7 +27,7 @@
   platform_object Object;
   Object.Key = Key;
   Object.Body = Body;
-  return readWhole(readEncodedRouteTable(Object));
+  return readComplete(readEncodedRouteTable(Object));
 }
 
 bool isRefused(const std::string &Body) {
--- a/test/directory/site_store.h
+++ b/test/directory/site_store.h
@@ -78,11 +78,11 @@
 }
 
 /// Reads all parts.
-inline result<route_table> readWhole(const route_reader &Read) {
-  constexpr std::size_t RoutesAPart = 3;
+inline result<route_table> readComplete(const route_reader &Read) {
+  constexpr std::size_t RoutesPerPart = 3;
   route_table Table;
-  for (bool IsWhole = false; !IsWhole;) {
-    BOOST_LEAF_ASSIGN(IsWhole, Read(RoutesAPart, Table));
+  for (bool IsComplete = false; !IsComplete;) {
+    BOOST_LEAF_ASSIGN(IsComplete, Read(RoutesPerPart, Table));
   }
   return Table;
 }
--- a/test/directory/peer_greeting_test.cpp
+++ b/test/directory/sync_message_test.cpp
@@ -1,4 +1,4 @@
-#include "directory/peer_greeting.h"
+#include "directory/sync_message.h"
 
 #include <doctest/doctest.h>
 #include <random>
@@ -6,25 +6,25 @@
 using namespace marjoramrail;
 using namespace marjoramrail::internal;
 
-static peer_greeting sample() {
-  peer_greeting Greeting;
-  Greeting.Self = {0x0a000001, 7000};
-  Greeting.Zone = 17;
-  Greeting.IsReply = true;
-  Greeting.AskedUs = 123456789;
-  Greeting.Routes = {5, 4, 1000};
-  Greeting.Site = {9, 8, -1};
-  Greeting.ChangesSince = 6;
+static sync_message sample() {
+  sync_message Message;
+  Message.Self = {0x0a000001, 7000};
+  Message.Zone = 17;
+  Message.IsReply = true;
+  Message.AskedUs = 123456789;
+  Message.Routes = {5, 4, 1000};
+  Message.Site = {9, 8, -1};
+  Message.ChangesSince = 6;
   platform_object Object;
   Object.Key = {"site", "target.one"};
   Object.Version = 8;
   Object.Body = "{}";
-  Greeting.Changes = {Object};
-  return Greeting;
+  Message.Changes = {Object};
+  return Message;
 }
 
 TEST_CASE("a greeting keeps what it says") {
-  const auto Back = decodeGreeting(encodeGreeting(sample()));
+  const auto Back = decodeSyncMessage(encodeSyncMessage(sample()));
 
   REQUIRE(Back);
   CHECK(Back->Self == sample().Self);
@@ -41,52 +41,52 @@
 TEST_CASE("changes that do not fit follow later") {
   // All agents of a site start; a balancer that copied everything for each
   // batch would move megabytes between zones.
-  peer_greeting Greeting = sample();
-  Greeting.Changes->clear();
+  sync_message Message = sample();
+  Message.Changes->clear();
   for (std::uint64_t Version = 60; Version > 0; --Version) {
     platform_object Object;
     Object.Key.Name = "target." + std::to_string(Version);
     Object.Version = Version;
     Object.Body = std::string(100, 'x');
-    Greeting.Changes->push_back(Object);
+    Message.Changes->push_back(Object);
   }
-  Greeting.ChangesUpTo = 99;
-  fitChanges(Greeting);
-  const auto Bytes = encodeGreeting(Greeting);
+  Message.ChangesUpTo = 99;
+  fitChanges(Message);
+  const auto Bytes = encodeSyncMessage(Message);
 
-  CHECK(Bytes.size() <= MaxGreetingBytes);
-  REQUIRE(Greeting.Changes);
-  CHECK(Greeting.Changes->size() > 5);
-  CHECK(Greeting.Changes->front().Version == 1);
-  CHECK(Greeting.ChangesUpTo == Greeting.Changes->back().Version);
+  CHECK(Bytes.size() <= MaxSyncMessageBytes);
+  REQUIRE(Message.Changes);
+  CHECK(Message.Changes->size() > 5);
+  CHECK(Message.Changes->front().Version == 1);
+  CHECK(Message.ChangesUpTo == Message.Changes->back().Version);
 }
 
 TEST_CASE("changes of one version are kept together or left out") {
   // Deletions that a list has shown bear the list's version. Half of them taken
   // for all would keep the others for ever.
-  peer_greeting Greeting = sample();
-  Greeting.Changes->clear();
+  sync_message Message = sample();
+  Message.Changes->clear();
   for (int Index = 0; Index < 200; ++Index) {
     platform_object Object;
     Object.Key.Name = "target.number-" + std::to_string(Index);
     Object.Version = 8;
     Object.Deleted = true;
-    Greeting.Changes->push_back(Object);
+    Message.Changes->push_back(Object);
   }
-  fitChanges(Greeting);
+  fitChanges(Message);
 
-  CHECK_FALSE(Greeting.Changes);
+  CHECK_FALSE(Message.Changes);
 }
 
 TEST_CASE("mutated greetings are refused or read, never worse") {
   std::minstd_rand Random(7);
-  const std::vector<std::uint8_t> Good = encodeGreeting(sample());
+  const std::vector<std::uint8_t> Good = encodeSyncMessage(sample());
   for (int Round = 0; Round < 20000; ++Round) {
     std::vector<std::uint8_t> Bytes = Good;
     Bytes.resize(Random() % (Good.size() + 1));
     for (int Flip = 0; Flip < 3 && !Bytes.empty(); ++Flip)
       Bytes[Random() % Bytes.size()] = static_cast<std::uint8_t>(Random());
-    decodeGreeting(Bytes);
+    decodeSyncMessage(Bytes);
   }
-  CHECK(decodeGreeting(Good).has_value());
+  CHECK(decodeSyncMessage(Good).has_value());
 }
--- a/test/directory/target_registrar_test.cpp
+++ b/test/directory/target_registrar_test.cpp
@@ -53,7 +53,7 @@
   // An agent restarts: its target's entry is known to all, and the target can
   // get new flows at once.
   Store.put("site", Entry.Name, encodeTarget(Entry));
-  Registrar.look(Entry.Name);
+  Registrar.readExisting(Entry.Name);
   pass(100ms);
 
   REQUIRE(Found.size() == 1);
@@ -169,9 +169,9 @@
 TEST_CASE("an announcement survives its way") {
   const target_entry Entry{"target.one", "ledger", {0x0a000101, 700},
                            "brugge",     4,        false};
-  const auto Bytes = encodeAnnouncement(Entry);
-  REQUIRE(isAnnouncement(Bytes));
-  const auto Back = decodeAnnouncement(Bytes);
+  const auto Bytes = encodeRegistrationRequest(Entry);
+  REQUIRE(isRegistrationRequest(Bytes));
+  const auto Back = decodeRegistrationRequest(Bytes);
   REQUIRE(Back);
   CHECK(*Back == Entry);
 }
@@ -179,11 +179,11 @@
 TEST_CASE("an announcement that cannot be read names no target") {
   const target_entry Entry{"target.one", "ledger", {0x0a000101, 700},
                            "brugge",     4,        false};
-  auto Bytes = encodeAnnouncement(Entry);
+  auto Bytes = encodeRegistrationRequest(Entry);
   while (Bytes.size() > 1) {
     Bytes.pop_back();
     CHECK(failureOf([&]() -> result<void> {
-            BOOST_LEAF_CHECK(decodeAnnouncement(Bytes));
+            BOOST_LEAF_CHECK(decodeRegistrationRequest(Bytes));
             return {};
           }).has_value());
   }
@@ -204,7 +204,7 @@
   // A VM was cut off for long, counted as dead, and comes back as a new
   // process. A balancer that is still cut off names its old entry; whoever took
   // that for the store's word would give the target flows that others reset.
-  Registrar.look(Entry.Name);
+  Registrar.readExisting(Entry.Name);
   CHECK_FALSE(Registrar.knownMissing());
   pass(100ms);
   CHECK(Registrar.knownMissing());
@@ -218,7 +218,7 @@
 
 TEST_CASE_FIXTURE(registrar_fixture, "an entry of before is not missing") {
   Store.put("site", Entry.Name, encodeTarget(Entry));
-  Registrar.look(Entry.Name);
+  Registrar.readExisting(Entry.Name);
   pass(100ms);
   CHECK_FALSE(Registrar.knownMissing());
   CHECK_FALSE(Registrar.hasWritten());
--- a/test/directory/target_reports_test.cpp
+++ b/test/directory/target_reports_test.cpp
@@ -20,7 +20,8 @@
   target_reports Reports("ledger");
 
   CHECK_FALSE(Reports.acceptsNewFlows());
-  CHECK(Reports.take(report("a", 100, 1), instant()) == report_verdict::Taken);
+  CHECK(Reports.take(report("a", 100, 1), instant()) ==
+        report_verdict::Accepted);
   CHECK(Reports.acceptsNewFlows());
 }
 
@@ -31,8 +32,8 @@
   Reports.take(report("a", 100, 4), instant());
   Reports.take(report("a", 100, 6, /*Draining=*/true), instant());
 
-  CHECK(Reports.take(report("a", 100, 5), instant()) == report_verdict::Late);
-  CHECK(Reports.take(report("a", 100, 6), instant()) == report_verdict::Late);
+  CHECK(Reports.take(report("a", 100, 5), instant()) == report_verdict::Stale);
+  CHECK(Reports.take(report("a", 100, 6), instant()) == report_verdict::Stale);
   CHECK_FALSE(Reports.acceptsNewFlows());
 }
 
@@ -42,8 +43,8 @@
   Reports.take(report("b", 200, 1), instant());
 
   CHECK(Reports.take(report("a", 100, 10, true), instant()) ==
-        report_verdict::Late);
-  CHECK(Reports.leave("a", instant()) == report_verdict::Late);
+        report_verdict::Stale);
+  CHECK(Reports.leave("a", instant()) == report_verdict::Stale);
   CHECK(Reports.acceptsNewFlows());
 }
 
@@ -51,7 +52,8 @@
   target_reports Reports("ledger");
   Reports.take(report("a", 100, 9, true), instant());
 
-  CHECK(Reports.take(report("a", 200, 1), instant()) == report_verdict::Taken);
+  CHECK(Reports.take(report("a", 200, 1), instant()) ==
+        report_verdict::Accepted);
   CHECK(Reports.acceptsNewFlows());
 }
 
@@ -65,18 +67,18 @@
 
 TEST_CASE("what the store says counts until the target speaks") {
   target_reports Reports("ledger");
-  Reports.recall(/*Draining=*/false, 4, instant());
+  Reports.restore(/*Draining=*/false, 4, instant());
   CHECK(Reports.acceptsNewFlows());
 
   CHECK(Reports.take(report("a", 100, 0, true), instant()) ==
-        report_verdict::Taken);
-  Reports.recall(false, 4, instant());
+        report_verdict::Accepted);
+  Reports.restore(false, 4, instant());
   CHECK_FALSE(Reports.acceptsNewFlows());
 }
 
 TEST_CASE("a restarted agent gives a draining target nothing") {
   target_reports Reports("ledger");
-  Reports.recall(/*Draining=*/true, 4, instant());
+  Reports.restore(/*Draining=*/true, 4, instant());
 
   CHECK_FALSE(Reports.acceptsNewFlows());
 }
--- a/test/forward/long_walks_test.cpp
+++ b/test/forward/long_walks_test.cpp
@@ -63,7 +63,7 @@
     Balancers.erase(Balancer);
     endpoint First;
     for (const flow_event &Event : Events)
-      if (Event.What == event_kind::FlowSought)
+      if (Event.What == event_kind::OwnerLookupStarted)
         First = Event.Agent;
     for (const auto &[Number, Host] : Hosts)
       if (Host.Target.Declined > 0 && agentAt(Number) != First)
--- a/test/platform/call_test.cpp
+++ b/test/platform/call_test.cpp
@@ -20,11 +20,11 @@
   call Read = write();
   Read.Verb = call_verb::Read;
 
-  CHECK(replyToLoss(write(), call_loss::NoAnswer, "").Outcome ==
+  CHECK(replyToFailure(write(), call_failure::NoAnswer, "").Outcome ==
         platform_outcome::Unknown);
-  CHECK(replyToLoss(write(), call_loss::NotSent, "").Outcome ==
+  CHECK(replyToFailure(write(), call_failure::NotSent, "").Outcome ==
         platform_outcome::Unavailable);
-  CHECK(replyToLoss(Read, call_loss::NoAnswer, "").Outcome ==
+  CHECK(replyToFailure(Read, call_failure::NoAnswer, "").Outcome ==
         platform_outcome::Unavailable);
 }
 
@@ -51,15 +51,15 @@
 
 TEST_CASE("faultOf refuses what would change a request's meaning") {
   call Call = write();
-  CHECK(faultOf(Call).empty());
+  CHECK(validationError(Call).empty());
   Call.Writer = "balancer-1#1764720000";
-  CHECK(faultOf(Call).empty());
+  CHECK(validationError(Call).empty());
   Call.Writer = "a\r\nIf-Match: 0";
-  CHECK(faultOf(Call).find("writer") == 0);
+  CHECK(validationError(Call).find("writer") == 0);
   Call = write();
   Call.Key.Kind = "";
-  CHECK(faultOf(Call).find("kind") == 0);
+  CHECK(validationError(Call).find("kind") == 0);
   Call = write();
   Call.Body.resize(MaxObjectBytes + 1);
-  CHECK(faultOf(Call).find("body") == 0);
+  CHECK(validationError(Call).find("body") == 0);
 }
--- a/test/timeline/event_budget_test.cpp
+++ b/test/timeline/event_budget_test.cpp
@@ -13,7 +13,7 @@
     Taken += Budget.take(event_kind::FlowRouted, instant(1ms * Ms));
 
   CHECK(Taken <=
-        event_budget::CommonAtOnce + event_budget::CommonPerSecond * 10);
+        event_budget::CommonBurst + event_budget::CommonPerSecond * 10);
   CHECK(Taken >= event_budget::CommonPerSecond * 9);
 }
 
--- a/test/timeline/timeline_test.cpp
+++ b/test/timeline/timeline_test.cpp
@@ -41,7 +41,7 @@
       "agent-1", [] { return 5000; }, Keep);
 
   Balancer.record(routed("cause"));
-  Agent.witness(Balancer.clock());
+  Agent.observeClock(Balancer.clock());
   Agent.record(routed("effect"));
 
   const auto Merged = merge({Events[1], Events[0]});
@@ -90,7 +90,7 @@
   timeline Recorder(
       "agent-1", [] { return 0; }, nullptr);
 
-  Recorder.witness(~std::uint64_t(0));
+  Recorder.observeClock(~std::uint64_t(0));
 
   CHECK(Recorder.clock() == 0);
 }
@@ -99,11 +99,12 @@
   timeline Recorder(
       "agent-1", [] { return 0; }, nullptr);
 
-  for (std::size_t I = 0; I < timeline::Kept + 3; ++I)
+  for (std::size_t I = 0; I < timeline::DefaultMaxEvents + 3; ++I)
     Recorder.record(routed("x"));
 
   const std::string Text = Recorder.recent();
-  CHECK(std::count(Text.begin(), Text.end(), '\n') == timeline::Kept);
+  CHECK(std::count(Text.begin(), Text.end(), '\n') ==
+        timeline::DefaultMaxEvents);
   CHECK(Text.find("\"clock\":4,") < Text.find("\"clock\":5,"));
 }
 
