--- a/include/marjoramrail/directory.h
+++ b/include/marjoramrail/directory.h
@@ -1,10 +1,11 @@
-//===- directory.h - Routes and targets, and how sure we are ----*- C++ -*-===//
+//===- directory.h - A balancer's routes and targets ------------*- C++ -*-===//
 ///
 /// \file
-/// What a balancer knows of the site: which services a route may use, which
-/// targets those services have, and as of when it knows that. Everything that
-/// must last lies in the platform's store; balancers read it there and from
-/// each other, so that a store that refuses some of them holds nobody up.
+/// The routes, services and targets that a balancer uses, and the point in time
+/// up to which this information is complete. All durable data is kept in the
+/// platform's store. Balancers read it from the store and copy it from each
+/// other, so that a balancer whose store calls are refused still gets current
+/// data.
 ///
 /// Usage:
 /// \code
@@ -20,8 +21,8 @@
 ///   Directory.start();
 /// \endcode
 ///
-/// An agent announces its target with a target_registrar and hears the target
-/// itself through target_reports.
+/// An agent registers its target with a target_registrar and tracks the
+/// target's own reports with target_reports.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -49,7 +50,7 @@
 // Routes
 //===----------------------------------------------------------------------===//
 
-/// A service's share of a route's new flows.
+/// The weight of a service among the new flows of a route.
 struct service_share {
   std::string Service;
   std::uint32_t Weight = 1;
@@ -57,7 +58,8 @@
   bool operator==(const service_share &) const = default;
 };
 
-/// An address that callers connect to, and where its new flows go.
+/// An address that callers connect to, and the services that its new flows are
+/// distributed to.
 struct route {
   endpoint Address;
   std::vector<service_share> Shares;
@@ -67,34 +69,38 @@
 
 /// One accepted configuration.
 struct route_table {
-  /// Grows with each accepted configuration.
+  /// Increases with each accepted configuration.
   std::uint64_t Version = 0;
   std::vector<route> Routes;
-  /// A flow that is silent for longer may be forgotten.
+  /// Idle timeout: state of a flow without packets for longer than this may be
+  /// dropped.
   duration IdleFlow = std::chrono::minutes(5);
 
   bool operator==(const route_table &) const = default;
 };
 
-/// Reads one configuration in parts, so that packets pass between them: takes
-/// up to \p Most routes more into \p Table, and is true when that is whole.
-/// Fails with step::ValidateObject at the first part that cannot be read.
+/// Reads one configuration in steps, so that packets can be forwarded between
+/// them: appends up to \p Most further routes to \p Table and returns true when
+/// the table is complete. Fails with step::ValidateObject at the first part
+/// that cannot be decoded.
 using route_reader =
     std::function<result<bool>(std::size_t Most, route_table &Table)>;
 
-/// A route as a balancer uses it now.
+/// The routing rule that a balancer currently applies for one address.
 struct route_rule {
   endpoint Address;
-  /// Where new flows go; empty for a route that is only being left.
+  /// The services that new flows are distributed to; empty while the route is
+  /// being removed.
   std::vector<service_share> Shares;
-  /// Every service that may still hold flows of this address: present, coming
-  /// and former ones.
+  /// All services that may own flows of this address: current, upcoming and
+  /// previous ones.
   std::vector<std::string> OwnerServices;
 
   bool operator==(const route_rule &) const = default;
 };
 
-/// Rules that are other than before, and addresses that have none any more.
+/// The rules that differ from the previous set, and the addresses that no
+/// longer have a rule.
 struct rule_changes {
   std::vector<route_rule> Changed;
   std::vector<endpoint> Removed;
@@ -102,28 +108,28 @@
   bool empty() const { return Changed.empty() && Removed.empty(); }
 };
 
-/// The number under which packets between our processes name a service.
+/// The numeric id of a service in packets between marjoramrail processes.
 service_id serviceNumber(std::string_view Name);
 
 //===----------------------------------------------------------------------===//
 // Targets
 //===----------------------------------------------------------------------===//
 
-/// One target as its agent has written it to the store.
+/// The entry of one target in the store, written by its agent.
 struct target_entry {
-  /// The VM's name.
+  /// The name of the entry; one per VM.
   std::string Name;
   std::string Service;
-  /// Where the agent takes routed packets.
+  /// The address at which the agent receives routed packets.
   endpoint Agent;
   std::string Zone;
-  /// Requests that the target runs at once.
+  /// The number of requests that the target processes concurrently.
   std::uint32_t Slots = 1;
-  /// It leaves: no new flows.
+  /// The target is leaving and must not get new flows.
   bool Draining = false;
-  /// A balancer wrote it for an agent that the store refused, which writes it
-  /// anew as soon as it can. Until then it may have been known to some for a
-  /// moment only.
+  /// A balancer wrote the entry on behalf of an agent that the store refused.
+  /// The agent rewrites the entry as soon as the store accepts its calls. Until
+  /// then some processes may have learned of the target only a moment ago.
   bool ByPeer = false;
 
   bool operator==(const target_entry &) const = default;
@@ -134,35 +140,37 @@
 result<target_entry> decodeTarget(const std::string &Name,
                                   const std::string &Body);
 
-/// An agent that the store refuses asks balancers, in one datagram, to write
-/// its entry.
+/// A registration request: one datagram by which an agent that the store
+/// refuses asks balancers to write its entry.
 std::vector<std::uint8_t> encodeRegistrationRequest(const target_entry &Target);
 bool isRegistrationRequest(std::span<const std::uint8_t> Bytes);
 /// Fails with step::DecodeMessage or step::ValidateObject.
 result<target_entry>
 decodeRegistrationRequest(std::span<const std::uint8_t> Bytes);
 
-/// What a target says of itself.
+/// A status report that a target sends to its agent.
 struct target_report {
   /// Identifies one run of the target's process.
   std::string Id;
   std::string Service;
   std::uint32_t Slots = 1;
   bool Draining = false;
-  /// How long the target will still be slower than usual after its start.
+  /// The remaining time for which the target is slower than usual after its
+  /// start.
   duration WarmupLeft = duration::zero();
-  /// Grows with each report of one run.
+  /// Increases with each report of one run.
   std::uint64_t Sequence = 0;
-  /// When the run began, milliseconds since 1970 by the target's clock; only
-  /// compared with other values of the same machine.
+  /// Start time of the run in milliseconds since 1970, by the target's clock.
+  /// Only compared with other values from the same machine.
   std::int64_t Born = 0;
 };
 
 enum class report_verdict {
   Accepted,
-  /// Of an earlier run, or overtaken by a later report of the same run.
+  /// From an earlier run, or older than a report already accepted from the same
+  /// run.
   Stale,
-  /// Names another service than this agent's.
+  /// The report names a service other than the agent's.
   WrongService,
 };
 
@@ -172,27 +180,29 @@
     {report_verdict::WrongService, "wrong_service"},
 }};
 
-/// The agent's memory of its own target. A report that a partition held up can
-/// arrive after the next run has registered; taken at its word it would stop
-/// new flows to a healthy target, or start them to one that has left.
+/// The latest accepted report of an agent's own target. A report that was
+/// delayed by a network partition can arrive after the next run has registered.
+/// If it were accepted, it would stop new flows to a healthy target or start
+/// them to one that has left.
 class target_reports {
 public:
   explicit target_reports(std::string Service) : Service(std::move(Service)) {}
 
   report_verdict take(const target_report &Report, instant Now);
-  /// The target says that the run \p Id is over.
+  /// Handles the target's message that the run \p Id has ended.
   report_verdict leave(const std::string &Id, instant Now);
-  /// What the store holds of the target, until it has spoken itself.
+  /// Sets the state from the target's entry in the store, used until the target
+  /// sends its first report.
   void restore(bool Draining, std::uint32_t Slots, instant Now);
 
-  /// Whether new flows may go there, as far as the target has said.
+  /// Whether the target accepts new flows according to its last report.
   bool acceptsNewFlows() const {
     return HasReport && !HasLeft && !Last.Draining;
   }
   bool hasReport() const { return HasReport; }
   bool hasLeft() const { return HasLeft; }
   const target_report &last() const { return Last; }
-  /// How long the target is still warming up.
+  /// The remaining warm-up time at \p Now.
   duration warmupLeft(instant Now) const;
 
 private:
@@ -206,27 +216,27 @@
   bool OnlyRestored = false;
 };
 
-/// Keeps an agent's entry in the store. Every write is conditional on the
-/// version read before: one whose answer was lost may take effect seconds
-/// later, and would otherwise undo a newer one.
+/// Keeps an agent's entry in the store up to date. Every write is conditional
+/// on the version that was read before: a write whose answer was lost may take
+/// effect seconds later and would otherwise overwrite a newer one.
 class target_registrar {
 public:
   struct hooks {
-    /// The store has the entry. \p Existed: it named this service and address
-    /// before this process wrote anything.
+    /// The store holds the entry. \p Existed: it already held this service and
+    /// address before this process wrote anything.
     std::function<void(bool Existed)> OnStored;
-    /// The store does not hold the entry that it shall hold; it is written
-    /// next.
+    /// The wanted entry is missing from the store; it is written next.
     std::function<void()> OnMissing;
-    /// What the store held when it was first read, for look().
+    /// The entry that the first read returned; for readExisting().
     std::function<void(const target_entry &)> OnFound;
-    /// A call failed; \p Reason for the log.
+    /// A call to the store failed; \p Reason is for the log.
     std::function<void(const std::string &Reason)> OnFailure;
-    /// The store does not serve this process: balancers may announce the
-    /// target, which does not leave. Called at each failure; may be empty.
+    /// Called at each failed call: asks balancers to register the target on
+    /// behalf of this agent. Not called for a target that is draining. May be
+    /// empty.
     std::function<void(const target_entry &)> RequestPeerRegistration = {};
-    /// The store was read for the first time. \p Existed: it held an entry, so
-    /// there was a process before this one. May be empty.
+    /// The first read has succeeded. \p Existed: the store held an entry, so a
+    /// previous process had registered it. May be empty.
     std::function<void(bool Existed)> OnFirstRead = {};
   };
 
@@ -236,21 +246,20 @@
   target_registrar(const target_registrar &) = delete;
   target_registrar &operator=(const target_registrar &) = delete;
 
-  /// Reads the entry called \p Name and leaves it as it is.
+  /// Reads the entry called \p Name without changing it.
   void readExisting(const std::string &Name);
-  /// From now on the store shall hold \p Entry.
+  /// Writes \p Entry to the store and keeps it there.
   void set(const target_entry &Entry);
-  /// From now on the store shall hold no entry.
+  /// Removes the entry from the store.
   void withdraw();
-  /// The entry may have been taken out by someone else: looks, and writes it
-  /// again if it is missing.
+  /// Reads the entry again and rewrites it if another process has removed it.
   void recheck();
-  /// True when the store holds what it shall.
+  /// True when the last known content of the store is the wanted one.
   bool settled() const;
-  /// This process has sent the entry to the store, whatever became of it.
+  /// This process has sent at least one write of the entry to the store,
+  /// whether or not it took effect.
   bool hasWritten() const;
-  /// The store has said that it holds no entry, and nothing has been written
-  /// since.
+  /// The last read returned no entry and nothing has been written since.
   bool knownMissing() const;
 
 private:
@@ -262,57 +271,63 @@
 // The balancer's directory
 //===----------------------------------------------------------------------===//
 
-/// How long a new route or a new target waits after it became known before the
-/// first flow uses it. Whoever is asked about a flow must know every service
-/// and target that can hold one; with this wait, all who have heard of the
-/// store within it do.
+/// How long a new route or target is known before the first flow uses it. A
+/// process that receives a packet of an unknown flow must know every service
+/// and target that may own the flow; with this wait, every process whose view
+/// of the store is younger than SettleTime does.
 inline constexpr duration SettleTime = std::chrono::milliseconds(1200);
 
 struct directory_settings {
-  /// This balancer's name and where its peers reach it (UDP and HTTP).
+  /// This balancer's name and the address at which its peers reach it (UDP and
+  /// HTTP).
   std::string Name;
   std::string Zone;
   endpoint Self;
-  /// Peers to ask before the store has named any.
+  /// Peers to contact before the store has listed any.
   std::vector<endpoint> Seeds;
-  /// The kind and name of the accepted configuration.
+  /// The kind and name of the configuration object.
   std::string RoutesKind = "config";
   std::string RoutesName = "main";
-  /// The kind of our own objects: targets, balancers, services of routes.
+  /// The kind of marjoramrail's own objects: targets, balancers, services of
+  /// routes.
   std::string SiteKind = "marjoramrail";
-  /// The longest life of a flow: so long a former service keeps its flows.
+  /// The maximum lifetime of a flow. A previous service of a route is kept on
+  /// record for this long.
   duration FlowLife = std::chrono::minutes(1);
-  /// Switched off for an experiment.
+  /// Mechanisms that are disabled for an experiment.
   mechanism_set Without;
 };
 
 struct directory_platform {
-  /// Watches and reads of RoutesKind and of SiteKind.
+  /// Store clients for RoutesKind and SiteKind, with watches limited to that
+  /// kind.
   platform_api Routes;
   platform_api Site;
 };
 
 struct directory_hooks {
-  /// Translates the configuration object.
+  /// Creates the reader for a configuration object.
   std::function<route_reader(const platform_object &)> ReadRoutes;
-  /// Runs a task after the packets that wait; it may outlive the directory.
+  /// Runs a task after the packets that are waiting have been forwarded; the
+  /// task may outlive the directory.
   std::function<void(std::function<void()>)> Yield;
-  /// Rules have changed. Kept apart from targets, which come and go several
-  /// times a second: a pass over all routes for each of them would take all of
-  /// a small VM's processor time, seen as packets and configurations that come
-  /// late while targets are replaced.
+  /// The routing rules have changed. Separate from OnTargets because targets
+  /// change several times a second: a pass over all routes for each target
+  /// change would use all processor time of a small VM, and packets and
+  /// configurations would be delayed while targets are replaced.
   std::function<void(const rule_changes &)> OnRules;
-  /// Targets have changed.
+  /// The set of targets, or one of their entries, has changed.
   std::function<void()> OnTargets;
-  /// A datagram for a peer's Self.
+  /// Sends a datagram to a peer's directory_settings::Self address.
   std::function<void(const endpoint &To, std::span<const std::uint8_t>)> Send;
-  /// Lists \p Kind from a peer's copies; see directory::serve().
+  /// Fetches the list of \p Kind from a peer; see directory::serve().
   std::function<void(const endpoint &Peer, const std::string &Kind,
                      platform_callback)>
       ListFromPeer;
-  /// For the log: what became known, lost or regained.
+  /// Logs an event: data became known, the store became unavailable or
+  /// available.
   std::function<void(event_kind What, const std::string &Why)> OnEvent;
-  /// What its longer pieces of work took; may be empty.
+  /// Reports the duration of longer pieces of work; may be empty.
   turn_hook OnTurn;
 };
 
@@ -326,31 +341,34 @@
 
   void start();
 
-  /// More peers to ask, from settings that have changed.
+  /// Adds peers, for example after the settings have changed.
   void addPeers(const std::vector<endpoint> &Peers);
 
-  /// A datagram that belongs here: of another balancer, or an announcement.
+  /// Handles a datagram for which isForDirectory() is true: a sync message of
+  /// another balancer or a registration request of an agent.
   void input(const endpoint &From, std::span<const std::uint8_t> Bytes);
   static bool isForDirectory(std::span<const std::uint8_t> Bytes);
 
-  /// The copies of \p Kind as the product's object API lists them, for peers.
+  /// The objects of \p Kind in the format of the object API's list call, for
+  /// peers.
   std::optional<std::string> serve(const std::string &Kind) const;
 
   /// True once routes and targets are known, from the store or from a peer.
   bool ready() const;
   std::vector<route_rule> rules() const;
   std::vector<target_entry> targets() const;
-  /// The version of the configuration in force.
+  /// The version of the configuration that is in effect.
   std::uint64_t routesVersion() const;
-  /// Everything that the store accepted before this moment is known here.
+  /// Every change that the store accepted before this moment is known here.
   std::optional<instant> knownAsOf() const;
-  /// Takes the entries of an agent that is gone for good out of the store, if
-  /// this balancer is the first of its zone; the others leave it to that one.
+  /// Removes the store entries of an agent that is permanently gone. Only the
+  /// first balancer of the zone (lowest address) does this; on the others the
+  /// call has no effect.
   void removeTarget(const endpoint &Agent);
-  /// The targets of the own zone, if this balancer is the first of it and has
-  /// been running for long enough to tell; none otherwise.
+  /// The targets of this balancer's zone if this balancer is the first of the
+  /// zone and has been running long enough to know that; otherwise none.
   std::vector<target_entry> supervisedTargets() const;
-  /// Peers heard within the last seconds.
+  /// The number of peers from which a message arrived within the last seconds.
   std::size_t livePeers() const;
 
 private:
--- a/include/marjoramrail/platform.h
+++ b/include/marjoramrail/platform.h
@@ -1,9 +1,10 @@
 //===- platform.h - Client of the platform's object API ---------*- C++ -*-===//
 ///
 /// \file
-/// The only place where anything lasts: the users' object API with versions,
-/// conditional updates and watches. Cores take a platform_api, a set of hooks,
-/// so that a test puts a fake in its place; platform_client fills it over HTTP.
+/// The client of the platform's object store: versioned objects with
+/// conditional updates and watches. It is the only durable storage that
+/// marjoramrail uses. Other modules take a platform_api, a set of functions
+/// that tests replace by a fake; platform_client implements it over HTTP.
 ///
 /// Usage:
 /// \code
@@ -16,23 +17,23 @@
 ///   });
 /// \endcode
 ///
-/// The HTTP form, bodies in JSON:
+/// The HTTP interface, with JSON bodies:
 ///   GET    /v1/objects/KIND/NAME               one object
 ///   GET    /v1/objects/KIND                    all of a kind
 ///   PUT    /v1/objects/KIND/NAME  If-Match: V  write if the version is V;
 ///                                              If-Match: 0 creates
 ///   DELETE /v1/objects/KIND/NAME  If-Match: V
 ///   GET    /v1/watch?since=V&wait_ms=N         changes after store version V
-/// Answers: 200; 404; 409 with the object that stands; 400 with a reason;
-/// 429 and 503 with retry-after, where nothing was done.
+/// Responses: 200; 404; 409 with the current object; 400 with a reason; 429 and
+/// 503 with retry-after, in which case nothing was changed.
 ///
-/// A PUT's body is the object's own JSON text; its header fields Writer and
-/// Writer-Sequence go into the object, as do those of a DELETE into the
-/// deletion that watches see. An object is answered as
+/// The body of a PUT is the object's own JSON text. Its header fields Writer
+/// and Writer-Sequence are stored with the object; those of a DELETE are stored
+/// with the deletion that watches return. An object is returned as
 ///   {"kind", "name", "version", "writer", "sequence", "deleted", "body": TEXT}
-/// and a list or a watch as {"version": STORE_VERSION, "objects": [...]}.
-/// Kinds and names are 1 to 128 of A-Z, a-z, 0-9, ".", "_", ":" and "-"; a
-/// writer is 1 to 128 printable characters without spaces.
+/// and a list or a watch as {"version": STORE_VERSION, "objects": [...]}. Kinds
+/// and names are 1 to 128 of A-Z, a-z, 0-9, ".", "_", ":" and "-"; a writer is
+/// 1 to 128 printable characters without spaces.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -60,20 +61,21 @@
   }
 };
 
-/// One object of the platform. Versions come from one counter of the store, so
-/// they also order changes of different objects.
+/// One object of the store. Versions come from a single counter of the store,
+/// so that they also order changes of different objects.
 struct platform_object {
   object_key Key;
-  /// The store version at which it was last written; 0 = not there.
+  /// The store version of the last write; 0 if the object does not exist.
   std::uint64_t Version = 0;
   /// JSON text of at most 1 MB.
   std::string Body;
-  /// Who wrote it, and the writer's own count: after a lost answer the writer
-  /// reads the object back and finds out whether its write took effect. Kind,
-  /// name and writer: 1 to 128 letters, digits, ".", "_", ":" and "-".
+  /// The writer's name and its own sequence number. After a lost answer the
+  /// writer reads the object back and compares them to find out whether its
+  /// write took effect. Kind, name and writer: 1 to 128 letters, digits, ".",
+  /// "_", ":" and "-".
   std::string Writer;
   std::uint64_t WriterSequence = 0;
-  /// In a watch: the object is gone.
+  /// In the result of a watch: the object was deleted.
   bool Deleted = false;
 
   bool operator==(const platform_object &) const = default;
@@ -82,15 +84,17 @@
 enum class platform_outcome {
   Ok,
   NotFound,
-  /// Another version stands; the reply holds it. Nothing was written.
+  /// The current version differs from the expected one; the reply holds the
+  /// current object. Nothing was written.
   Conflict,
-  /// The platform refused the object; Reason says why.
+  /// The platform rejected the object as invalid; Reason says why.
   Invalid,
-  /// Nothing was done; ask again after RetryAfter.
+  /// Nothing was done; retry after RetryAfter.
   Unavailable,
-  /// A write may or may not have taken effect: read back.
+  /// A write may or may not have taken effect: read the object back.
   Unknown,
-  /// A watch asked for changes that the platform no longer holds: list again.
+  /// A watch requested changes that the platform no longer holds: list the
+  /// objects again.
   HistoryGone,
 };
 
@@ -106,16 +110,17 @@
 
 struct platform_reply {
   platform_outcome Outcome = platform_outcome::Unavailable;
-  /// What stands after the call (Ok) or instead (Conflict).
+  /// The object after the call (Ok), or the current object that caused a
+  /// Conflict.
   platform_object Object;
-  /// For lists and watches, in order of version.
+  /// For lists and watches, ordered by version.
   std::vector<platform_object> Objects;
   /// The store version that a list or watch reflects.
   std::uint64_t StoreVersion = 0;
   std::string Reason;
   duration RetryAfter = duration::zero();
-  /// Of a list that comes in parts: the name after which the next part begins,
-  /// or "". The client asks for it by itself.
+  /// For a list that is returned in several parts: the name after which the
+  /// next part begins, or "". The client requests it automatically.
   std::string ContinueAfter;
 };
 
@@ -123,11 +128,13 @@
 
 struct platform_write {
   platform_object Object;
-  /// The version that must stand for the write to happen; 0 creates.
+  /// The write only happens if this is the current version; 0 creates an
+  /// object.
   std::uint64_t Expected = 0;
 };
 
-/// The calls that cores make. Each callback runs exactly once, later.
+/// The calls to the store. Each callback runs exactly once, and never from
+/// within the call itself.
 struct platform_api {
   std::function<void(const object_key &, platform_callback)> Read;
   std::function<void(const std::string &Kind, platform_callback)> List;
@@ -135,26 +142,27 @@
   std::function<void(const object_key &, std::uint64_t Expected,
                      platform_callback)>
       Remove;
-  /// Waits up to \p Wait for changes after \p Since.
+  /// Returns changes after \p Since, waiting up to \p Wait for the first one.
   std::function<void(std::uint64_t Since, duration Wait, platform_callback)>
       Watch;
 };
 
 enum class platform_verb { Read, List, Write, Remove, Watch };
 
-/// What one call asks for, without its way over the network.
+/// The parameters of one call, independent of its transport.
 struct platform_call {
   platform_verb Verb = platform_verb::Read;
-  /// Lists and watches have a kind alone; a watch may have none.
+  /// Lists and watches only have a kind; a watch may have none.
   object_key Key;
   std::string Body;
   std::string Writer;
   std::uint64_t WriterSequence = 0;
   std::uint64_t Expected = 0;
-  /// Of a watch: from which version, and how long the server may wait.
+  /// For a watch: the version after which changes are requested, and how long
+  /// the server may wait.
   std::uint64_t Since = 0;
   duration Wait = duration::zero();
-  /// Of a list: the name to continue after, or "".
+  /// For a list: the name to continue after, or "".
   std::string After;
 
   bool changes() const {
@@ -164,51 +172,54 @@
 
 enum class http_method { Get, Post, Put, Delete };
 
-/// One HTTP request of the client; Host is added by it.
+/// One HTTP request of the client, which adds the Host field.
 struct dialect_request {
   http_method Method = http_method::Get;
-  /// With the query.
+  /// The path including the query.
   std::string Path;
   std::vector<std::pair<std::string, std::string>> Fields;
   std::string Body;
 };
 
-/// One HTTP answer.
+/// One HTTP response.
 struct http_answer {
   int Code = 0;
   std::string Body;
-  /// The field retry-after, or "".
+  /// The value of the field retry-after, or "".
   std::string RetryAfter;
 };
 
-/// The HTTP form of calls, for platforms that spell them in another way.
-/// Connections, time-outs and back-off stay the client's.
+/// Translates calls to HTTP requests and responses to replies, for platforms
+/// with a different HTTP interface. Connections, time-outs and retry times
+/// remain with the client.
 struct platform_dialect {
   std::function<dialect_request(const platform_call &)> Request;
   std::function<platform_reply(const platform_call &, const http_answer &)>
       Reply;
 };
 
-/// The form at the top of this page.
+/// The HTTP interface described at the top of this file.
 platform_dialect objectDialect();
 
-/// Writes objects as a list of that form, for a process that serves copies of
-/// the platform's objects to its peers.
+/// Encodes objects as a list in that interface's format, for a process that
+/// serves copies of the platform's objects to its peers.
 std::string encodeObjectList(const platform_reply &Reply);
-/// Fills in Objects and StoreVersion; false if \p Text is no such list.
+/// Fills in Objects and StoreVersion; false if \p Text is not a list of that
+/// format.
 bool decodeObjectList(std::string_view Text, platform_reply &Reply);
 
-/// How one call ended, for logs.
+/// The outcome of one call, for logs.
 struct platform_call_end {
   platform_verb Verb = platform_verb::Read;
   object_key Key;
-  /// The server that had the call last.
+  /// The server that the call was last sent to.
   endpoint Server;
   platform_outcome Outcome = platform_outcome::Unavailable;
   std::string Reason;
-  /// Bytes of the answer's body that came, also of one that was given up.
+  /// Bytes of the response body that were received, also of one that was
+  /// aborted.
   std::size_t Bytes = 0;
-  /// From the call to its end, and how much of it the server was asked to wait.
+  /// The duration of the call, and how long the server was asked to wait.
   duration Took = duration::zero();
   duration Wait = duration::zero();
 };
@@ -223,37 +234,40 @@
 
 struct platform_client_settings {
   std::vector<endpoint> Servers;
-  /// The name under which this process writes.
+  /// The writer's name of this process.
   std::string Writer;
-  /// How long a call may go without a byte of its answer; a watch may take its
-  /// own wait on top.
+  /// The maximum time between two parts of a response; for a watch, its own
+  /// wait is added.
   duration Timeout = std::chrono::seconds(2);
-  /// For reads and lists until the first answer of any kind has come. A process
-  /// that starts while the platform is silent can serve nobody before it has
-  /// read, and a call that was sent into the silence is lost: with a short
-  /// time-out it asks again soon after the platform is back. Every fourth such
-  /// call gets the whole Timeout, for a platform that is merely slow. Zero: the
-  /// same Timeout for all.
+  /// The time-out of reads and lists until the first response of any kind has
+  /// arrived. A process that starts while the platform is not responding cannot
+  /// serve anyone before it has read its data, and a call sent at that time is
+  /// lost. With a short time-out the process retries soon after the platform
+  /// has recovered. Every fourth such call gets the full Timeout, for a
+  /// platform that is merely slow. Zero: Timeout applies to all calls.
   duration FirstTimeout = duration::zero();
-  /// Connections in use at once, besides one for each waiting watch.
+  /// The maximum number of connections in use, besides one for each waiting
+  /// watch.
   std::size_t MaxConnections = 8;
-  /// Calls that wait for a connection; more are answered Unavailable, or a
-  /// platform that hangs would let them pile up without bound.
+  /// The maximum number of calls that wait for a connection. Further calls are
+  /// answered with Unavailable; otherwise they would accumulate without bound
+  /// while the platform is hanging.
   std::size_t MaxWaiting = 1024;
   platform_dialect Dialect = objectDialect();
-  /// Each call's end, before its callback; may be empty.
+  /// Called at the end of each call, before its callback; may be empty.
   std::function<void(const platform_call_end &)> OnCallEnd = {};
-  /// What decoding answers and taking them took; may be empty.
+  /// Reports the duration of decoding responses and of the callbacks; may be
+  /// empty.
   turn_hook OnTurn = {};
 };
 
-/// platform_api over HTTP/1.1 (libevent).
+/// Implements platform_api over HTTP/1.1 (libevent).
 ///
-/// A read that a server refuses to be connected for goes to the next address;
-/// a write never does more than one attempt, since its sender alone can tell
-/// whether a second one would be right. A write without a writer gets the one
-/// of the settings, and one without a sequence the client's own count. Calls
-/// that have not been answered when the client goes are answered then.
+/// A read that fails to connect is retried at the next address. A write is
+/// attempted only once, since only its caller can decide whether a second
+/// attempt is correct. A write without a writer gets the one of the settings,
+/// and one without a sequence number the client's own count. Calls that are
+/// pending when the client is destroyed are answered at that time.
 class platform_client {
 public:
   platform_client(event_loop &Loop, platform_client_settings Settings);
@@ -262,10 +276,10 @@
   platform_client &operator=(const platform_client &) = delete;
 
   platform_api api();
-  /// The same, with watches for changes of \p Kind alone.
+  /// Like api(), with watches limited to changes of \p Kind.
   platform_api apiFor(const std::string &Kind);
 
-  /// Calls made since the start, a waiting watch as one.
+  /// The number of calls since the start; a waiting watch counts as one.
   std::uint64_t calls() const;
 
 private:
--- a/include/marjoramrail/timeline.h
+++ b/include/marjoramrail/timeline.h
@@ -1,12 +1,13 @@
-//===- timeline.h - Events of all processes in causal order -----*- C++ -*-===//
+//===- timeline.h - Event log in causal order -------------------*- C++ -*-===//
 ///
 /// \file
-/// Each process records what it decided as one JSON object per line, with the
-/// wall clock and a hybrid logical clock (Kulkarni and others, "Logical
-/// Physical Clocks", 2014): it follows the wall clock, never goes back, and a
-/// message that carries it pushes it on. A merge over all processes so puts
-/// causes before their effects even where wall clocks disagree, and falls back
-/// to the wall clock between processes that exchange no messages.
+/// Each process logs its decisions as one JSON object per line, with the wall
+/// clock and a hybrid logical clock (Kulkarni and others, "Logical Physical
+/// Clocks", 2014). The logical clock follows the wall clock, never goes
+/// backwards and is advanced by the clock values in received messages. A merge
+/// of the logs of all processes therefore places causes before their effects
+/// even if wall clocks disagree. Processes that exchange no messages are
+/// ordered by the wall clock.
 ///
 /// Usage:
 /// \code
@@ -14,7 +15,7 @@
 ///   Line.record({.What = event_kind::FlowRouted, .Service = "ledger",
 ///                .Flow = toText(Flow), .Host = "ledger-3", .Why = "new"});
 ///   Message.Clock = Line.clock();    // on sending
-///   Line.witness(Message.Clock);     // on receiving
+///   Line.observeClock(Message.Clock);     // on receiving
 /// \endcode
 ///
 //===----------------------------------------------------------------------===//
@@ -48,9 +49,9 @@
   TargetDraining,
   GenerationAdded,
   GenerationDropped,
-  /// A flow's first packet has reached the agent that takes it.
+  /// The first packet of a flow has reached the agent that accepts it.
   FlowRouted,
-  /// Its handshake is done.
+  /// The handshake of the flow is complete.
   FlowAccepted,
   FlowHandedOn,
   FlowReset,
@@ -62,35 +63,38 @@
   DrainDone,
   DrainUndone,
   FaultInjected,
-  /// No target takes the new flow; its caller was told at once.
+  /// No target accepts the new flow; the caller was informed at once.
   FlowRefused,
-  /// The target does not hold a flow any more that it held.
+  /// The target has lost a flow that it owned.
   FlowLost,
-  /// A balancer that does not know who holds a flow sends a packet to look.
+  /// A balancer that does not know the owner of a flow sends a packet to agents
+  /// to look up the owner.
   OwnerLookupStarted,
-  /// An agent whose target does not hold the flow gives a packet on.
+  /// An agent whose target does not own the flow passes the packet to the next
+  /// agent.
   OwnerLookupForwarded,
   /// The first bytes of a request have reached the agent of its target.
   RequestSeen,
-  /// The first bytes of its answer have left: plainly, late for this target, or
-  /// with the target's own refusal or failure.
+  /// The first bytes of the response have been sent: normally, late for this
+  /// target, or as a refusal or failure of the target itself.
   RequestAnswered,
   RequestSlow,
   RequestFailed,
-  /// An agent does not confirm what is sent to it, or does again.
+  /// An agent no longer acknowledges packets that are sent to it, or
+  /// acknowledges them again.
   AgentSuspected,
   AgentRecovered,
-  /// The target does not answer its agent; takes no new flows; answers with
-  /// failures, or not any more; its process is gone; it is back.
+  /// The target does not respond to its agent; declines new flows; responds
+  /// with failures, or no longer does; its process has ended; it has recovered.
   TargetSilent,
   TargetDeclines,
   TargetFailing,
   TargetGone,
   TargetRecovered,
-  /// The target's own word on itself was taken, or was late or malformed.
+  /// A report of the target was accepted, or rejected as outdated or malformed.
   ReportTaken,
   ReportRefused,
-  /// New flows are given to the target from now on, or not any more.
+  /// New flows are now sent to the target, or no longer sent.
   AdmissionChanged,
   StoreLost,
   StoreRecovered,
@@ -100,13 +104,15 @@
   ObjectRefused,
   CopiedFromPeer,
   SettingsReloaded,
-  /// A call to the store or a peer failed, was slow or brought much.
+  /// A call to the store or a peer failed, was slow or returned a large amount
+  /// of data.
   CallEnded,
-  /// Calls to the store since the start, by purpose.
+  /// The number of calls to the store since the start, by purpose.
   StoreCalls,
-  /// One turn of the loop took long; no packet was forwarded meanwhile.
+  /// One event-loop callback took long; no packet was forwarded meanwhile.
   LongTurn,
-  /// Lines that the log's budget has left out since the last one of this kind.
+  /// The number of log lines dropped by the rate limit since the last event of
+  /// this kind.
   LinesDropped,
 };
 
@@ -167,23 +173,25 @@
     {event_kind::LinesDropped, "lines-left-out"},
 }};
 
-/// One event; fields that do not apply stay empty.
+/// One logged event; fields that do not apply stay empty.
 struct timeline_event {
   event_kind What{};
   std::string Service;
   std::string Flow;
   std::string Host;
-  /// One short sentence.
+  /// The reason, as one short sentence.
   std::string Why;
-  /// The request's own id, where it can be read.
+  /// The request's id, if it could be read.
   std::string Request;
-  /// What decided it: a load or a count, and the age of what was known.
+  /// The load or count that the decision was based on, and the age of that
+  /// information.
   std::optional<double> Load;
   std::optional<std::int64_t> AgeMs;
-  /// How long it took.
+  /// The duration of the logged operation.
   std::optional<std::int64_t> TookMs;
-  /// Filled in by record(): milliseconds since 1970, hybrid logical clock in
-  /// microseconds since 1970 or later, process.
+  /// Filled in by record(): the wall clock in milliseconds since 1970, the
+  /// hybrid logical clock in microseconds since 1970 or later, the name of the
+  /// process.
   std::int64_t WallMs = 0;
   std::uint64_t Clock = 0;
   std::string Process;
@@ -194,25 +202,25 @@
 std::string toJsonLine(const timeline_event &Event);
 result<timeline_event> parseJsonLine(std::string_view Line);
 
-/// Bounds how many events of each kind are recorded. A burst of refusals or a
-/// storm of SYNs would otherwise make the log the heaviest work of a process
-/// that has a twentieth of a core. Kinds that tell of failures and of changes
-/// have room of their own, so that a flood of successes cannot push them out.
+/// Limits the rate of logged events per kind. Otherwise a burst of refusals or
+/// a SYN flood would make logging the most expensive work of a process that has
+/// a twentieth of a core. Failures and state changes have their own limits, so
+/// that a flood of successful events cannot displace them.
 class event_budget {
 public:
-  /// Lines of one kind a second, and at once, for the events of healthy flows.
-  /// At about 20 us a line a flood costs 0.06% of a core.
+  /// Rate and burst per kind for the events of healthy flows. At about 20 us a
+  /// line a flood costs 0.06% of a core.
   static constexpr double CommonPerSecond = 30;
   static constexpr double CommonBurst = 60;
-  /// The same for everything else.
+  /// Rate and burst per kind for all other events.
   static constexpr double RarePerSecond = 50;
   static constexpr double RareBurst = 200;
 
-  /// Whether an event of \p Kind may be recorded now.
+  /// Whether an event of \p Kind may be logged now.
   bool take(event_kind Kind, instant Now);
-  /// Events of \p Kind refused since this last gave a number above 0, which it
-  /// does once a second at most: a line for each gap would double the log just
-  /// when it is bounded.
+  /// The number of events of \p Kind dropped since the last call that returned
+  /// more than 0. Returns more than 0 at most once a second: one line for each
+  /// gap would double the log just when its rate is limited.
   std::uint64_t leftOut(event_kind Kind, instant Now);
 
 private:
@@ -225,7 +233,7 @@
   std::array<kind_state, EventKindNames.size()> Kinds{};
 };
 
-/// The recorder of one process. Keeps the last events for the status page.
+/// The event log of one process. Keeps the last events for the status page.
 class timeline {
 public:
   using wall_clock = std::function<std::int64_t()>;
@@ -238,12 +246,12 @@
 
   void record(timeline_event Event);
   std::uint64_t clock() const { return Clock; }
-  /// Takes in the clock of a received message, unless it is more than an hour
-  /// ahead of the wall clock: one corrupted message would otherwise put the
-  /// events of the whole fleet in a far future.
+  /// Advances the clock to that of a received message. A value more than an
+  /// hour ahead of the wall clock is ignored: otherwise one corrupted message
+  /// would move the events of the whole fleet far into the future.
   void observeClock(std::uint64_t Received);
 
-  /// The last events as JSON lines, for the page /timeline.
+  /// The last events as JSON lines, served at /timeline.
   std::string recent() const;
 
 private:
@@ -255,7 +263,8 @@
   std::deque<std::string> Lines;
 };
 
-/// Merges the events of several processes: by logical clock, then wall clock.
+/// Merges the events of several processes, ordered by logical clock, then by
+/// wall clock.
 std::vector<timeline_event> merge(std::vector<timeline_event> Events);
 
 } // namespace marjoramrail
--- a/src/directory/address_list.h
+++ b/src/directory/address_list.h
@@ -1,9 +1,10 @@
-//===- address_list.h - Many addresses in little JSON -----------*- C++ -*-===//
+//===- address_list.h - Compact JSON encoding of addresses ------*- C++ -*-===//
 ///
 /// \file
-/// Addresses by port, each port's as the first one's number and the gaps to the
-/// next ones: {"443": [3323068417, 1, 1, 2]}. Addresses of a site stand close
-/// together, so most take two characters in place of twenty.
+/// Addresses grouped by port: for each port the first address as a number,
+/// followed by the differences between successive addresses: {"443":
+/// [3323068417, 1, 1, 2]}. The addresses of a site are close together, so most
+/// take two characters instead of twenty.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -18,10 +19,11 @@
 
 namespace marjoramrail::internal {
 
-/// In any order, each address once.
+/// The addresses may be in any order and must be distinct.
 nlohmann::json encodeAddresses(std::vector<endpoint> Addresses);
 
-/// Nothing if \p Json is no such object or leaves the range of addresses.
+/// Returns nothing if \p Json does not have this form or an address is out of
+/// range.
 std::optional<std::vector<endpoint>>
 decodeAddresses(const nlohmann::json &Json);
 
--- a/src/directory/directory_impl.h
+++ b/src/directory/directory_impl.h
@@ -1,9 +1,9 @@
-//===- directory_impl.h - The parts of a balancer's directory ---*- C++ -*-===//
+//===- directory_impl.h - Internals of the directory class ------*- C++ -*-===//
 ///
 /// \file
-/// The state behind directory. Its functions stand by subject: what is learnt
-/// from the store in directory.cpp, from peers in directory_peers.cpp, and what
-/// this balancer writes in directory_writes.cpp.
+/// The implementation class of directory. Its functions are grouped by subject:
+/// data from the store in directory.cpp, exchange with peers in
+/// directory_peers.cpp, writes to the store in directory_writes.cpp.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,7 +25,7 @@
 
 using namespace internal;
 
-/// Names of our own objects begin with what they are.
+/// Prefixes and names of marjoramrail's own objects in the store.
 inline constexpr const char *TargetPrefix = "target.";
 inline constexpr const char *BalancerPrefix = "balancer.";
 inline constexpr const char *RecordName = "routes";
@@ -41,7 +41,7 @@
   std::optional<duration> routesWait();
   std::optional<duration> siteWait();
   std::optional<duration> nextWait(const object_feed &Feed);
-  /// This balancer has been running for so long.
+  /// Whether this balancer has been running for at least \p After.
   bool hasRunFor(duration After, instant Now) const;
 
   void onRoutesObject(const platform_object &Object);
@@ -76,9 +76,10 @@
   void onRegistrationRequest(const endpoint &From,
                              std::span<const std::uint8_t> Bytes);
   void registerTarget(const target_entry &Target);
-  /// The balancer that \p Object names, if it is a balancer's entry.
+  /// The address of the balancer that \p Object registers, if it is the entry
+  /// of a balancer.
   static std::optional<endpoint> balancerAt(const platform_object &Object);
-  /// The number of the zone that a balancer's entry names, or 0.
+  /// The numeric id of the zone in a balancer's entry, or 0.
   static std::uint32_t zoneOf(const platform_object &Object);
   std::string selfBody() const;
 
@@ -100,23 +101,24 @@
   object_feed Routes;
   object_feed Site;
   route_loader Loader;
-  /// While the intake is at work: what was known before it began.
+  /// While the loader is busy: the time up to which data was complete when
+  /// loading began.
   std::optional<instant> KnownBeforeLoading;
   std::uint32_t ZoneNumber;
   std::optional<instant> StartedAt;
   std::map<std::string, target_entry> Targets;
-  /// The newest table, until the gate takes it.
+  /// The newest table, until it is passed to Activation.
   std::optional<route_table> Decoded;
   std::uint64_t DecodedVersion = 0;
-  /// Something that rules rest on has changed, or a target has, since the hooks
-  /// were last called.
+  /// Rules or targets have changed since the hooks were last called.
   bool RulesChanged = false;
   bool TargetsChanged = false;
   bool Pulling = false;
   bool RecordBusy = false;
   bool SelfBusy = false;
   instant NextSelfWrite;
-  /// The version of this balancer's entry that says what it shall.
+  /// The version of this balancer's own entry that was last found to have the
+  /// expected content.
   std::uint64_t SelfReadAt = 0;
   instant NextPeerSweep;
   std::optional<instant> RecordNeededSince;
--- a/src/directory/object_feed.h
+++ b/src/directory/object_feed.h
@@ -1,10 +1,10 @@
-//===- object_feed.h - Objects of one kind, and as of when ------*- C++ -*-===//
+//===- object_feed.h - Follows the objects of one kind ----------*- C++ -*-===//
 ///
 /// \file
-/// Lists one kind of the platform's objects and follows its changes. Beside the
-/// objects it knows the moment up to which nothing was missed: whoever
-/// concludes from the absence of an object (nobody else can hold this flow)
-/// needs that moment, not the time since the last event.
+/// Lists the platform's objects of one kind and follows their changes. Also
+/// tracks the moment up to which no change was missed. Code that draws
+/// conclusions from the absence of an object (for example, that no other target
+/// can own a flow) needs that moment, not the time since the last event.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,13 +22,14 @@
 class object_feed {
 public:
   struct hooks {
-    /// New, changed or, with Deleted, gone.
+    /// An object is new, has changed or, if Deleted is set, was removed.
     std::function<void(const platform_object &)> OnObject;
-    /// After a batch of objects.
+    /// Called after a batch of objects.
     std::function<void()> OnBatch;
-    /// How long the next watch may wait; nothing while peers' news are enough.
+    /// How long the next watch may wait; nothing while the updates of peers are
+    /// sufficient.
     std::function<std::optional<duration>()> Wait;
-    /// The store stopped or began to answer.
+    /// The store has started or stopped answering.
     std::function<void(bool Answers, const std::string &Reason)> OnAvailability;
   };
 
@@ -40,38 +41,41 @@
 
   void start();
 
-  /// True once a whole list was seen, from the store or from a peer.
+  /// True once a complete list was received, from the store or from a peer.
   bool known() const { return Known; }
-  /// Every change up to this version of the store is known.
+  /// Every change up to this store version is known.
   std::uint64_t version() const { return Version; }
-  /// Nothing accepted before this moment is missing.
+  /// Every change accepted before this moment is known.
   std::optional<instant> asOf() const { return AsOf; }
-  /// The store answered the last call.
+  /// The last call to the store was answered.
   bool answering() const { return Answering; }
-  /// When it last did not.
+  /// When the last call without an answer ended.
   std::optional<instant> failedAt() const { return FailedAt; }
   const std::map<std::string, platform_object> &objects() const {
     return Objects;
   }
 
-  /// The version of the newest change of this kind; the store's own version
-  /// also grows with other kinds' changes. Never above version().
+  /// The version of the newest known change of this kind. The version of the
+  /// store also increases with changes of other kinds. Never greater than
+  /// version().
   std::uint64_t lastChange() const { return std::min(LastChange, Version); }
 
-  /// What changed after \p Since; nothing if that is not known any more.
+  /// All changes after \p Since; nothing if that history is no longer
+  /// available.
   std::optional<std::vector<platform_object>>
   changesSince(std::uint64_t Since) const;
 
-  /// A peer, whose newest change is \p PeerChange, missed nothing before
-  /// \p Moment.
+  /// Advances asOf() to \p Moment if this feed has all changes that the peer
+  /// has. A peer whose newest change is \p PeerChange had every change up to \p
+  /// Moment.
   void confirm(std::uint64_t PeerChange, instant Moment);
-  /// A peer's word on everything that changed between \p Since and \p UpTo.
+  /// Applies changes from a peer, which are complete from \p Since to \p UpTo.
   void applyChanges(const std::vector<platform_object> &Changes,
                     std::uint64_t Since, std::uint64_t UpTo);
-  /// Keeps a shorter body in the place of the one that \p Object came with,
-  /// unless a newer one has come since.
+  /// Replaces the body of \p Object by a shorter one, unless a newer version
+  /// has been received.
   void replaceBody(const platform_object &Object, std::string Body);
-  /// A peer's copy of the whole kind.
+  /// Applies a peer's complete list of this kind.
   void applyPeerList(const platform_reply &List);
 
 private:
@@ -92,8 +96,8 @@
   std::string Kind;
   hooks Hooks;
   std::map<std::string, platform_object> Objects;
-  /// Versions at which objects went, for peers that ask for changes and
-  /// against late news; complete from DeletionsSince on.
+  /// Versions at which objects were deleted, complete from DeletionsSince on.
+  /// Sent to peers that request changes, and used to ignore outdated updates.
   std::map<std::string, std::uint64_t> Deletions;
   std::uint64_t DeletionsSince = 0;
   bool Known = false;
--- a/src/directory/peer_selector.h
+++ b/src/directory/peer_selector.h
@@ -1,12 +1,13 @@
-//===- peer_selector.h - The other balancers, as far as heard -------*- C++
-//-*-===//
+//===- peer_selector.h - Other balancers and whom to contact ----*- C++ -*-===//
 ///
 /// \file
-/// Whom a balancer greets next. Greeting everyone would cost a fleet of
-/// thousands its control budget; a few at random reach all of them within some
-/// rounds. The first in rank, who watch the store for the others, are greeted
-/// most; one turn in each round goes to a peer that does not answer: it may
-/// have come back.
+/// Tracks the other balancers and selects those that the next sync messages go
+/// to. Contacting every balancer would exceed the control budget of a fleet of
+/// thousands; with a few random peers per round, changes reach all of them
+/// within several rounds. The watchers, which are the first balancers by
+/// address and watch the store for the others, are contacted most. Every few
+/// rounds one message goes to a peer that does not respond, since it may have
+/// recovered.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,54 +24,59 @@
 
 class peer_selector {
 public:
-  /// How often one that goes before this balancer is asked in vain, until it
-  /// is left to the turns of silent ones.
+  /// Number of unanswered messages to a peer of lower rank before it is only
+  /// contacted as one of the unresponsive peers.
   static constexpr int MaxTriesAhead = 2;
-  /// Peers greeted in one round.
+  /// Peers contacted in one round.
   static constexpr std::size_t Fanout = 2;
-  /// Every so many rounds the last turn goes to a silent peer.
+  /// In every fifth round one message goes to an unresponsive peer.
   static constexpr std::uint64_t RoundsPerSilentPeer = 5;
-  /// A peer counts as gone after so many greetings without a word,
+  /// A peer counts as dead after this number of unanswered messages
   static constexpr int DeadAfterMessages = 5;
-  /// and so long a silence: a restart or a cut that heals is shorter.
+  /// and after this time without a response: restarts and temporary network
+  /// faults are shorter.
   static constexpr duration DeadAfter = std::chrono::minutes(1);
-  /// A peer that was not heard for longer does not count as live: some rounds
-  /// of greetings, so that lost datagrams do not matter.
+  /// A peer counts as live for this time after its last message. The time spans
+  /// several rounds, so that lost datagrams have no effect.
   static constexpr duration LiveFor = std::chrono::seconds(3);
 
   peer_selector(const endpoint &Self, std::uint32_t Zone, std::uint64_t Seed)
       : Self(Self), Zone(Zone), Random(Seed) {}
 
-  /// \p Peer may be a balancer, of \p Zone if that is not 0: from the settings
-  /// or from the store.
+  /// Adds an address from the settings or from the store that may be a
+  /// balancer. \p Zone is its zone, or 0 if that is unknown.
   void add(const endpoint &Peer, std::uint32_t Zone = 0);
-  /// \p IsServed: the store answers it.
+  /// Records a message from \p Peer. \p IsServed: the store answers this peer's
+  /// calls.
   void recordMessage(const endpoint &Peer, std::uint32_t Zone, instant Now,
                      bool IsServed = true);
   std::size_t live(instant Now) const;
-  /// How many watch for all and are greeted by rank, at least,
+  /// The minimum number of balancers that watch the store for all others.
   static constexpr std::size_t MinWatchers = 3;
-  /// and one for so many balancers: each is greeted by some hundred others, a
-  /// few hundred datagrams a second, whatever the fleet's size.
+  /// One watcher for this many balancers: each watcher is then contacted by
+  /// about a hundred others, a few hundred datagrams a second, regardless of
+  /// the fleet's size.
   static constexpr std::size_t BalancersPerWatcher = 100;
-  /// How many of a zone watch the configuration, and are asked for news by the
-  /// others of the zone.
+  /// The number of balancers per zone that watch the configuration and that the
+  /// other balancers of the zone contact for updates.
   static constexpr std::size_t WatchersPerZone = 2;
-  /// The number of those watchers among the live balancers.
+  /// The current number of watchers, from the number of live balancers.
   std::size_t watchers(instant Now) const;
 
-  /// The number of live peers that the store answers and whose address is below
-  /// this balancer's: an order in which duties are taken without asking anyone.
-  /// One that the store refuses can do none of them.
+  /// The number of live peers with a lower address whose store calls are
+  /// answered. The rank decides without coordination which balancer does a
+  /// task. A peer that the store refuses cannot do any of the tasks and is not
+  /// counted.
   std::size_t rank(instant Now) const;
   /// The same among the peers of \p Zone.
   std::size_t rankIn(std::uint32_t Zone, instant Now) const;
   bool isOfZone(const endpoint &Peer, std::uint32_t Zone) const;
-  /// Whether \p Peer has left for good, as far as this balancer can tell.
+  /// Whether \p Peer counts as permanently gone.
   bool isDead(const endpoint &Peer, instant Now) const;
   void forget(const endpoint &Peer) { Peers.erase(Peer); }
-  /// Whom to greet in this round. \p NeedsUpdates: what this balancer knows has
-  /// grown old, and only those ahead are worth asking.
+  /// Selects the peers for the next round of sync messages. \p NeedsUpdates:
+  /// this balancer's data is old, so that it contacts a watcher and a watcher
+  /// of its zone.
   std::vector<endpoint> choosePeers(instant Now, bool NeedsUpdates = false);
 
 private:
@@ -78,7 +84,8 @@
     std::optional<instant> HeardAt;
     std::uint32_t Zone = 0;
     bool IsServed = true;
-    /// Greetings since it was heard, and the first of them.
+    /// Messages sent since the peer's last message, and when the first of them
+    /// was sent.
     int Unanswered = 0;
     instant UnansweredSince;
 
@@ -87,7 +94,7 @@
     }
   };
 
-  /// Whom a round may greet; one peer may stand in several.
+  /// Candidates for one round; a peer may be in several lists.
   struct candidates {
     std::vector<endpoint> Live;
     std::vector<endpoint> Unresponsive;
@@ -96,17 +103,18 @@
   };
 
   candidates candidatesAt(instant Now) const;
-  /// A balancer that takes itself for one of the first, of its zone or of all,
-  /// asks those before it whom it has not heard: after a start it would take
-  /// duties that are others' until it has met them by chance.
+  /// A peer of lower address from which no recent message has arrived, if this
+  /// balancer currently ranks among the watchers (of its zone or of all). After
+  /// a start a balancer knows few peers and would take over tasks of others;
+  /// contacting these peers first corrects its rank quickly.
   std::optional<endpoint> unheardPeerAhead(bool OfZone, instant Now) const;
   std::size_t liveIn(std::uint32_t Zone, instant Now) const;
   bool anyServed(instant Now) const;
-  /// Live peers that go before this balancer and for which \p Counts. Those
-  /// that the store refuses do not count, unless it refuses all.
+  /// The number of live peers with a lower address for which \p Counts is true.
+  /// Peers that the store refuses are not counted, unless it refuses all.
   std::size_t countAhead(instant Now,
                          const std::function<bool(const peer &)> &Counts) const;
-  /// Adds one of \p Peers to those chosen for a round, if there is room.
+  /// Adds a random element of \p Peers to \p Chosen if there is room for it.
   void addOneOf(const std::vector<endpoint> &Peers,
                 std::vector<endpoint> &Chosen);
 
--- a/src/directory/route_activation.h
+++ b/src/directory/route_activation.h
@@ -1,13 +1,13 @@
-//===- route_activation.h - When a new configuration takes effect -----*- C++
-//-*-===//
+//===- route_activation.h - When a configuration takes effect ---*- C++ -*-===//
 ///
 /// \file
-/// Holds back what a configuration adds until everyone can know it. A balancer
-/// that sends flows to a new service at once would see them reset by another
-/// one, which has not heard of it and finds that nobody it knows holds them.
-/// What is only taken away or changed in weight takes effect at once.
+/// Delays the additions of a new configuration until every balancer can know
+/// them. If a balancer sent flows to a new service at once, another balancer
+/// that does not know the service yet would receive packets of these flows,
+/// find no owner among the targets it knows and reset them. Removals and
+/// changes of weights take effect at once.
 ///
-/// Versions never go back, whatever order the news comes in.
+/// A version never replaces a newer one, in whatever order updates arrive.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,29 +20,30 @@
 
 class route_activation {
 public:
-  /// Takes a newer table; false if it is not newer than the newest known.
+  /// Accepts a newer table; false if it is not newer than the newest one known.
   bool take(route_table Table, const route_record &Record, instant Now);
-  /// Puts into force what has waited long enough; true if something changed.
+  /// Activates additions whose wait is over; true if something changed.
   bool advance(instant Now);
-  /// When advance() has something to do next.
+  /// When advance() has to be called next, if at all.
   std::optional<instant> nextChange() const;
 
   bool known() const { return Newest != nullptr; }
   const route_table *newest() const {
     return Newest ? &Newest->Table : nullptr;
   }
-  /// The services of newest(), which must be there.
+  /// The services of newest(), which must exist.
   const route_services &newestServices() const { return Newest->Services; }
   std::uint64_t activeVersion() const { return Active->Table.Version; }
 
-  /// The rules of all routes in force or coming.
+  /// The rules of all routes that are in effect or upcoming.
   std::vector<route_rule> rules(const route_record &Record) const;
-  /// What of them is other than the last call gave.
+  /// The differences to the rules that the previous call returned.
   rule_changes changes(const route_record &Record);
 
 private:
-  /// A table, its routes in order of address, and the services of each. Large,
-  /// and never changed: the one in force is often the newest as well.
+  /// A table with its routes sorted by address, and the services of each route.
+  /// It is large and immutable; the active table is often also the newest, and
+  /// they share one copy.
   struct sorted_table {
     explicit sorted_table(route_table Unsorted);
 
@@ -50,16 +51,16 @@
     route_services Services;
   };
 
-  /// A service of a route's rule.
+  /// One service in a route's rule.
   struct rule_part {
     std::string_view Name;
     service_id Service{};
     std::uint32_t Weight = 0;
-    /// It takes new flows; otherwise it may only hold some.
+    /// The service gets new flows; otherwise it may only own existing ones.
     bool TakesNew = false;
   };
 
-  /// What a rule was, to find out whether it has changed.
+  /// Hash of a rule, to detect changes.
   struct rule_fingerprint {
     endpoint Address;
     std::uint64_t Hash = 0;
@@ -76,9 +77,10 @@
       std::make_shared<const sorted_table>(route_table());
   std::shared_ptr<const sorted_table> Newest;
   std::optional<instant> Due;
-  /// Of the first table: services that were not on record, until Due. Sorted.
+  /// Services of the first table that were not on record and get no new flows
+  /// until Due. Sorted.
   std::vector<route_service> Withheld;
-  /// Of the rules given last, in order of address.
+  /// The rules that changes() last returned, sorted by address.
   std::vector<rule_fingerprint> ReportedRules;
 };
 
--- a/src/directory/route_loader.h
+++ b/src/directory/route_loader.h
@@ -1,14 +1,15 @@
-//===- route_loader.h - Reads configurations between packets ----*- C++ -*-===//
+//===- route_loader.h - Incremental loading of configurations ---*- C++ -*-===//
 ///
 /// \file
-/// Reads a configuration a part at a time and lets the loop forward packets
-/// between the parts. Read in one turn, a configuration of thousands of routes
-/// holds up every packet of a small VM for a tenth of a second and more.
+/// Reads a configuration in steps so that the event loop forwards packets
+/// between them. If it were read in one step, a configuration of thousands of
+/// routes would delay every packet of a small VM by a tenth of a second or
+/// more.
 ///
-/// A table is given on whole or not at all. A configuration that comes while
-/// another is read waits for its end, and only the newest one does: a reading
-/// that began anew with each change would never end while changes follow each
-/// other faster than one can be read.
+/// Only complete tables are passed on. A configuration that arrives while
+/// another one is being read waits until that is finished, and only the newest
+/// one waits: restarting at each change would never finish while changes arrive
+/// faster than one can be read.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,17 +22,18 @@
 
 class route_loader {
 public:
-  /// Routes read in one turn: half a millisecond of a whole core at most.
+  /// Routes read in one step: at most half a millisecond of a full core.
   static constexpr std::size_t RoutesPerStep = 256;
 
   struct hooks {
     std::function<route_reader(const platform_object &)> Read;
-    /// Runs a task after the packets that wait.
+    /// Runs a task after the waiting packets.
     std::function<void(std::function<void()>)> Yield;
-    /// A table was read whole from \p Object, whose body is empty by now.
+    /// A table was read completely from \p Object, whose body is already empty.
     std::function<void(const platform_object &Object, route_table Table)>
         OnTable;
-    /// In a turn of its own after OnTable: the table may be used.
+    /// Called in a separate event-loop callback after OnTable: the table may
+    /// now be used.
     std::function<void()> OnTableReady;
     std::function<void(const std::string &Why)> OnRefused;
     turn_hook OnTurn;
@@ -43,7 +45,7 @@
   route_loader &operator=(const route_loader &) = delete;
 
   void take(const platform_object &Object);
-  /// A configuration is being read or waits.
+  /// A configuration is being read or waits to be read.
   bool busy() const { return Reading.has_value(); }
 
 private:
--- a/src/directory/route_record.h
+++ b/src/directory/route_record.h
@@ -1,18 +1,20 @@
-//===- route_record.h - Which services a route has had ----------*- C++ -*-===//
+//===- route_record.h - Services that routes have had -----------*- C++ -*-===//
 ///
 /// \file
-/// When a route moves to another service, flows opened before live on at the
-/// former one. A balancer that starts afterwards sees only the new
-/// configuration; it would ask the new service's targets alone, and the flow
-/// would starve although its owner is well. So the services of every route are
-/// written to the store before new flows use them, and a former one stays on
-/// record for as long as a flow can live.
+/// When a route moves to another service, flows that were opened before stay at
+/// the previous service. A balancer that starts afterwards sees only the new
+/// configuration; it would look for their owner among the new service's targets
+/// alone, and the flow would get no service although its owner is healthy.
+/// Therefore the services of every route are written to the store before new
+/// flows use them, and a previous service stays on record for the maximum
+/// lifetime of a flow.
 ///
-/// The object names the addresses of each service:
+/// The stored object lists the addresses of each service:
 ///   {"services": {"ledger": {"443": [3323068417, 1, 1]}}}
-/// Small, because every balancer gets the record when a route is added. The
-/// form of older programs, {"198.18.0.1:443": ["ledger"]}, is read as well:
-/// their former services must not be lost when a fleet is updated.
+/// The encoding is compact because every balancer receives the record when a
+/// route is added. The format of older versions, {"198.18.0.1:443":
+/// ["ledger"]}, is read as well: their previous services must not be lost when
+/// a fleet is updated.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -27,23 +29,24 @@
 public:
   explicit route_record(duration FlowLife) : FlowLife(FlowLife) {}
 
-  /// What the store holds now; a body that cannot be read counts as empty.
+  /// Loads the stored object; a body that cannot be decoded counts as empty.
   void load(const std::string &Body);
   bool loaded() const { return Loaded; }
 
-  /// Whether the store names \p Service for \p Address.
+  /// Whether \p Service is on record for \p Address.
   bool holds(const endpoint &Address, const std::string &Service) const;
-  /// Every service of \p Address on record whose flows may still live.
+  /// All services on record for \p Address, whose flows may still exist.
   std::vector<std::string> servicesOf(const endpoint &Address) const;
   const route_services &all() const { return Services; }
 
-  /// What the store should hold when \p Current are in force: nothing if it
-  /// holds that already. Former services leave it when this process has seen
-  /// them as former for the life of a flow; a process's own clock, since the
-  /// time of day may jump.
+  /// The new body of the stored object when \p Current are the configured
+  /// services; nothing if the store is up to date. A previous service is
+  /// removed once this process has seen it as unused for the maximum lifetime
+  /// of a flow. Measured by the process's monotonic clock, since the time of
+  /// day may jump.
   std::optional<std::string> update(const route_services &Current, instant Now);
 
-  /// When a former service is to leave the record, if there is one.
+  /// When the next previous service is due for removal, if there is one.
   std::optional<instant> nextExpiry() const;
 
 private:
@@ -52,7 +55,7 @@
   duration FlowLife;
   bool Loaded = false;
   route_services Services;
-  /// Since when a service on record is not in force any more.
+  /// Since when a service on record has not been part of the configuration.
   std::map<route_service, instant> PreviousSince;
 };
 
--- a/src/directory/route_services.h
+++ b/src/directory/route_services.h
@@ -1,9 +1,9 @@
-//===- route_services.h - Which services routes have, flat ------*- C++ -*-===//
+//===- route_services.h - The services of all routes ------------*- C++ -*-===//
 ///
 /// \file
-/// The services of every route as one sorted array. A site has tens of
-/// thousands of routes and changes a few of them every second; whole sets are
-/// compared in one pass without an allocation a route.
+/// The services of all routes in one sorted array. A site has tens of thousands
+/// of routes, of which a few change every second; the array allows comparing
+/// complete sets in one pass without one allocation per route.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,13 +17,12 @@
 
 namespace marjoramrail::internal {
 
-/// A service that the route at \p Address has.
+/// One service of the route at \p Address.
 struct route_service {
   endpoint Address;
   service_id Service{};
 
-  // The linter sees a variable of the compiler's own in it.
-  // NOLINTNEXTLINE(readability-identifier-naming)
+  // clang-tidy reports a compiler-generated variable here.
   auto operator<=>(const route_service &) const = default;
 };
 
@@ -34,7 +33,7 @@
   route_services(const route_table &Table);
 
   void add(const endpoint &Address, const std::string &Service);
-  /// Call it after the last add(), before anything is asked.
+  /// Must be called after the last add() and before any query.
   void sort();
 
   bool empty() const { return Entries.empty(); }
@@ -42,14 +41,15 @@
   bool contains(const route_service &Entry) const;
   /// The services of \p Address.
   std::span<const route_service> at(const endpoint &Address) const;
-  /// "" if it is no service of this set.
+  /// Returns "" if the service is not part of this set.
   const std::string &nameOf(service_id Service) const;
   const std::map<service_id, std::string> &names() const { return Names; }
 
   bool containsAll(const route_services &Others) const;
-  /// What this set has and \p Others have not.
+  /// The elements of this set that are not in \p Others.
   std::vector<route_service> without(const route_services &Others) const;
-  /// Takes in \p Others and drops \p Removed, which is sorted.
+  /// The union of this set and \p Others, without \p Removed, which must be
+  /// sorted.
   route_services merged(const route_services &Others,
                         const std::vector<route_service> &Removed) const;
 
--- a/src/directory/route_table_codec.h
+++ b/src/directory/route_table_codec.h
@@ -1,9 +1,10 @@
-//===- route_table_codec.h - A configuration for peers ----------*- C++ -*-===//
+//===- route_table_codec.h - Compact configuration format -------*- C++ -*-===//
 ///
 /// \file
-/// The form in which balancers copy a configuration from each other: only what
-/// they use of it, routes with the same shares together. The site's own form
-/// takes a quarter of a kilobyte a route, of which this takes a few bytes.
+/// The format in which balancers copy a configuration from each other. It
+/// contains only the fields that balancers use, with routes of equal shares
+/// grouped. The site's own format takes a quarter of a kilobyte per route, this
+/// one a few bytes.
 ///
 ///   {"marjoramrail_routes": 1, "version": 7, "idle_us": 300000000, "groups":
 ///    [{"shares": [["ledger", 1]], "addresses": {"443": [3323068417, 1]}}]}
@@ -19,10 +20,10 @@
 
 std::string encodeRouteTable(const route_table &Table);
 
-/// Whether \p Body is of this form and not of the site's.
+/// Whether \p Body has this format rather than the site's own.
 bool isEncodedRouteTable(std::string_view Body);
 
-/// Reads a body of this form.
+/// Creates a reader for a body of this format.
 route_reader readEncodedRouteTable(const platform_object &Object);
 
 } // namespace marjoramrail::internal
--- a/src/directory/sync_message.h
+++ b/src/directory/sync_message.h
@@ -1,13 +1,13 @@
-//===- sync_message.h - What balancers tell each other ---------*- C++ -*-===//
+//===- sync_message.h - Datagrams between balancers -------------*- C++ -*-===//
 ///
 /// \file
-/// A datagram of some 100 bytes in which a balancer says how much of the store
-/// it knows, and in a reply, what has changed since the version that the asker
-/// knows: a changed object costs its bytes once a balancer, not a call to the
-/// store by each. What does not fit follows on the next question. It is a
-/// question as well as an answer: the reply carries the question's own time, so
-/// that what the peer knew is dated by the clock of the one who asked, whatever
-/// the network did to the datagrams meanwhile.
+/// A datagram of about 100 bytes in which a balancer states up to which version
+/// it knows the store's objects. A reply also contains the changes since the
+/// version that the requester knows. A changed object thus costs its own size
+/// once per balancer, instead of one store call by each. Changes that do not
+/// fit are sent in reply to the next request. The reply returns the request's
+/// own timestamp, so that the age of the peer's data is measured by the
+/// requester's clock and network delays only make it look older.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,41 +22,42 @@
 
 namespace marjoramrail::internal {
 
-/// How much of one kind a balancer knows.
+/// Up to which version a balancer knows the objects of one kind.
 struct sync_state {
-  /// Every change up to this version of the store is known.
+  /// Every change up to this store version is known.
   std::uint64_t Version = 0;
-  /// Version of the newest change known; 0 = nothing is known yet.
+  /// Version of the newest known change; 0 if nothing is known yet.
   std::uint64_t LastChange = 0;
-  /// Microseconds since the moment before which nothing is missing; negative
-  /// if there is none.
+  /// Age in microseconds of the moment up to which all changes are known;
+  /// negative if there is none.
   std::int64_t AgeUs = -1;
 };
 
 struct sync_message {
   endpoint Self;
-  /// A number for the balancer's zone, equal for all in it.
+  /// Numeric id of the balancer's zone.
   std::uint32_t Zone = 0;
   bool IsReply = false;
-  /// The store answers this balancer.
+  /// The store answers this balancer's calls.
   bool IsServed = true;
-  /// The asker's clock when it asked, microseconds; unchanged in the reply.
+  /// The requester's clock when it sent the request, in microseconds; unchanged
+  /// in the reply.
   std::int64_t AskedUs = 0;
   sync_state Routes;
   sync_state Site;
-  /// In a reply: the asker's Site.Version, and all changes of that kind from
-  /// there up to ChangesUpTo, in order of version.
+  /// In a reply: the requester's Site.Version, and all changes of that kind
+  /// from there up to ChangesUpTo, ordered by version.
   std::uint64_t ChangesSince = 0;
   std::uint64_t ChangesUpTo = 0;
   std::optional<std::vector<platform_object>> Changes;
 };
 
-/// What a link carries in one piece, with room for its own heads.
+/// Fits an unfragmented datagram, with room for lower-layer headers.
 inline constexpr std::size_t MaxSyncMessageBytes = 1300;
 
-/// Sorts the changes and leaves out the newest until the greeting fits; lowers
-/// ChangesUpTo to what is left. The asker goes on from there. Without changes
-/// if not even the oldest fit.
+/// Sorts the changes by version and drops the newest until the message fits;
+/// lowers ChangesUpTo accordingly. The requester continues from there. Removes
+/// Changes if not even the oldest fit.
 void fitChanges(sync_message &Message);
 
 std::vector<std::uint8_t> encodeSyncMessage(const sync_message &Message);
--- a/src/platform/call.h
+++ b/src/platform/call.h
@@ -1,8 +1,8 @@
-//===- call.h - One call of the platform's API ------------------*- C++ -*-===//
+//===- call.h - One call to the platform's API ------------------*- C++ -*-===//
 ///
 /// \file
-/// A call from its HTTP request to its reply, without a network: what is sent,
-/// what an answer means, and what is known when there is none.
+/// Encoding and decoding of one call without any network I/O: the request, the
+/// meaning of a response, and the outcome when there is no response.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,41 +17,43 @@
 
 using call_verb = platform_verb;
 
-/// How a call can end without an answer.
+/// The ways in which a call can end without a response.
 enum class call_failure {
-  /// No connection came about, or none was free: nothing was sent.
+  /// No connection was established or available: nothing was sent.
   NotSent,
-  /// The connection broke, or time ran out, after the request went out.
+  /// The connection broke or the time-out expired after the request was sent.
   NoAnswer,
 };
 
-/// A call under way.
+/// A pending call.
 struct call : platform_call {
   platform_callback Done;
 
-  /// Servers that refused the connection, for reads.
+  /// For reads: the number of servers that could not be connected to.
   std::size_t Refusals = 0;
   timer_id Timer{};
   instant StartedAt;
-  /// Where the call went last, and what came of the answer's body.
+  /// The server that the call was last sent to, and the received bytes of the
+  /// response body.
   endpoint Server;
   std::size_t Bytes = 0;
-  /// Earlier parts of a list that comes in several.
+  /// The parts received so far of a list that is returned in several parts.
   std::vector<platform_object> Parts;
 };
 
-/// The path and query of a call's request.
+/// The path and query of the request.
 std::string pathOf(const platform_call &Call);
 
-/// What keeps a call from being sent, or "". Kinds, names and writers become
-/// part of paths and header fields, where other characters would change the
-/// request's meaning.
+/// The reason why a call must not be sent, or "". Kinds, names and writers
+/// become part of paths and header fields, where other characters would change
+/// the meaning of the request.
 std::string validationError(const platform_call &Call);
 
 platform_reply replyTo(const platform_call &Call, const http_answer &Answer);
 
-/// The reply to a call that was not answered. A change that went out may have
-/// taken effect: taken for a failure, it would be written a second time.
+/// The reply to a call without a response. A change that was sent may have
+/// taken effect: if it were reported as failed, the caller would write it a
+/// second time.
 platform_reply replyToFailure(const platform_call &Call, call_failure Failure,
                               const std::string &Reason);
 
--- a/src/platform/http_connection.h
+++ b/src/platform/http_connection.h
@@ -1,8 +1,7 @@
-//===- http_connection.h - One connection to a server of the platform -*- C++
-//-*-===//
+//===- http_connection.h - Connection to a platform server ------*- C++ -*-===//
 ///
 /// \file
-/// Carries one call at a time over one HTTP/1.1 connection that is kept open.
+/// An HTTP/1.1 connection that is kept open and carries one call at a time.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,14 +21,14 @@
 
 class http_connection {
 public:
-  /// An answer, or how it was lost. May come from within send().
+  /// Receives the response, or the kind of failure. May run from within send().
   using done_hook =
       std::function<void(std::optional<http_answer>, call_failure Failure)>;
 
   http_connection(event_loop &Loop, std::size_t Server,
                   const endpoint &Address);
-  /// Must not run from within the hook. A call under way is given up without
-  /// its hook being called.
+  /// Must not be called from within the hook. A pending call is aborted without
+  /// calling its hook.
   ~http_connection();
   http_connection(const http_connection &) = delete;
   http_connection &operator=(const http_connection &) = delete;
@@ -39,11 +38,12 @@
 
   const endpoint &address() const { return Address; }
 
-  /// \p OnPart runs whenever a part of the answer's body has come.
+  /// Sends \p Request. \p OnPart runs whenever a part of the response body has
+  /// been received.
   void send(const dialect_request &Request, std::function<void()> OnPart,
             done_hook Done);
 
-  /// Bytes of the answer's body that have come.
+  /// Bytes of the response body received so far.
   std::size_t received() const { return Body.size(); }
 
 private:
@@ -55,7 +55,7 @@
   evhttp_connection *Connection;
   std::function<void()> OnPart;
   done_hook Done;
-  /// The answer's body, as far as it has come.
+  /// The response body as far as it has been received.
   std::string Body;
 };
 
--- a/src/platform/object_codec.h
+++ b/src/platform/object_codec.h
@@ -1,7 +1,8 @@
-//===- object_codec.h - Objects of the platform as JSON ---------*- C++ -*-===//
+//===- object_codec.h - JSON format of platform objects ---------*- C++ -*-===//
 ///
 /// \file
-/// The JSON forms of platform.h, shared by the client and the stand-in.
+/// The JSON formats described in platform.h, shared by the client and the
+/// stand-in server.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,24 +20,25 @@
 inline constexpr std::size_t MaxObjectBytes = 1024 * 1024;
 inline constexpr std::size_t MaxKeyLength = 128;
 
-/// Whether \p Text can be a kind or a name.
+/// Whether \p Text is valid as a kind or a name.
 bool isKeyPart(std::string_view Text);
 
-/// Whether \p Text can be a writer: what one header field carries unchanged.
+/// Whether \p Text is valid as a writer, which one header field carries
+/// unchanged.
 bool isWriter(std::string_view Text);
 
-/// The JSON text of one object.
+/// Encodes one object as JSON.
 std::string encodeObject(const platform_object &Object);
 
-/// The JSON text of a list or a watch.
+/// Encodes the result of a list or a watch as JSON.
 std::string encodeObjects(const platform_reply &Reply);
 
 std::optional<platform_object> decodeObject(std::string_view Text);
 
-/// Fills in Objects and StoreVersion; false if \p Text is not a list.
+/// Fills in Objects and StoreVersion; false if \p Text is not a valid list.
 bool decodeObjects(std::string_view Text, platform_reply &Reply);
 
-/// The text of {"reason": ...}, and back ("" if there is none).
+/// Encodes {"reason": ...}, and decodes it ("" if there is none).
 std::string encodeReason(std::string_view Reason);
 std::string decodeReason(std::string_view Text);
 
--- a/test/directory/directory_cluster.h
+++ b/test/directory/directory_cluster.h
@@ -1,5 +1,4 @@
-//===- directory_cluster.h - Directories of many balancers --------*- C++
-//-*-===//
+//===- directory_cluster.h - Several balancers with one store ---*- C++ -*-===//
 
 #ifndef MARJORAMRAIL_TEST_DIRECTORY_DIRECTORY_CLUSTER_H
 #define MARJORAMRAIL_TEST_DIRECTORY_DIRECTORY_CLUSTER_H
@@ -10,7 +9,7 @@
 
 namespace marjoramrail::testing {
 
-/// {"version": 3, "services": ["ledger"]} is a table of one route.
+/// Decodes {"version": 3, "services": ["ledger"]} as a table with one route.
 inline result<route_table> decodeTable(const platform_object &Object) {
   const auto Json = nlohmann::json::parse(Object.Body, nullptr, false);
   if (!Json.is_object())
@@ -28,7 +27,8 @@
   return {0x0a000200 + Number, 7000};
 }
 
-/// Some balancers' directories, one store, and datagrams that take 2 ms.
+/// The directories of several balancers with one store, connected by a
+/// simulated network with a delay of 2 ms.
 class directory_cluster {
 public:
   struct balancer {
@@ -40,9 +40,9 @@
   timer_service Timers;
   fake_platform Store{Timers};
   std::map<unsigned, balancer> Balancers;
-  /// Whole kinds copied from peers.
+  /// The number of complete lists copied from peers.
   int Copies = 0;
-  /// How often each balancer compared the record of services.
+  /// The number of times that each balancer compared the record of services.
   std::map<unsigned, int> Compared;
 
   void start(unsigned Number, const std::vector<endpoint> &Seeds = {},
@@ -82,7 +82,7 @@
     Self.Directory->start();
   }
 
-  /// Calls under way still pass by the balancer's faults.
+  /// Keeps the balancer's fault settings, which its pending calls still use.
   void stop(unsigned Number) {
     StoppedFaults.push_back(std::move(Balancers.at(Number).Faults));
     Balancers.erase(Number);
--- a/test/directory/site_store.h
+++ b/test/directory/site_store.h
@@ -1,8 +1,9 @@
-//===- site_store.h - The store as directories see it -----------*- C++ -*-===//
+//===- site_store.h - Fake store with faults --------------------*- C++ -*-===//
 ///
 /// \file
-/// fake_platform with watches by kind, one process's faults on top: watches
-/// that hang, a history that is gone.
+/// A fake_platform with watches limited to one kind, and faults that affect the
+/// calls of one process: watches that hang, change history that is no longer
+/// available.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -14,17 +15,17 @@
 
 namespace marjoramrail::testing {
 
-/// The faults of one process's calls.
+/// The faults that affect one process's calls.
 struct store_faults {
   platform_link Link;
-  /// Watches never answer, as on a connection that has gone silent.
+  /// Watches are never answered, as on a connection that no longer responds.
   bool WatchesHang = false;
-  /// The next watch finds its history gone.
+  /// The next watch is answered with HistoryGone.
   bool HistoryGone = false;
   std::uint64_t Watches = 0;
 };
 
-/// Watches \p Kind alone: changes of other kinds do not end it.
+/// Watches \p Kind only: changes of other kinds do not end the watch.
 inline void watchKind(fake_platform &Store, const platform_api &Api,
                       store_faults &Faults, const std::string &Kind,
                       std::uint64_t Since, instant Deadline,
@@ -41,7 +42,7 @@
     });
     if (!HadObjects || !Reply.Objects.empty() || Store.now() >= Deadline)
       return Callback(Reply);
-    // The rest of one call.
+    // The repeated watch belongs to the same call.
     --Store.Calls;
     watchKind(Store, Api, Faults, Kind, Reply.StoreVersion, Deadline, Callback);
   });
@@ -66,7 +67,7 @@
   return Api;
 }
 
-/// Reads with \p Decode, all in one part.
+/// A reader that decodes the complete table in one step with \p Decode.
 inline route_reader
 readerOf(std::function<result<route_table>(const platform_object &)> Decode,
          const platform_object &Object) {
@@ -77,7 +78,7 @@
   };
 }
 
-/// Reads all parts.
+/// Reads a complete table.
 inline result<route_table> readComplete(const route_reader &Read) {
   constexpr std::size_t RoutesPerPart = 3;
   route_table Table;
