--- a/include/marjoramrail/platform.h
+++ b/include/marjoramrail/platform.h
@@ -8,9 +8,10 @@
 ///
 /// Usage:
 /// \code
-///   platform_client Client(Loop, {.Servers = {Address}, .Writer =
-///   "balancer-1"}); platform_api Api = Client.api(); Api.Read({"service",
-///   "ledger"}, [&](const platform_reply &Reply) {
+///   platform_client Client(Loop,
+///                          {.Servers = {Address}, .Writer = "balancer-1"});
+///   platform_api Api = Client.api();
+///   Api.Read({"service", "ledger"}, [&](const platform_reply &Reply) {
 ///     platform_object Next = Reply.Object;
 ///     Next.Body = ...;
 ///     Api.Write({Next, Reply.Object.Version}, [&](const platform_reply &) {});
--- a/src/directory/directory.cpp
+++ b/src/directory/directory.cpp
@@ -8,34 +8,36 @@
 
 namespace {
 
-/// A balancer that does not watch hears of changes, and dates its knowledge, by
-/// these; 120 bytes each, two in a round.
+/// A balancer that does not watch the store learns of changes, and confirms the
+/// age of its data, by these messages; 120 bytes each, two per round.
 constexpr duration SyncPeriod = std::chrono::milliseconds(200);
-/// How often the first in rank lets a watch run out, which dates what all
-/// balancers know, at a rate of calls that does not grow with the fleet. The
-/// rest of SettleTime is for the word's way from balancer to balancer.
+/// The watch time of the first balancer in rank. Each watch that expires
+/// confirms the data of all balancers, at a rate of calls that does not grow
+/// with the fleet. The rest of SettleTime is left for passing this confirmation
+/// from balancer to balancer.
 constexpr duration WatchSpacing = std::chrono::milliseconds(550);
-/// The first of a zone watch the configuration for its changes alone; how old
-/// their knowledge is, the watchers of the whole site tell them.
+/// The watchers of a zone watch the configuration for its changes only; the age
+/// of their data is confirmed by the watchers of the whole site.
 constexpr duration ZoneWatch = std::chrono::seconds(5);
-/// Until peers are heard, every balancer takes itself for the first of all, and
-/// a little longer for the first of its zone. Without these pauses every
-/// balancer of a site that starts would watch the store, and all of them be
-/// answered at each agent's announcement.
+/// A balancer that has received no message from peers yet ranks first of all,
+/// and for a little longer first of its zone. Without these delays every
+/// balancer of a starting site would watch the store and be sent a response for
+/// every agent that registers.
 constexpr duration PeerDiscoveryTime = std::chrono::milliseconds(400);
 constexpr duration ZonePeerDiscoveryTime = std::chrono::seconds(2);
-/// A balancer without peers dates its knowledge alone, within SettleTime.
+/// A balancer without peers confirms its data alone, within SettleTime.
 constexpr duration SoloWatchWait = std::chrono::milliseconds(900);
-/// Longer waits only delay the notice that a connection has gone silent.
+/// Longer waits would only delay the detection of a connection that no longer
+/// responds.
 constexpr duration MaxWatchWait = std::chrono::seconds(20);
-/// Balancers of a zone that watch the configuration: it is too large for a
-/// datagram, and a copy within the zone crosses no link between zones.
+/// The number of balancers per zone that watch the configuration. It is too
+/// large for a datagram, and copies within the zone use no link between zones.
 constexpr std::size_t RoutesWatchersInZone = peer_selector::WatchersPerZone;
-/// A balancer whose knowledge is older watches by itself: the watchers may be
-/// cut off from the store, or it from them.
+/// A balancer whose data is older than this watches the store itself: the
+/// watchers may be cut off from the store, or this balancer from them.
 constexpr duration PeerStateMaxAge = std::chrono::milliseconds(1200);
-/// How long a balancer that is no watcher waits between two tries while the
-/// store is away: every call is paid for, also one that is refused.
+/// How long a balancer that is not a watcher waits between two attempts while
+/// the store is unavailable: every call is charged for, including refused ones.
 constexpr duration BackgroundRetry = std::chrono::seconds(3);
 constexpr duration RecordCheckPeriod = std::chrono::milliseconds(200);
 
@@ -93,9 +95,10 @@
   return StartedAt && Now - *StartedAt >= After;
 }
 
-/// The first in rank dates the knowledge of all; the other watchers stand by,
-/// and bring news when it fails. Were all to date it in turns, their turns
-/// would drift together, and between them everyone's knowledge grow too old.
+/// The first balancer in rank confirms the age of the data for all. The other
+/// watchers are standbys, which report changes if the first one fails. If all
+/// watchers confirmed in turn, their periods would drift together and the data
+/// of all balancers would become too old in between.
 std::optional<duration> directory::impl::nextWait(const object_feed &Feed) {
   const instant Now = Timers.now();
   const std::size_t Rank = Peers.rank(Now);
@@ -103,7 +106,7 @@
   const bool IsFresh = Feed.asOf() && Now - *Feed.asOf() <= PeerStateMaxAge;
   if (IsFresh && (Rank >= Watchers || !hasRunFor(PeerDiscoveryTime, Now)))
     return std::nullopt;
-  // The watchers try on behalf of all.
+  // The watchers retry on behalf of all balancers.
   const bool HasTried =
       Feed.failedAt() && Now - *Feed.failedAt() < BackgroundRetry;
   if (Rank >= Watchers && HasTried)
@@ -200,7 +203,8 @@
       serviceNumber(Body["zone"].get<std::string>()));
 }
 
-/// A deleted entry leads nowhere any more, unless its balancer is heard again.
+/// Peers whose entry was deleted are not contacted any more, unless a message
+/// from them arrives.
 void directory::impl::onBalancer(const platform_object &Object) {
   const auto Peer = balancerAt(Object);
   if (!Peer)
@@ -228,7 +232,8 @@
     Hooks.OnRules(Changes);
 }
 
-/// The first table waits for the record, which tells what of it is new.
+/// The first table is held until the record is known, which tells which of its
+/// services are new.
 void directory::impl::takeNewestRoutes() {
   if (!Decoded || !Site.known())
     return;
@@ -258,8 +263,9 @@
   }));
 }
 
-/// A configuration that is still being read is not known: a list without the
-/// service that it brings would be called whole.
+/// A configuration that is still being read does not count as known: otherwise
+/// a list of owner candidates without its new service would be considered
+/// complete.
 std::optional<instant> directory::impl::knownAsOf() const {
   const auto RoutesAsOf = Loader.busy() ? KnownBeforeLoading : Routes.asOf();
   const auto SiteAsOf = Site.asOf();
@@ -314,7 +320,7 @@
     Feed = &Impl->Site;
   if (!Feed || !Feed->known())
     return std::nullopt;
-  // What is being read has no short form yet.
+  // The compact form of a configuration that is being read does not exist yet.
   if (Feed == &Impl->Routes && Impl->Loader.busy())
     return std::nullopt;
   measured_turn Turn(Impl->Hooks.OnTurn, turn_kind::ServeCopies);
@@ -360,7 +366,8 @@
     if (Object == Impl->Site.objects().end())
       continue;
     Impl->Hooks.OnEvent(event_kind::TargetDown, Name);
-    // A conflict means that someone has just written it: then it lives.
+    // A conflict means that the agent has just rewritten the entry and is
+    // alive.
     Impl->Platform.Site.Remove(Object->second.Key, Object->second.Version,
                                [](const platform_reply &) {});
   }
--- a/src/directory/directory_peers.cpp
+++ b/src/directory/directory_peers.cpp
@@ -2,21 +2,22 @@
 
 namespace marjoramrail {
 
-/// A balancer's own watch usually brings news within this time; after that it
-/// asks the peer that has them.
+/// A balancer's own watch usually returns a change within this time. After that
+/// the change is copied from the peer that has it.
 static constexpr duration PullDelay = std::chrono::milliseconds(120);
-/// A whole kind may be a megabyte: a peer of another zone is asked only after
-/// those of the own zone have had their turn.
+/// The list of a kind may be a megabyte: a peer of another zone is only
+/// contacted after those of the own zone had time to answer.
 static constexpr duration OtherZonePullDelay = std::chrono::milliseconds(700);
-/// A balancer that has just started is about to get the store's own list.
+/// A balancer that has just started usually receives the store's own list
+/// within this time.
 static constexpr duration FirstPullDelay = std::chrono::milliseconds(500);
 
-/// What a balancer knows is asked for again well before SettleTime is over.
+/// Data older than this is refreshed, well before SettleTime expires.
 static constexpr duration RefreshAfter = std::chrono::milliseconds(500);
 
 sync_state directory::impl::syncStateOf(const object_feed &Feed) const {
   sync_state State;
-  // Peers would ask for what cannot be served before it is read.
+  // Peers would request data that cannot be served while it is being read.
   if (!Feed.known() || (&Feed == &Routes && Loader.busy()))
     return State;
   State.Version = Feed.version();
@@ -79,8 +80,8 @@
                    Asked);
 }
 
-/// A reply holds what fits a datagram; the rest is asked for at once, as long
-/// as each reply brings something.
+/// A reply holds as many changes as fit one datagram. The rest is requested at
+/// once, as long as each reply makes progress.
 void directory::impl::applyChanges(sync_message &Reply) {
   for (platform_object &Object : *Reply.Changes)
     Object.Key.Kind = Settings.SiteKind;
--- a/src/directory/directory_writes.cpp
+++ b/src/directory/directory_writes.cpp
@@ -6,15 +6,18 @@
 
 using json = nlohmann::json;
 
-/// After a write of the record, its outcome has come by the watch.
+/// Within this time after a write of the record the watch has returned its
+/// result.
 static constexpr duration RecordRecheck = std::chrono::milliseconds(600);
-/// A store that refuses is not asked by every balancer at every look.
+/// Limits the rate at which balancers retry while the store refuses their
+/// calls.
 static constexpr duration SelfRetry = std::chrono::seconds(2);
 static constexpr duration PeerSweepPeriod = std::chrono::seconds(10);
-/// The next in rank writes the record when the ones before have not.
+/// Each balancer waits this long per rank, and writes the record only if those
+/// of lower rank have not.
 static constexpr duration RankDelay = std::chrono::milliseconds(200);
-/// Ranks that wait their turn; beyond, a store that many cannot reach would
-/// hold up the record longer than SettleTime.
+/// The number of ranks that wait. With more, the record would be delayed for
+/// longer than SettleTime if many balancers cannot reach the store.
 static constexpr std::size_t MaxRanks = 5;
 
 std::string directory::impl::selfBody() const {
@@ -45,9 +48,9 @@
                       }));
 }
 
-/// Entries of balancers that were replaced. Left there, every balancer would
-/// greet them for ever. One that lives finds its entry missing and writes it
-/// again.
+/// Removes the entries of balancers that were replaced; otherwise every
+/// balancer would send messages to them indefinitely. A balancer that is alive
+/// finds its entry missing and writes it again.
 void directory::impl::removeDeadPeers() {
   const instant Now = Timers.now();
   if (Now < NextPeerSweep || !Site.known() || Peers.rank(Now) != 0)
@@ -75,14 +78,15 @@
                   toText(From) + ": " + toText(*Failure));
 }
 
-/// The store may refuse the VM of a new target for long, and serve this one.
-/// Only an entry that is not there is written: of one that is, its agent alone
-/// knows more than the store.
+/// Registers a target on behalf of its agent: the store may refuse the VM of a
+/// new target for long and serve this balancer. Only a missing entry is
+/// written, since the state of an existing one is only known to its agent.
 void directory::impl::registerTarget(const target_entry &Target) {
   if (!Site.known() || !Target.Name.starts_with(TargetPrefix) ||
       Site.objects().contains(Target.Name))
     return;
-  Hooks.OnEvent(event_kind::TargetJoined, Target.Name + " by way of here");
+  Hooks.OnEvent(event_kind::TargetJoined,
+                Target.Name + ", written on behalf of its agent");
   platform_write Write;
   Write.Object.Key = {Settings.SiteKind, Target.Name};
   target_entry Entry = Target;
@@ -91,7 +95,8 @@
   Platform.Site.Write(Write, [](const platform_reply &) {});
 }
 
-/// The routes or the record have changed, or a write may have failed.
+/// Called when the routes or the record have changed, or a write may have
+/// failed.
 void directory::impl::requestRecordUpdate() {
   RecordNeededSince = RecordNeededSince.value_or(Timers.now());
 }
@@ -112,7 +117,8 @@
   }
   if (!RecordNeededSince || !Activation.known() || !Site.known() || RecordBusy)
     return;
-  // Whoever waits its turn compares only then: mostly the record has come.
+  // The comparison is only made after the wait, when the record has usually
+  // been written by another balancer.
   const auto Rank = std::min(Peers.rank(Timers.now()), MaxRanks);
   if (Timers.now() - *RecordNeededSince <
       RankDelay * static_cast<std::int64_t>(Rank))
@@ -120,7 +126,7 @@
   if (const auto Body = compareRecord())
     return writeRecord(*Body);
   RecordNeededSince.reset();
-  // Former services leave the record in time.
+  // Previous services are removed from the record when their time is over.
   RecheckRecordAt = Record.nextExpiry();
 }
 
@@ -133,8 +139,8 @@
   RecordBusy = true;
   Platform.Site.Write(Write, guarded([this](const platform_reply &) {
                         RecordBusy = false;
-                        // The watch brings the record; until then nobody needs
-                        // to write it again.
+                        // The watch returns the new record; until then it need
+                        // not be written again.
                         RecordNeededSince.reset();
                         RecheckRecordAt = Timers.now() + RecordRecheck;
                       }));
--- a/src/directory/object_feed.cpp
+++ b/src/directory/object_feed.cpp
@@ -5,18 +5,20 @@
 
 namespace marjoramrail::internal {
 
-/// After the first failure; doubled up to LastRetry. Short, because a balancer
-/// without the store's news is useless after a restart, and because few calls
-/// a second come from one balancer.
+/// Wait after the first failure; doubled up to LastRetry. Short, because a
+/// balancer cannot work after a restart without data from the store, and one
+/// balancer makes few calls a second.
 static constexpr duration FirstRetry = std::chrono::milliseconds(100);
 static constexpr duration LastRetry = std::chrono::milliseconds(800);
-/// After news the next watch begins this much later, so that changes in quick
-/// succession (all agents of a site start, configurations follow each other)
-/// come in one answer, not in a call each for every watcher.
+/// After a change the next watch starts with this delay, so that changes in
+/// quick succession (all agents of a site start, configurations follow each
+/// other) are returned by one call instead of one call per change and watcher.
 static constexpr duration UpdateDelay = std::chrono::milliseconds(150);
-/// How often a feed that lives on peers' news looks whether they still come.
+/// How often a feed that relies on the updates of peers checks whether they
+/// still arrive.
 static constexpr duration IdlePeriod = std::chrono::milliseconds(200);
-/// Deletions remembered; older ones make peers copy the whole kind.
+/// The number of deletions kept. Peers that need older ones have to copy the
+/// complete list.
 static constexpr std::size_t MaxDeletions = 1000;
 
 object_feed::object_feed(timer_service &Timers, platform_api Store,
@@ -74,7 +76,7 @@
 void object_feed::watched(const platform_reply &Reply, instant Asked,
                           duration Wait) {
   if (Reply.Outcome == platform_outcome::HistoryGone) {
-    setAnswering(true, "the history is gone");
+    setAnswering(true, "change history no longer available");
     return list();
   }
   if (Reply.Outcome != platform_outcome::Ok)
@@ -83,8 +85,9 @@
   bool Changed = false;
   for (const platform_object &Object : Reply.Objects)
     Changed |= applyObject(Object);
-  // A watch that ran its full wait without news was true at its end; one that
-  // ended early is only known to have been true when it was asked.
+  // A watch that waited its full time without a change confirms the state at
+  // its end; one that ended early only confirms the state at the time of its
+  // request.
   const bool WaitedOut = Reply.Objects.empty() && Timers.now() - Asked >= Wait;
   advance(std::max(Reply.StoreVersion, Version),
           WaitedOut ? Asked + Wait : Asked);
@@ -112,12 +115,12 @@
     Object.Version = Reply.StoreVersion;
     applyObject(Object);
   }
-  // What went before this list, and when, is not known.
+  // Deletions before this list, and their versions, are unknown.
   DeletionsSince = std::max(DeletionsSince, Reply.StoreVersion);
   Known = true;
 }
 
-/// An object's version never goes back: a late answer must not undo a change.
+/// An object's version never goes back: a late response must not undo a change.
 bool object_feed::applyObject(platform_object Object) {
   const std::string &Name = Object.Key.Name;
   const auto Held = Objects.find(Name);
--- a/src/directory/peer_selector.cpp
+++ b/src/directory/peer_selector.cpp
@@ -99,7 +99,8 @@
 peer_selector::candidates peer_selector::candidatesAt(instant Now) const {
   candidates Found;
   const bool AnyServed = anyServed(Now);
-  // Watchers greet the very first of them, so that all know the same soon.
+  // Watchers contact the first few among them, so that all watchers soon have
+  // the same data.
   const std::size_t MaxWatchers =
       rank(Now) < watchers(Now) ? MinWatchers : watchers(Now);
   const std::size_t MaxZoneWatchers =
--- a/src/directory/route_activation.cpp
+++ b/src/directory/route_activation.cpp
@@ -7,7 +7,7 @@
 
 route_activation::sorted_table::sorted_table(route_table Unsorted)
     : Table(std::move(Unsorted)), Services(Table) {
-  // Stable: the shares of a route keep their order.
+  // Stable, so that the shares of a route keep their order.
   std::stable_sort(
       Table.Routes.begin(), Table.Routes.end(),
       [](const route &A, const route &B) { return A.Address < B.Address; });
@@ -20,8 +20,8 @@
   const bool IsFirst = !Newest;
   Newest = std::make_shared<const sorted_table>(std::move(Table));
   if (IsFirst) {
-    // What was on record before this process started is known to whoever can
-    // be asked about its flows.
+    // Services that were on record before this process started are known to
+    // every process that may receive packets of their flows.
     Active = Newest;
     Withheld = Newest->Services.without(Record.all());
     if (!Withheld.empty())
@@ -34,8 +34,8 @@
       Due.reset();
     return true;
   }
-  // A change that comes while another one waits does not make that one wait
-  // longer: changes in quick succession would otherwise never take effect.
+  // A change that arrives while another one waits does not extend the wait:
+  // otherwise changes in quick succession would never take effect.
   if (!Due)
     Due = Now + SettleTime;
   return true;
@@ -56,9 +56,10 @@
   return std::binary_search(Withheld.begin(), Withheld.end(), Entry);
 }
 
-/// Walks over the routes in force, the newest ones and the record at once, in
-/// order of address, and gives \p Take each address with the parts of its rule:
-/// services in force in the order of their shares, then coming, then former.
+/// Iterates over the active routes, the newest ones and the record in parallel,
+/// in order of address, and calls \p Take with each address and the parts of
+/// its rule: active services in the order of their shares, then upcoming ones,
+/// then previous ones.
 template <typename Callable>
 void route_activation::forEachRule(const route_record &Record,
                                    const Callable &Take) const {
--- a/src/directory/route_loader.cpp
+++ b/src/directory/route_loader.cpp
@@ -22,7 +22,7 @@
 void route_loader::readNextPart() {
   const auto Failure = failureOf([&] { return readPart(); });
   if (Failure) {
-    // The last good one stays in force.
+    // The last valid configuration stays in effect.
     Hooks.OnRefused(toText(*Failure));
     return end();
   }
--- a/src/directory/route_record.cpp
+++ b/src/directory/route_record.cpp
@@ -8,8 +8,8 @@
 
 using json = nlohmann::json;
 
-/// A flow that was opened in the last moment before its service was left, and
-/// the time that a configuration takes to reach everyone.
+/// Additional time for flows that were opened just before the service was
+/// removed, and for the configuration to reach every process.
 static constexpr duration RecordSlack = std::chrono::seconds(10);
 
 static constexpr const char *ServicesField = "services";
--- a/src/directory/route_table_codec.cpp
+++ b/src/directory/route_table_codec.cpp
@@ -9,7 +9,7 @@
 using ordered_json = nlohmann::ordered_json;
 
 static constexpr int Format = 1;
-/// Every encoded table begins so; the fields keep their order.
+/// Every encoded table starts with this text; the fields have a fixed order.
 static constexpr std::string_view Beginning = "{\"marjoramrail_routes\":";
 
 /// Routes with the same shares.
@@ -24,7 +24,7 @@
   std::vector<route_group> Groups;
   std::size_t Last = 0;
   for (const route &Route : Table.Routes) {
-    // Most routes have the shares of the one before.
+    // Most routes have the same shares as the previous one.
     if (Groups.empty() || Groups[Last].Shares != Route.Shares) {
       std::vector<std::pair<std::string, std::uint32_t>> Key;
       for (const service_share &Share : Route.Shares)
@@ -76,8 +76,8 @@
   return Shares;
 }
 
-/// One encoded table on its way. The first part takes the text apart; the
-/// others make routes of it.
+/// An encoded table that is being read. The first step parses the text; the
+/// following steps create the routes.
 class encoded_table {
 public:
   explicit encoded_table(const platform_object &Object)
@@ -101,9 +101,9 @@
   result<void> open(route_table &Table) {
     const json Json = json::parse(Body, nullptr, /*allow_exceptions=*/false);
     if (!Json.is_object())
-      return refuse("no JSON object");
+      return refuse("not a JSON object");
     if (Json.value("marjoramrail_routes", json()) != Format)
-      return refuse("a form that is not known here");
+      return refuse("unknown format");
     const json Version = Json.value("version", json());
     const json Idle = Json.value("idle_us", json());
     if (!Version.is_number_unsigned())
@@ -147,7 +147,7 @@
   std::string Where;
   std::string Body;
   std::vector<route_group> Groups;
-  /// The group, and the address in it, that come next.
+  /// The next group, and the next address in it.
   std::size_t Group = 0;
   std::size_t Next = 0;
   bool IsOpen = false;
--- a/src/directory/sync_message.cpp
+++ b/src/directory/sync_message.cpp
@@ -10,10 +10,10 @@
 
 using json = nlohmann::json;
 
-/// u16 magic | u8 format | u8 flags | i64 asked | u32, u16 self | u32 zone |
-/// 2 x (u64 version, u64 change, i64 age) | u64 changes since | u64 up to |
-/// changes as CBOR, [[name, version, body or null for deleted], ...], or
-/// nothing
+/// The encoded message: u16 magic | u8 format | u8 flags | i64 asked | u32, u16
+/// self | u32 zone | 2 x (u64 version, u64 change, i64 age) | u64 changes since
+/// | u64 up to | changes as CBOR, [[name, version, body or null for deleted],
+/// ...], or nothing
 static constexpr std::uint16_t SyncMessageMagic = 0x4d47;
 static constexpr std::uint8_t SyncMessageFormat = 4;
 static constexpr std::uint8_t ReplyBit = 1;
@@ -55,8 +55,9 @@
   return Changes;
 }
 
-/// Each change is encoded once: a balancer that is far behind asks for hundreds
-/// of them, several times a second, and the answer holds packets up.
+/// Each change is encoded only once: a balancer that is far behind requests
+/// hundreds of changes several times a second, and packets wait while the reply
+/// is being built.
 void fitChanges(sync_message &Message) {
   if (!Message.Changes)
     return;
@@ -65,7 +66,7 @@
             [](const platform_object &A, const platform_object &B) {
               return A.Version < B.Version;
             });
-  // The head of a CBOR array is at most three bytes here.
+  // The header of a CBOR array takes at most three bytes here.
   constexpr std::size_t ListHeadBytes = 3;
   std::size_t Bytes = FixedBytes + ListHeadBytes;
   std::size_t Fitting = 0;
@@ -76,7 +77,8 @@
   }
   if (Fitting == Changes.size() && Fitting > 0)
     return;
-  // Changes of one version go together: deletions that a list has shown.
+  // Changes with the same version must stay together: deletions that a complete
+  // list has revealed all carry the version of the list.
   if (Fitting < Changes.size()) {
     const std::uint64_t TooMuch = Changes[Fitting].Version;
     std::erase_if(Changes, [&](const platform_object &Object) {
--- a/src/directory/target_entry.cpp
+++ b/src/directory/target_entry.cpp
@@ -6,7 +6,8 @@
 
 namespace marjoramrail {
 
-/// u16 magic | u8 format | u8 length of the name | name | entry as JSON
+/// The encoded registration request: u16 magic | u8 format | u8 length of the
+/// name | name | entry as JSON
 static constexpr std::uint16_t RegistrationMagic = 0x4d41;
 static constexpr std::uint8_t RegistrationFormat = 1;
 static constexpr std::size_t RegistrationHeaderBytes = 4;
@@ -72,11 +73,12 @@
 result<target_entry>
 decodeRegistrationRequest(std::span<const std::uint8_t> Bytes) {
   if (!isRegistrationRequest(Bytes))
-    return fail(step::DecodeMessage, "", "this is no announcement");
+    return fail(step::DecodeMessage, "", "not a registration request");
   const std::size_t NameBytes = Bytes[RegistrationHeaderBytes - 1];
   const auto Text = Bytes.subspan(RegistrationHeaderBytes);
   if (NameBytes == 0 || NameBytes > std::min(Text.size(), MaxNameBytes))
-    return fail(step::DecodeMessage, "", "the announcement has no name");
+    return fail(step::DecodeMessage, "",
+                "the registration request has no valid name");
   const auto Middle = Text.begin() + static_cast<std::ptrdiff_t>(NameBytes);
   return decodeTarget({Text.begin(), Middle}, {Middle, Text.end()});
 }
--- a/src/directory/target_registrar.cpp
+++ b/src/directory/target_registrar.cpp
@@ -3,7 +3,8 @@
 namespace marjoramrail {
 
 static constexpr duration FirstRetry = std::chrono::milliseconds(200);
-/// Hosts announce themselves again within about two seconds of an outage's end.
+/// Limits the wait, so that hosts register within about two seconds after an
+/// outage.
 static constexpr duration LastRetry = std::chrono::milliseconds(1600);
 
 struct target_registrar::impl {
@@ -27,13 +28,14 @@
   std::string Kind;
   hooks Hooks;
   std::string Name;
-  /// What the store shall hold; nothing for no entry.
+  /// The entry that the store shall hold; nothing if it shall hold none.
   std::optional<target_entry> Wanted;
-  /// What the store holds, as far as known.
+  /// The entry that the store holds, as far as known.
   std::optional<target_entry> Held;
   std::uint64_t Version = 0;
   bool IsReadCurrent = false;
-  /// The store shall hold Wanted; until then it is only read.
+  /// Whether Wanted may be written; until set() or withdraw() the entry is only
+  /// read.
   bool WriteEnabled = false;
   bool IsBusy = false;
   bool WroteBefore = false;
@@ -92,8 +94,8 @@
   work();
 }
 
-/// The entry counts as known to the fleet when service and address stand there;
-/// whether it drains is told on faster ways.
+/// The entry counts as known to all processes if its service and address match;
+/// changes of the draining flag are distributed by faster means.
 void target_registrar::impl::notifyStored() {
   if (Held && Wanted && Held->Service == Wanted->Service &&
       Held->Agent == Wanted->Agent)
@@ -114,8 +116,8 @@
   Store.Write(Write, then(&impl::onWritten));
 }
 
-/// After anything but a plain success the store is read again: the write may
-/// have taken effect, or someone else's.
+/// After any result other than Ok the entry is read again: this write or
+/// another one may have taken effect.
 void target_registrar::impl::onWritten(const platform_reply &Reply) {
   if (Reply.Outcome == platform_outcome::Conflict ||
       Reply.Outcome == platform_outcome::NotFound) {
@@ -128,7 +130,7 @@
   }
   Failures = 0;
   Version = Reply.Object.Version;
-  // Read back from the answer: the entry wanted may have changed meanwhile.
+  // Taken from the response: the wanted entry may have changed meanwhile.
   Held.reset();
   if (auto Entry = decodeTarget(Name, Reply.Object.Body))
     Held = *Entry;
--- a/src/directory/target_reports.cpp
+++ b/src/directory/target_reports.cpp
@@ -2,8 +2,8 @@
 
 namespace marjoramrail {
 
-/// A report of the same run counts by its sequence, one of another run by the
-/// time at which the run began.
+/// Reports of the same run are ordered by sequence number, those of different
+/// runs by the start time of the run.
 bool target_reports::isLate(const target_report &Report) const {
   if (!HasReport || OnlyRestored)
     return false;
--- a/src/platform/call.cpp
+++ b/src/platform/call.cpp
@@ -5,7 +5,7 @@
 
 namespace marjoramrail::internal {
 
-/// When a refusal names no time, or one that cannot be read.
+/// Used when a refusal contains no retry time or an invalid one.
 static constexpr duration DefaultRetryAfter = std::chrono::seconds(1);
 static constexpr std::uint32_t MaxRetryAfterSeconds = 3600;
 
@@ -64,7 +64,7 @@
 
 static platform_reply unreadable(const platform_call &Call) {
   return replyToFailure(Call, call_failure::NoAnswer,
-                        "the platform's answer cannot be read");
+                        "cannot decode the platform's response");
 }
 
 static platform_reply replyToOk(const platform_call &Call,
@@ -91,7 +91,8 @@
   Reply.Reason = Reply.Object.Version == 0
                      ? "no such object"
                      : "version " + std::to_string(Reply.Object.Version) +
-                           " of " + Reply.Object.Writer + " stands";
+                           " written by " + Reply.Object.Writer +
+                           " is the current one";
   return Reply;
 }
 
@@ -117,7 +118,7 @@
     return Reply;
   default:
     return replyToFailure(Call, call_failure::NoAnswer,
-                          "the platform answered with code " +
+                          "the platform responded with HTTP status " +
                               std::to_string(Answer.Code));
   }
 }
--- a/src/platform/http_connection.cpp
+++ b/src/platform/http_connection.cpp
@@ -7,8 +7,8 @@
 
 namespace marjoramrail::internal {
 
-/// Longer than any call: the client's own timers end calls, so that one rule
-/// holds while connecting, sending and waiting.
+/// Longer than any call: calls are ended by the client's own timers, so that
+/// the same limit applies while connecting, sending and waiting.
 static constexpr int LibraryTimeoutSeconds = 24 * 3600;
 
 static constexpr std::size_t MaxAnswerBytes = 256 * 1024 * 1024;
@@ -69,7 +69,7 @@
   }
 }
 
-/// libevent throws a part away after its hook.
+/// libevent discards each part of the body after its callback.
 void http_connection::appendBody(evhttp_request *Request) {
   evbuffer *Input = evhttp_request_get_input_buffer(Request);
   const std::size_t Before = Body.size();
@@ -88,8 +88,8 @@
   return Answer;
 }
 
-/// libevent gives no request when a connection broke, and a request with code 0
-/// when none came about.
+/// libevent passes no request if a connection broke, and a request with code 0
+/// if no connection was established.
 void http_connection::finish(evhttp_request *Request) {
   if (!Done)
     return;
--- a/src/platform/platform_client.cpp
+++ b/src/platform/platform_client.cpp
@@ -32,18 +32,20 @@
   std::uint64_t Calls = 0;
 
 private:
-  /// A connection and the call on it. A spent one goes at the next pump, since
-  /// a connection must not be freed from within its own callback.
+  /// A connection and its call. An unusable one is removed by the next
+  /// dispatchWaiting(), since a connection must not be freed from within its
+  /// own callback.
   struct pooled_connection {
     std::unique_ptr<http_connection> Http;
     call_ptr Call;
     bool Unusable = false;
   };
 
-  /// Of the calls for one object or kind before the first answer, each so many
-  /// waits for long.
+  /// Before the first response, every call of this number for the same object
+  /// or kind gets the full time-out.
   static constexpr unsigned FullTimeoutInterval = 4;
-  /// A server that sends a byte now and then must not hold a call for ever.
+  /// Limits the total time of a response: a server that sends a byte now and
+  /// then must not keep a call open indefinitely.
   static constexpr duration MaxAnswerTime = std::chrono::seconds(30);
 
   void start(call Call);
@@ -66,17 +68,17 @@
   /// Calls that wait for a connection.
   std::deque<call_ptr> Waiting;
   std::vector<std::unique_ptr<pooled_connection>> Pool;
-  /// Calls that are over and whose callback has not run yet.
+  /// Calls that have ended and whose callback has not run yet.
   std::map<call_ptr, platform_reply> Finished;
-  /// The server that new connections go to.
+  /// Index of the server that new connections use.
   std::size_t Current = 0;
   std::uint64_t Sequence = 0;
   bool HasAnswered = false;
-  /// Calls before the first answer, by what they read.
+  /// The number of calls before the first response, by object or kind.
   std::map<object_key, unsigned> FirstCalls;
   bool DispatchScheduled = false;
   bool Closing = false;
-  /// Deferred tasks look here whether the client is still there.
+  /// Deferred tasks use this to check whether the client still exists.
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
 };
 
@@ -95,10 +97,11 @@
     return finish(Shared, invalidReply(Fault));
   if (Settings.Servers.empty())
     return finish(Shared, replyToFailure(*Shared, call_failure::NotSent,
-                                         "no server of the platform is set"));
+                                         "no platform server is configured"));
   if (Waiting.size() >= Settings.MaxWaiting)
-    return finish(Shared, replyToFailure(*Shared, call_failure::NotSent,
-                                         "too many calls wait already"));
+    return finish(
+        Shared, replyToFailure(*Shared, call_failure::NotSent,
+                               "too many calls are waiting for a connection"));
   Waiting.push_back(Shared);
   scheduleDispatch();
 }
@@ -124,14 +127,14 @@
   });
 }
 
-/// Gives waiting calls to free connections, in their order; a watch does not
-/// wait behind calls nor hold them up.
+/// Assigns waiting calls to free connections in order. Watches have connections
+/// of their own: they neither wait behind other calls nor delay them.
 void platform_client::impl::dispatchWaiting() {
   std::erase_if(Pool, [&](const std::unique_ptr<pooled_connection> &Pooled) {
     return Pooled->Unusable ||
            (!Pooled->Call && Pooled->Http->server() != Current);
   });
-  // A connection may fail at once and put its call back into Waiting.
+  // A connection may fail at once and return its call to Waiting.
   std::deque<call_ptr> Left;
   for (const call_ptr &Call : std::exchange(Waiting, {})) {
     if (pooled_connection *Pooled = connectionFor(*Call))
@@ -171,11 +174,11 @@
       });
 }
 
-/// A narrow link, or a VM that is short of processor time, takes longer over a
-/// large answer than a call may wait in silence. Ended and made anew, the call
-/// would start from the answer's first byte each time, fill the link and never
-/// get through, as the log shows by calls that failed with most of their bytes
-/// come. So the limit counts from the last part that came.
+/// A slow link, or a VM with little processor time, can take longer for a large
+/// response than the time-out. If the call were aborted and repeated, it would
+/// start from the first byte each time, saturate the link and never complete;
+/// the log shows this as failed calls of which most bytes have arrived.
+/// Therefore the time-out restarts with each part received.
 void platform_client::impl::onPart(const call_ptr &Call) {
   Loop.wake();
   const duration Left =
@@ -204,7 +207,11 @@
   Pooled.Unusable = true;
   const std::string Where = toText(Settings.Servers[Server]);
   if (Failure == call_failure::NoAnswer)
-    return finish(Call, replyToFailure(*Call, Failure, Where + " broke off"));
+    return finish(
+        Call,
+        replyToFailure(
+            *Call, Failure,
+            Where + " closed the connection before its response was complete"));
   if (Server == Current)
     Current = (Current + 1) % Settings.Servers.size();
   if (!Call->changes() && ++Call->Refusals < Settings.Servers.size()) {
@@ -221,9 +228,9 @@
   return Settings.Dialect.Reply(Call, Answer);
 }
 
-/// Asks for the next part of a list that comes in several, so that cores see
-/// one list. The parts may be of different moments; the version of the first is
-/// the one that a watch has to go on from.
+/// Requests the next part of a list that is returned in several parts, so that
+/// callers get one list. The parts may be of different points in time; a watch
+/// has to continue from the version of the first one.
 void platform_client::impl::take(const call_ptr &Call, platform_reply Reply) {
   if (Reply.Outcome != platform_outcome::Ok || Call->Verb != call_verb::List)
     return finish(Call, std::move(Reply));
@@ -242,8 +249,9 @@
   finish(Call, std::move(Reply));
 }
 
-/// Runs from a timer, never within a connection's callback, so the connection
-/// can go at once: the server may still be at work on the call.
+/// Runs from a timer, never within a connection's callback, so that the
+/// connection can be closed at once. The server may still be processing the
+/// call.
 void platform_client::impl::onTimeout(const call_ptr &Call) {
   const auto Held =
       std::find_if(Pool.begin(), Pool.end(),
@@ -258,10 +266,10 @@
   }
   std::erase(Waiting, Call);
   finish(Call, replyToFailure(*Call, call_failure::NotSent,
-                              "no connection was free in time"));
+                              "no connection became available in time"));
 }
 
-/// The callback runs later: a core must not be entered from its own call.
+/// Runs the callback later: it must not be called from within the call itself.
 void platform_client::impl::finish(const call_ptr &Call, platform_reply Reply) {
   Loop.timers().cancel(Call->Timer);
   reportEnd(*Call, Reply);
@@ -299,7 +307,7 @@
     Done(Reply);
 }
 
-/// Ends what is under way when the client goes.
+/// Ends all pending calls when the client is destroyed.
 void platform_client::impl::finishAll() {
   Closing = true;
   for (const auto &Pooled : std::exchange(Pool, {}))
@@ -309,7 +317,7 @@
   for (const call_ptr &Call : std::exchange(Waiting, {}))
     finish(Call, replyToFailure(*Call, call_failure::NotSent, ClosedReason));
   while (!Finished.empty()) {
-    // A pointer of our own: deliver() drops the map's.
+    // A copy, since deliver() erases the map entry.
     const call_ptr Call = Finished.begin()->first;
     deliver(Call);
   }
@@ -323,9 +331,9 @@
 
 std::uint64_t platform_client::calls() const { return Impl->Calls; }
 
-/// Starts calls for as long as the client is there. Afterwards a call is
-/// answered by the loop, so that a core that asks again at once neither holds
-/// up the client's end nor reaches a client that is gone.
+/// Starts calls while the client exists. Afterwards a call is answered by the
+/// event loop, so that a caller that repeats it immediately neither delays the
+/// client's destruction nor accesses a destroyed client.
 std::function<void(call)> platform_client::impl::starter() {
   return [this, Loop = &Loop, Alive = std::weak_ptr<bool>(Alive)](call Call) {
     if (!Alive.expired() && !Closing)
--- a/src/timeline/json_line.cpp
+++ b/src/timeline/json_line.cpp
@@ -55,8 +55,8 @@
   return Found->get<std::int64_t>();
 }
 
-/// Fields that this version does not know are left out: a newer process in the
-/// fleet must not make its events unreadable.
+/// Unknown fields are ignored, so that the events of a newer process in the
+/// fleet can still be read.
 result<timeline_event> parseJsonLine(std::string_view Line) {
   const json Json = json::parse(Line, nullptr, /*allow_exceptions=*/false);
   if (!Json.is_object())
@@ -73,7 +73,7 @@
   const auto What =
       valueNamed(EventKindNames, textOf(Json, "event").value_or(""));
   if (!What)
-    return refuse(Line, "field event: is no kind of event known here");
+    return refuse(Line, "field event: unknown event");
   Event.What = *What;
   struct text_field {
     const char *Name;
--- a/src/timeline/timeline.cpp
+++ b/src/timeline/timeline.cpp
@@ -6,8 +6,9 @@
 
 namespace marjoramrail {
 
-/// Clocks count in microseconds: with one step an event they would outrun the
-/// wall clock at a thousand events a second if they counted milliseconds.
+/// Logical clocks count microseconds: each event advances them by at least one,
+/// and in milliseconds they would outrun the wall clock at a thousand events a
+/// second.
 static std::uint64_t clockOf(std::int64_t WallMs) {
   return static_cast<std::uint64_t>(std::max<std::int64_t>(WallMs, 0)) * 1000;
 }
