--- a/test/directory/address_list_test.cpp
+++ b/test/directory/address_list_test.cpp
@@ -7,7 +7,7 @@
 using namespace marjoramrail::internal;
 using nlohmann::json;
 
-TEST_CASE("addresses come back as they were") {
+TEST_CASE("addresses are encoded and decoded unchanged") {
   const std::vector<endpoint> Addresses = {
       {0, 1}, {1, 443}, {0xc6120001, 443}, {0xffffffff, 443}, {7, 65535}};
 
@@ -20,7 +20,7 @@
   CHECK(*Decoded == Expected);
 }
 
-TEST_CASE("addresses that stand together take little") {
+TEST_CASE("adjacent addresses are encoded in few bytes") {
   std::vector<endpoint> Addresses;
   for (std::uint32_t I = 0; I < 1000; ++I)
     Addresses.push_back({0xc6120001 + I, 443});
@@ -28,13 +28,13 @@
   CHECK(encodeAddresses(Addresses).dump().size() < 3000);
 }
 
-TEST_CASE("no addresses are an empty object") {
+TEST_CASE("an empty list is an empty object") {
   CHECK(encodeAddresses({}) == json::object());
   CHECK(decodeAddresses(json::object())->empty());
 }
 
-TEST_CASE("what is no list of addresses is refused") {
-  // Another writer, or an older program, may have written the object.
+TEST_CASE("malformed address lists are rejected") {
+  // Another writer or an older version may have written the object.
   for (const char *Broken :
        {"[]", "7", R"({"x": []})", R"({"443": 7})", R"({"443": [-1]})",
         R"({"443": ["1"]})", R"({"70000": [1]})", R"({"-1": [1]})",
--- a/test/directory/directory_test.cpp
+++ b/test/directory/directory_test.cpp
@@ -20,7 +20,8 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(directory_cluster, "a balancer learns routes and targets") {
+TEST_CASE_FIXTURE(directory_cluster,
+                  "a balancer reads routes and targets from the store") {
   configure(1, {"ledger"});
   addTarget("one");
   start(1);
@@ -34,9 +35,9 @@
 
 TEST_CASE_FIXTURE(directory_cluster,
                   "a change reaches a balancer that the store refuses") {
-  // The store turns one balancer away and serves the others. Callers whose
-  // packets land there would be sent by the old configuration for as long as
-  // that lasts.
+  // The store refuses one balancer and serves the others. Packets that reach
+  // this balancer would be routed by the old configuration for as long as that
+  // lasts.
   configure(1, {"ledger"});
   for (const unsigned Number : {1U, 2U, 3U})
     start(Number);
@@ -50,8 +51,9 @@
   CHECK(sharesAt(at(3)) == names{"archive"});
 }
 
-TEST_CASE_FIXTURE(directory_cluster,
-                  "a balancer that starts without the store asks a peer") {
+TEST_CASE_FIXTURE(
+    directory_cluster,
+    "a balancer that starts without the store copies from a peer") {
   configure(1, {"ledger"});
   addTarget("one");
   start(1);
@@ -64,8 +66,7 @@
   CHECK(at(2).targets().size() == 1);
 }
 
-TEST_CASE_FIXTURE(directory_cluster,
-                  "a balancer that knows nothing stays out of rotation") {
+TEST_CASE_FIXTURE(directory_cluster, "a balancer without data is not ready") {
   Store.Down = true;
   start(1);
   pass(5s);
@@ -73,11 +74,12 @@
   CHECK_FALSE(at(1).ready());
 }
 
-TEST_CASE_FIXTURE(directory_cluster,
-                  "former services outlive every balancer of ours") {
-  // A route moves; later all balancers are replaced, one of them starts while
-  // the store is away and hears a peer. Old flows live on at the former service
-  // and must still be found there.
+TEST_CASE_FIXTURE(
+    directory_cluster,
+    "previous services stay known after all balancers are replaced") {
+  // A route moves to another service. Later all balancers are replaced, and one
+  // of them starts while the store is down and gets its data from a peer. Old
+  // flows are still at the previous service and must be found there.
   configure(1, {"ledger"});
   start(1);
   pass(3s);
@@ -98,10 +100,11 @@
 }
 
 TEST_CASE_FIXTURE(directory_cluster,
-                  "an own write does not stand for what came before it") {
-  // While a balancer's watch hangs a target joins, and the balancer writes an
-  // object of its own. A copy of what it knows, taken for whole, would lack the
-  // target, and the target's flows would be reset as nobody's.
+                  "a balancer's own write does not confirm earlier changes") {
+  // While a balancer's watch hangs, a target registers and the balancer writes
+  // an object of its own, which has a newer version. If the balancer's list
+  // counted as complete up to that version, it would lack the target, and the
+  // target's flows would be reset.
   configure(1, {"ledger"});
   start(1);
   pass(1ms);
@@ -131,9 +134,11 @@
   CHECK(sharesAt(at(1)) == names{"ledger"});
 }
 
-TEST_CASE_FIXTURE(directory_cluster, "entries of replaced balancers go") {
-  // VMs are replaced every day. Were their entries kept, each balancer would
-  // greet thousands that are gone, and reach those that are there too late.
+TEST_CASE_FIXTURE(directory_cluster,
+                  "entries of replaced balancers are removed") {
+  // VMs are replaced every day. If their entries were kept, each balancer would
+  // send messages to thousands of addresses that no longer exist, and reach
+  // running ones too late.
   configure(1, {"ledger"});
   for (const unsigned Number : {1U, 2U, 3U})
     start(Number, {addressOf(1)});
@@ -151,9 +156,9 @@
   CHECK_FALSE(Store.get("marjoramrail", "balancer.balancer-3").Deleted);
 }
 
-TEST_CASE_FIXTURE(directory_cluster, "a dead VM leaves nothing in the store") {
-  // VMs die every day. Their entries would stay for ever, and the store would
-  // fill up.
+TEST_CASE_FIXTURE(directory_cluster,
+                  "the entry of a dead VM is removed from the store") {
+  // VMs fail every day. Without removal their entries would fill the store.
   start(1);
   configure(1, {"ledger"});
   addTarget("one");
@@ -166,8 +171,8 @@
 }
 
 TEST_CASE_FIXTURE(directory_cluster,
-                  "a balancer announces for a refused agent") {
-  // The store serves balancers and refuses the agent of a new target.
+                  "a balancer registers a target for a refused agent") {
+  // The store serves balancers but refuses the agent of a new target.
   start(1);
   configure(1, {"ledger"});
   pass(3s);
@@ -181,9 +186,11 @@
   CHECK(at(1).targets().front().ByPeer);
 }
 
-TEST_CASE_FIXTURE(directory_cluster, "an announcement changes no entry") {
-  // A datagram that was held up, or comes from another writer, must not undo
-  // what an agent has written itself: a leaver would get new flows again.
+TEST_CASE_FIXTURE(directory_cluster,
+                  "a registration request does not change an existing entry") {
+  // A delayed datagram, or one from another sender, must not overwrite what an
+  // agent has written itself: otherwise a leaving target would get new flows
+  // again.
   start(1);
   configure(1, {"ledger"});
   target_entry Entry{"target.new", "ledger", {0x0a000307, 700},
@@ -199,7 +206,8 @@
   CHECK(at(1).targets().front() == Entry);
 }
 
-TEST_CASE_FIXTURE(directory_cluster, "only targets are announced") {
+TEST_CASE_FIXTURE(directory_cluster,
+                  "registration requests are only accepted for targets") {
   start(1);
   configure(1, {"ledger"});
   pass(3s);
@@ -214,10 +222,11 @@
 }
 
 TEST_CASE_FIXTURE(directory_cluster,
-                  "who waits its turn compares the record once") {
-  // A route is added to thousands. The first in rank writes the record of
-  // services; the others only look whether it has. If they build it anew at
-  // each look, small VMs do nothing else for a second.
+                  "a waiting balancer compares the record only once") {
+  // A route is added to thousands of others. The first balancer in rank writes
+  // the record of services; the others only check whether it has. If they
+  // compared the record at each check, small VMs would be busy with that for a
+  // second.
   configure(1, {"ledger"});
   for (const unsigned Number : {1U, 2U, 3U})
     start(Number, {addressOf(1)});
--- a/test/directory/many_balancers_test.cpp
+++ b/test/directory/many_balancers_test.cpp
@@ -7,10 +7,10 @@
 using namespace std::chrono_literals;
 
 TEST_CASE_FIXTURE(directory_cluster,
-                  "many balancers stay sure with few calls") {
-  // At hundreds of balancers each watch of each would be a call; the store's
-  // rate is fixed. All must still be able to tell a lost flow within
-  // SettleTime.
+                  "the data of many balancers stays current with few calls") {
+  // With hundreds of balancers, one watch per balancer would exceed the store's
+  // fixed rate of calls. The data of all balancers must still be current enough
+  // to detect a lost flow within SettleTime.
   configure(1, {"ledger"});
   for (unsigned Number = 1; Number <= 20; ++Number)
     start(Number, {addressOf(1)});
@@ -33,7 +33,7 @@
 
 namespace {
 
-/// Ninety balancers in five zones, as on a site of hundreds of VMs.
+/// Ninety balancers in five zones, as on a site with hundreds of VMs.
 struct large_site : directory_cluster {
   static constexpr unsigned Count = 90;
   static constexpr unsigned Zones = 5;
@@ -45,8 +45,7 @@
             "zone-" + std::to_string(Number % Zones));
   }
 
-  /// The share of looks within \p Time at which a balancer was sure of what it
-  /// knows.
+  /// The share of checks within \p Time at which a balancer's data was current.
   double currentShareFor(duration Time) {
     std::size_t Current = 0;
     std::size_t Checks = 0;
@@ -66,8 +65,8 @@
 } // namespace
 
 TEST_CASE_FIXTURE(large_site, "calls do not grow with balancers") {
-  // Each balancer that finds its peers' news too old watches by itself. At
-  // ninety that was most of what the whole site asked of the store.
+  // A balancer whose data from peers is too old watches the store itself. With
+  // ninety balancers that used to be most of the site's calls to the store.
   startAll();
   pass(10s);
   const std::uint64_t Before = Store.Calls;
@@ -77,10 +76,10 @@
   CHECK(Store.Calls - Before < 10 * 12);
 }
 
-TEST_CASE_FIXTURE(large_site, "first balancers that are refused are replaced") {
-  // The store refuses the very balancers that watch it for all. Were they
-  // waited for, every other one would find its knowledge too old and watch by
-  // itself.
+TEST_CASE_FIXTURE(large_site, "watchers that the store refuses are replaced") {
+  // The store refuses exactly the balancers that watch it for all. If they were
+  // not replaced, the data of all others would become too old and each of them
+  // would watch the store itself.
   startAll();
   pass(10s);
   for (unsigned Number = 1; Number <= 3; ++Number)
@@ -90,13 +89,14 @@
   const double Current = currentShareFor(10s);
 
   CHECK(Current > 0.95);
-  // As on a calm day, and the tries of those three.
+  // As in normal operation, plus the retries of those three.
   CHECK(Store.Calls - Before < 10 * 12 + 10 * 6 * 2);
 }
 
 TEST_CASE_FIXTURE(large_site, "an outage of the store costs few calls") {
-  // Every call is paid for, also one that is refused. The first balancers try
-  // on behalf of all, and the others are told when one gets through.
+  // Every call is charged for, including refused ones. The first balancers
+  // retry on behalf of all, and the others learn from them that the store has
+  // recovered.
   startAll();
   pass(10s);
   Store.Down = true;
@@ -113,10 +113,10 @@
   CHECK(currentShareFor(1s) > 0.95);
 }
 
-TEST_CASE_FIXTURE(large_site, "a site that starts asks little") {
-  // All balancers start within 0.3 s, agents announce two hundred targets
-  // meanwhile, and nobody has heard a peer yet. Each piece of news answers
-  // every watch.
+TEST_CASE_FIXTURE(large_site, "a starting site makes few calls") {
+  // All balancers start within 0.3 s, agents register two hundred targets
+  // meanwhile, and no balancer has received a message from a peer yet. Each
+  // change ends every pending watch.
   startAll();
   for (int Target = 0; Target < 200; ++Target) {
     addTarget("number-" + std::to_string(Target));
@@ -124,13 +124,14 @@
   }
   pass(3s);
 
-  // Two lists, its own entry, and two calls more each.
+  // Two lists, the write of its own entry, and two more calls per balancer.
   CHECK(Store.Calls < 5 * Count);
   for (auto &[Number, Balancer] : Balancers)
     CHECK(Balancer.Directory->targets().size() == 200);
 }
 
-TEST_CASE_FIXTURE(directory_cluster, "a new target is soon known to all") {
+TEST_CASE_FIXTURE(directory_cluster,
+                  "a new target is known to all balancers within a second") {
   configure(1, {"ledger"});
   for (unsigned Number = 1; Number <= 20; ++Number)
     start(Number, {addressOf(1)});
@@ -144,8 +145,8 @@
 
 TEST_CASE_FIXTURE(directory_cluster,
                   "many targets at once reach all by greetings") {
-  // A site of two hundred targets starts. Few balancers watch; the others must
-  // not copy everything from them again and again.
+  // A site of two hundred targets starts. Few balancers watch the store; the
+  // others must not copy the complete list from them again and again.
   configure(1, {"ledger"});
   for (unsigned Number = 1; Number <= 8; ++Number)
     start(Number, {addressOf(1)});
@@ -160,8 +161,9 @@
   CHECK(Copies == 0);
 }
 
-TEST_CASE_FIXTURE(directory_cluster, "a site that starts copies nothing") {
-  // All balancers start at once; each is about to get the store's own list.
+TEST_CASE_FIXTURE(directory_cluster,
+                  "a starting site copies no lists from peers") {
+  // All balancers start at once; each will soon receive the store's own list.
   configure(1, {"ledger"});
   addTarget("one");
   for (unsigned Number = 1; Number <= 8; ++Number)
--- a/test/directory/many_routes_test.cpp
+++ b/test/directory/many_routes_test.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 constexpr std::size_t ManyRoutes = 4200;
-/// A narrow link (10 Mbit/s) carries so much in 50 ms.
+/// The amount of data that a slow link (10 Mbit/s) transfers in 50 ms.
 constexpr std::size_t MaxBytes = 64 * 1024;
 
-/// {"version": 3, "count": 2}: so many routes on successive addresses, spelled
-/// out to the size that a site's own configuration has.
+/// A configuration with \p Count routes on successive addresses, as verbose as
+/// a site's own configuration.
 std::string bodyOf(std::uint64_t Version, std::size_t Count) {
   nlohmann::json Routes = nlohmann::json::array();
   for (std::size_t I = 0; I < Count; ++I)
@@ -45,15 +45,15 @@
   return Table;
 }
 
-/// One balancer that knows a large configuration and does with each change what
-/// its process does.
+/// One balancer with a large configuration that processes changes as its
+/// process does.
 class many_routes {
 public:
   timer_service Timers;
   fake_platform Store{Timers};
   store_faults Faults;
   std::unique_ptr<directory> Directory;
-  /// Routes that were looked at, by kind of work.
+  /// Items processed, by kind of work.
   std::map<turn_kind, std::size_t> ItemsByWork;
 
   many_routes() {
@@ -102,11 +102,12 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(many_routes, "targets that join cost no look at the routes") {
-  // Targets are replaced one after the other, several a second, on a site with
-  // thousands of routes. If every target makes balancers go through all routes,
-  // those with a small share of a core do nothing else: callers' packets wait,
-  // and so does the next configuration.
+TEST_CASE_FIXTURE(many_routes,
+                  "new targets do not cause any work on the routes") {
+  // Targets are replaced one after the other, several per second, on a site
+  // with thousands of routes. If every target change made balancers process all
+  // routes, those with a small share of a core would do nothing else: callers'
+  // packets and the next configuration would be delayed.
   for (unsigned Number = 0; Number < 10; ++Number) {
     addTarget(Number);
     pass(500ms);
@@ -117,10 +118,11 @@
   CHECK(ItemsByWork[turn_kind::CompareRecord] == 0);
 }
 
-TEST_CASE_FIXTURE(many_routes, "a peer copies many routes in little") {
+TEST_CASE_FIXTURE(many_routes,
+                  "many routes are copied between peers in few bytes") {
   // All but two balancers of a zone copy a new configuration from those two. In
-  // the site's own spelling it fills a narrow link for a second, and more when
-  // several copy at once.
+  // the site's own format it would saturate a slow link for a second, and
+  // longer if several balancers copy at once.
   const auto Copy = Directory->serve("config");
 
   REQUIRE(Copy);
@@ -128,8 +130,9 @@
 }
 
 TEST_CASE_FIXTURE(many_routes, "the record of many routes is small") {
-  // Every balancer gets the record of services when a route is added. A record
-  // that spells out each address takes as long to come as the configuration.
+  // Every balancer receives the record of services when a route is added. A
+  // record with all addresses spelled out would take as long to transfer as the
+  // configuration.
   const platform_object Record = Store.get("marjoramrail", "routes");
 
   REQUIRE(Record.Version != 0);
--- a/test/directory/object_feed_test.cpp
+++ b/test/directory/object_feed_test.cpp
@@ -42,10 +42,11 @@
   CHECK(Updates.back().Deleted);
 }
 
-TEST_CASE_FIXTURE(feed_fixture, "a lost history is listed anew") {
-  // The store forgets its history while an object is deleted. A feed that went
-  // on watching would keep the object for ever, and flows would be sent to a
-  // host that has gone.
+TEST_CASE_FIXTURE(feed_fixture,
+                  "a feed lists all objects again after the history was lost") {
+  // The store drops its history while an object is deleted. A feed that only
+  // continued its watch would keep the object forever, and flows would be sent
+  // to a host that no longer exists.
   Store.put("site", "a", "1");
   Store.put("site", "b", "1");
   Feed.start();
@@ -58,7 +59,7 @@
   CHECK(Feed.objects().contains("b"));
 }
 
-TEST_CASE_FIXTURE(feed_fixture, "knowledge is dated by what the store said") {
+TEST_CASE_FIXTURE(feed_fixture, "asOf follows the responses of the store") {
   Feed.start();
   pass(10ms);
   const auto Listed = Feed.asOf();
@@ -70,9 +71,11 @@
   CHECK(Timers.now() - *Watched <= 600ms);
 }
 
-TEST_CASE_FIXTURE(feed_fixture, "a silent watch dates nothing") {
-  // A connection goes silent; everything seems calm. Whoever took the calm for
-  // knowledge would call flows of new targets lost.
+TEST_CASE_FIXTURE(feed_fixture,
+                  "a watch without a response does not advance asOf") {
+  // A connection stops responding, which looks like a time without changes. If
+  // that counted as confirmation, flows of new targets would be treated as
+  // lost.
   Feed.start();
   pass(10ms);
   Faults.WatchesHang = true;
@@ -81,7 +84,8 @@
   CHECK(Timers.now() - *Feed.asOf() >= 3s);
 }
 
-TEST_CASE_FIXTURE(feed_fixture, "a peer's word counts if nothing is missing") {
+TEST_CASE_FIXTURE(feed_fixture,
+                  "a peer confirms asOf only if no change is missing") {
   Store.put("site", "a", "1");
   Feed.start();
   pass(10ms);
@@ -95,9 +99,10 @@
   CHECK(*Feed.asOf() == Moment);
 }
 
-TEST_CASE_FIXTURE(feed_fixture, "news of a peer never go back") {
-  // Two peers answer in the wrong order: the older answer must not bring back
-  // an object that has been deleted since.
+TEST_CASE_FIXTURE(feed_fixture,
+                  "changes from a peer do not restore older versions") {
+  // Two peers answer in the wrong order: the older answer must not restore an
+  // object that has been deleted since.
   Store.put("site", "a", "1");
   Feed.start();
   pass(100ms);
@@ -111,7 +116,7 @@
   CHECK(Feed.version() > Before);
 }
 
-TEST_CASE_FIXTURE(feed_fixture, "changes since a version name deletions too") {
+TEST_CASE_FIXTURE(feed_fixture, "changesSince includes deletions") {
   Store.put("site", "a", "1");
   Store.put("site", "b", "1");
   Feed.start();
@@ -128,10 +133,11 @@
   CHECK((*Changes)[1].Deleted);
 }
 
-TEST_CASE_FIXTURE(feed_fixture,
-                  "deletions of before the first list are not claimed") {
-  // What went before the list is unknown here. A peer that took "no changes"
-  // for an answer would keep a host that has gone.
+TEST_CASE_FIXTURE(
+    feed_fixture,
+    "changesSince has no result for versions before the first list") {
+  // Deletions before the first list are unknown. A peer that got an empty list
+  // of changes would keep a host that no longer exists.
   Store.put("site", "a", "1");
   Store.erase("site", "a");
   Feed.start();
@@ -141,7 +147,8 @@
   CHECK(Feed.changesSince(Feed.version()).has_value());
 }
 
-TEST_CASE_FIXTURE(feed_fixture, "a feed that hears peers does not watch") {
+TEST_CASE_FIXTURE(feed_fixture,
+                  "a feed with current data from peers does not watch") {
   Wait.reset();
   Feed.start();
   pass(3s);
@@ -150,7 +157,7 @@
   CHECK(Faults.Watches == 0);
 }
 
-TEST_CASE_FIXTURE(feed_fixture, "changes with a gap are not taken") {
+TEST_CASE_FIXTURE(feed_fixture, "changes with a gap before them are ignored") {
   Store.put("site", "a", "1");
   Feed.start();
   pass(100ms);
@@ -165,9 +172,9 @@
 }
 
 TEST_CASE_FIXTURE(feed_fixture,
-                  "a feed with an old list leaves the store time") {
-  // It serves its callers meanwhile; thousands like it would keep a store busy
-  // that has trouble enough.
+                  "a feed with a list limits its retries to the store") {
+  // A balancer with an old list still forwards packets; thousands of balancers
+  // that retry quickly would overload a store that is failing already.
   Feed.start();
   pass(100ms);
   Store.Down = true;
--- a/test/directory/peer_selector_test.cpp
+++ b/test/directory/peer_selector_test.cpp
@@ -16,9 +16,9 @@
   return Selector;
 }
 
-TEST_CASE("no balancer is greeted by a whole large fleet") {
-  // Three balancers that watch for thousands would have nothing else to do than
-  // to answer them.
+TEST_CASE("no balancer is contacted by all balancers of a large fleet") {
+  // Three watchers for thousands of balancers would be fully occupied with
+  // replies.
   const instant Now(10s);
   constexpr std::uint32_t Fleet = 2000;
   std::map<endpoint, int> Greeted;
@@ -35,7 +35,8 @@
   CHECK(Most <= 15);
 }
 
-TEST_CASE("a silent peer is asked now and then, and given up in the end") {
+TEST_CASE(
+    "an unresponsive peer is contacted rarely and finally counts as dead") {
   const instant Start(10s);
   peer_selector Selector = ringOf(1, 5, Start);
   Selector.add(balancer(9));
@@ -55,7 +56,7 @@
   CHECK_FALSE(Selector.isDead(balancer(2), Now));
 }
 
-TEST_CASE("ranks count live peers below") {
+TEST_CASE("the rank counts live peers with lower addresses") {
   const instant Now(10s);
   const peer_selector Selector = ringOf(3, 5, Now);
 
@@ -64,9 +65,9 @@
   CHECK(Selector.rank(Now + 10s) == 0);
 }
 
-TEST_CASE("who takes itself for the first asks those ahead") {
-  // After a start a balancer has heard three of ninety. Until it meets one that
-  // goes before it by chance, it would do the others' duties.
+TEST_CASE("a balancer that ranks first contacts peers of lower address") {
+  // After a start a balancer has received messages from three of ninety. Until
+  // it meets one of lower rank by chance, it would do the tasks of others.
   const instant Now(10s);
   peer_selector Selector(balancer(50), 1, 50);
   for (std::uint32_t Number = 1; Number <= 90; ++Number)
@@ -82,8 +83,8 @@
   CHECK(Rounds <= 2);
 }
 
-TEST_CASE("one ahead that is dead is asked twice only") {
-  // VMs that were replaced stay in the list for a while.
+TEST_CASE("a dead peer of lower rank is contacted only twice") {
+  // VMs that were replaced stay in the store's list for a while.
   instant Now(10s);
   peer_selector Selector(balancer(50), 1, 50);
   Selector.add(balancer(1), 1);
@@ -94,12 +95,12 @@
     for (const endpoint &Peer : Selector.choosePeers(Now))
       Asked += Peer == balancer(1);
 
-  // Two turns of silent peers come in ten rounds as well.
+  // Ten rounds also contain two messages to unresponsive peers.
   CHECK(Asked >= peer_selector::MaxTriesAhead);
   CHECK(Asked <= peer_selector::MaxTriesAhead + 2);
 }
 
-TEST_CASE("who needs news asks a watcher and the first of its zone") {
+TEST_CASE("a balancer with old data contacts a watcher and a zone watcher") {
   const instant Now(10s);
   peer_selector Selector(balancer(80), 2, 80);
   for (std::uint32_t Number = 1; Number <= 90; ++Number)
--- a/test/directory/route_activation_test.cpp
+++ b/test/directory/route_activation_test.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(activation_fixture, "what is on record is used at once") {
+TEST_CASE_FIXTURE(activation_fixture, "services on record are used at once") {
   Activation.take(tableOf(1, {"ledger"}), Record, Now);
 
   CHECK(sharesNow() == names{"ledger"});
@@ -43,9 +43,10 @@
 }
 
 TEST_CASE_FIXTURE(activation_fixture,
-                  "a new service waits until all can know it") {
-  // A route moves. A balancer that sent flows to the new service at once would
-  // see another one, which is still behind, have them reset as nobody's.
+                  "a new service gets flows only after SettleTime") {
+  // A route moves to another service. If a balancer sent flows to the new
+  // service at once, another balancer that still has the old configuration
+  // would reset them because it finds no owner.
   Activation.take(tableOf(1, {"ledger"}), Record, Now);
   Activation.take(tableOf(2, {"archive"}), Record, Now);
 
@@ -57,7 +58,7 @@
 }
 
 TEST_CASE_FIXTURE(activation_fixture,
-                  "a former service still holds its flows") {
+                  "a previous service still owns its flows") {
   Activation.take(tableOf(1, {"ledger"}), Record, Now);
   Activation.take(tableOf(2, {"archive"}), Record, Now);
   Activation.advance(Now + SettleTime);
@@ -66,7 +67,7 @@
 }
 
 TEST_CASE_FIXTURE(activation_fixture, "a version never goes back") {
-  // Balancers hear versions by the store and by peers, in any order.
+  // Balancers receive versions from the store and from peers, in any order.
   Activation.take(tableOf(5, {"ledger"}), Record, Now);
 
   CHECK_FALSE(Activation.take(tableOf(4, {"archive"}), Record, Now));
@@ -77,7 +78,7 @@
 
 TEST_CASE_FIXTURE(activation_fixture,
                   "changes in quick succession take effect") {
-  // Configurations come every 80 ms for seconds. If each started the wait anew,
+  // Configurations arrive every 80 ms for seconds. If each restarted the wait,
   // none would take effect before the last one.
   Activation.take(tableOf(1, {"ledger"}), Record, Now);
   for (std::uint64_t Version = 2; Version < 22; ++Version)
@@ -90,7 +91,8 @@
   CHECK(Activation.activeVersion() == 21);
 }
 
-TEST_CASE_FIXTURE(activation_fixture, "taking away and weighing need no wait") {
+TEST_CASE_FIXTURE(activation_fixture,
+                  "removals and changes of weights take effect at once") {
   Activation.take(tableOf(1, {"ledger"}), Record, Now);
   route_table Weighed = tableOf(2, {"ledger"});
   Weighed.Routes[0].Shares[0].Weight = 7;
@@ -104,7 +106,7 @@
 }
 
 TEST_CASE_FIXTURE(activation_fixture,
-                  "after a start, what is not on record waits") {
+                  "after a start, services that are not on record wait") {
   Activation.take(tableOf(7, {"ledger", "archive"}), Record, Now);
 
   CHECK(sharesNow() == names{"ledger"});
@@ -114,7 +116,7 @@
 
 namespace {
 
-/// Some routes of a few addresses and services, by chance.
+/// A random table of a few addresses and services.
 route_table drawTable(std::uint64_t Version, std::mt19937 &Random) {
   route_table Table;
   Table.Version = Version;
@@ -133,8 +135,10 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(activation_fixture, "only rules that differ are told") {
-  // One of many routes moves. Whoever takes the rules pays for that one alone.
+TEST_CASE_FIXTURE(activation_fixture,
+                  "changes contains only rules that differ") {
+  // One of many routes changes. The receiver of the changes only has to process
+  // that route.
   route_table Table = tableOf(1, {"ledger"});
   Table.Routes.push_back({{0x0a000002, 443}, {share("ledger")}});
   Activation.take(Table, Record, Now);
@@ -153,8 +157,7 @@
   CHECK(Changes.Removed.empty());
 }
 
-TEST_CASE_FIXTURE(activation_fixture,
-                  "a route that is taken away is told gone") {
+TEST_CASE_FIXTURE(activation_fixture, "changes contains removed routes") {
   Activation.take(tableOf(1, {"ledger"}), Record, Now);
   Activation.changes(Record);
   route_table Empty;
@@ -168,8 +171,8 @@
 }
 
 TEST_CASE_FIXTURE(activation_fixture, "changes add up to all rules") {
-  // Whoever applies the changes one after the other has to arrive at what the
-  // rules are, whatever the order of versions, waits and records.
+  // A receiver that applies all changes in sequence must have the same rules as
+  // rules() returns, whatever the order of versions, waits and records.
   std::mt19937 Random(5);
   std::map<endpoint, route_rule> Applied;
   for (std::uint64_t Version = 1; Version < 2000; ++Version) {
--- a/test/directory/route_loader_test.cpp
+++ b/test/directory/route_loader_test.cpp
@@ -10,7 +10,8 @@
 
 constexpr std::size_t Parts = 3;
 
-/// Configurations that take some turns to read; "bad" fails in its last one.
+/// A loader of configurations that are read in several steps; "bad" fails in
+/// the last one.
 struct loader_fixture {
   std::deque<std::function<void()>> Turns;
   std::vector<std::uint64_t> Tables;
@@ -74,9 +75,9 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(loader_fixture, "a table is given on when it is whole") {
-  // Half a table in force would reset the flows of the routes in its other
-  // half.
+TEST_CASE_FIXTURE(loader_fixture, "only a complete table is passed on") {
+  // If half a table took effect, the flows of the routes in its other half
+  // would be reset.
   take(1);
   for (std::size_t Part = 1; Part < Parts; ++Part) {
     CHECK(Tables.empty());
@@ -93,9 +94,9 @@
 }
 
 TEST_CASE_FIXTURE(loader_fixture,
-                  "changes that follow each other do not hold one up") {
-  // Configurations come faster than one is read. Were each to end the reading
-  // of the one before, none would ever be in force.
+                  "changes in quick succession do not prevent loading") {
+  // Configurations arrive faster than one can be read. If each aborted the
+  // reading of the previous one, none would ever take effect.
   take(1);
   for (std::uint64_t Version = 2; Version < 40; ++Version) {
     turn();
@@ -109,7 +110,8 @@
   CHECK(std::is_sorted(Tables.begin(), Tables.end()));
 }
 
-TEST_CASE_FIXTURE(loader_fixture, "only the newest one waits") {
+TEST_CASE_FIXTURE(loader_fixture,
+                  "only the newest waiting configuration is read") {
   take(1);
   take(2);
   take(3);
@@ -119,7 +121,7 @@
   CHECK(Begun == 2);
 }
 
-TEST_CASE_FIXTURE(loader_fixture, "older news do not wait") {
+TEST_CASE_FIXTURE(loader_fixture, "an older version is ignored") {
   take(5);
   take(4);
   finish();
@@ -127,7 +129,8 @@
   CHECK(Tables == versions{5});
 }
 
-TEST_CASE_FIXTURE(loader_fixture, "what fails in its last part is refused") {
+TEST_CASE_FIXTURE(loader_fixture,
+                  "a configuration that fails in its last part is rejected") {
   take(1, "bad");
   finish();
 
@@ -137,7 +140,8 @@
   CHECK_FALSE(Loader->busy());
 }
 
-TEST_CASE_FIXTURE(loader_fixture, "a good one is read after one that fails") {
+TEST_CASE_FIXTURE(loader_fixture,
+                  "a valid configuration is read after an invalid one") {
   take(1, "bad");
   take(2);
   finish();
@@ -146,7 +150,7 @@
   CHECK(Refused.size() == 1);
 }
 
-TEST_CASE_FIXTURE(loader_fixture, "a process may end in the middle") {
+TEST_CASE_FIXTURE(loader_fixture, "a loader may be destroyed while it reads") {
   take(1);
   turn();
   Loader.reset();
--- a/test/directory/route_record_test.cpp
+++ b/test/directory/route_record_test.cpp
@@ -20,17 +20,18 @@
   CHECK(Written.holds(FirstAddress, "archive"));
 }
 
-TEST_CASE("a record that says all needs no write") {
+TEST_CASE("a complete record needs no write") {
   route_record Record(60s);
   Record.load(R"({"10.0.0.1:443": ["ledger"]})");
 
   CHECK_FALSE(Record.update(tableOf(2, {"ledger"}), instant()));
 }
 
-TEST_CASE("a former service stays for the life of a flow") {
-  // A route moved; flows of before live for up to a minute at the former
-  // service. Dropped earlier, a balancer that starts then would not ask there,
-  // and a broker's open session would starve.
+TEST_CASE("a previous service stays on record for the lifetime of a flow") {
+  // A route moved; earlier flows exist at the previous service for up to a
+  // minute. If the service were dropped from the record earlier, a balancer
+  // that starts then would not look for owners there, and a broker's open
+  // session would be lost.
   route_record Record(60s);
   Record.load(R"({"10.0.0.1:443": ["archive", "ledger"]})");
   const route_table Moved = tableOf(2, {"archive"});
@@ -42,7 +43,7 @@
   CHECK(Body->find("ledger") == std::string::npos);
 }
 
-TEST_CASE("a service that comes back is not former any more") {
+TEST_CASE("a service that is configured again is not removed") {
   route_record Record(60s);
   Record.load(R"({"10.0.0.1:443": ["archive", "ledger"]})");
   Record.update(tableOf(2, {"archive"}), instant(1s));
@@ -51,7 +52,7 @@
   CHECK_FALSE(Record.update(tableOf(4, {"archive"}), instant(72s)));
 }
 
-TEST_CASE("a record that cannot be read is written anew") {
+TEST_CASE("a malformed record is rewritten") {
   route_record Record(60s);
   for (const char *Broken : {"", "[]", "7", R"({"a": 1})", R"({"a": [1]})"}) {
     Record.load(Broken);
--- a/test/directory/route_table_codec_test.cpp
+++ b/test/directory/route_table_codec_test.cpp
@@ -40,7 +40,7 @@
 
 } // namespace
 
-TEST_CASE("a configuration comes back from a peer as it was") {
+TEST_CASE("a configuration is encoded and decoded unchanged") {
   const route_table Table = someTable();
   const std::string Body = encodeRouteTable(Table);
 
@@ -53,7 +53,7 @@
   CHECK(*Decoded == Table);
 }
 
-TEST_CASE("a configuration without routes comes back") {
+TEST_CASE("a configuration without routes is encoded and decoded unchanged") {
   route_table Table;
   Table.Version = 3;
 
@@ -63,12 +63,12 @@
   CHECK(*Decoded == Table);
 }
 
-TEST_CASE("the site's own form is told from that of peers") {
+TEST_CASE("the site's own format is distinguished from the compact one") {
   CHECK_FALSE(isEncodedRouteTable(R"({"version": 3, "routes": []})"));
   CHECK_FALSE(isEncodedRouteTable(""));
 }
 
-TEST_CASE("what a peer mangles is refused") {
+TEST_CASE("malformed configurations are rejected") {
   for (const char *Broken :
        {"", "[]", R"({"marjoramrail_routes":2})",
         R"({"marjoramrail_routes":1})",
@@ -80,7 +80,7 @@
     CHECK_MESSAGE(isRefused(Broken), Broken);
 }
 
-TEST_CASE("no mangled configuration brings a balancer down") {
+TEST_CASE("decoding mutated configurations does not crash") {
   mutated_json Bodies(encodeRouteTable(someTable()), /*Seed=*/23);
   int Refused = 0;
   for (int I = 0; I < 20000; ++I)
--- a/test/directory/sync_message_test.cpp
+++ b/test/directory/sync_message_test.cpp
@@ -23,7 +23,7 @@
   return Message;
 }
 
-TEST_CASE("a greeting keeps what it says") {
+TEST_CASE("a sync message is decoded unchanged") {
   const auto Back = decodeSyncMessage(encodeSyncMessage(sample()));
 
   REQUIRE(Back);
@@ -38,9 +38,9 @@
   CHECK(Back->Changes->front().Key.Name == "target.one");
 }
 
-TEST_CASE("changes that do not fit follow later") {
-  // All agents of a site start; a balancer that copied everything for each
-  // batch would move megabytes between zones.
+TEST_CASE("changes that do not fit are left for the next message") {
+  // All agents of a site start at once. If a balancer copied the complete list
+  // for each batch of changes, megabytes would cross the links between zones.
   sync_message Message = sample();
   Message.Changes->clear();
   for (std::uint64_t Version = 60; Version > 0; --Version) {
@@ -61,9 +61,10 @@
   CHECK(Message.ChangesUpTo == Message.Changes->back().Version);
 }
 
-TEST_CASE("changes of one version are kept together or left out") {
-  // Deletions that a list has shown bear the list's version. Half of them taken
-  // for all would keep the others for ever.
+TEST_CASE("changes of one version are sent together or not at all") {
+  // Deletions that a complete list has revealed carry the version of the list.
+  // If a part of them counted as complete, the other deleted objects would be
+  // kept forever.
   sync_message Message = sample();
   Message.Changes->clear();
   for (int Index = 0; Index < 200; ++Index) {
@@ -78,7 +79,7 @@
   CHECK_FALSE(Message.Changes);
 }
 
-TEST_CASE("mutated greetings are refused or read, never worse") {
+TEST_CASE("decoding mutated sync messages does not crash") {
   std::minstd_rand Random(7);
   const std::vector<std::uint8_t> Good = encodeSyncMessage(sample());
   for (int Round = 0; Round < 20000; ++Round) {
--- a/test/directory/target_registrar_test.cpp
+++ b/test/directory/target_registrar_test.cpp
@@ -40,7 +40,8 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(registrar_fixture, "an entry is written and told") {
+TEST_CASE_FIXTURE(registrar_fixture,
+                  "an entry is written and OnStored is called") {
   Registrar.set(Entry);
   pass(100ms);
 
@@ -49,9 +50,10 @@
   CHECK(Registrar.settled());
 }
 
-TEST_CASE_FIXTURE(registrar_fixture, "an entry of before is recognised") {
-  // An agent restarts: its target's entry is known to all, and the target can
-  // get new flows at once.
+TEST_CASE_FIXTURE(registrar_fixture,
+                  "an entry of a previous process is found") {
+  // An agent restarts. Its target's entry is known to all processes, so that
+  // the target can get new flows at once.
   Store.put("site", Entry.Name, encodeTarget(Entry));
   Registrar.readExisting(Entry.Name);
   pass(100ms);
@@ -61,9 +63,10 @@
   CHECK(Store.Writes == 0);
 }
 
-TEST_CASE_FIXTURE(registrar_fixture, "a lost answer is read back") {
-  // The write takes effect and its answer is lost. Written blindly again, it
-  // could overtake a newer state.
+TEST_CASE_FIXTURE(registrar_fixture,
+                  "the entry is read back after a lost answer") {
+  // The write takes effect but its answer is lost. A blind repetition could
+  // overwrite a newer state.
   Store.LoseAnswers = 1;
   Registrar.set(Entry);
   pass(2s);
@@ -73,7 +76,8 @@
   CHECK(Store.Writes == 1);
 }
 
-TEST_CASE_FIXTURE(registrar_fixture, "the newest state wins over an outage") {
+TEST_CASE_FIXTURE(registrar_fixture,
+                  "the newest state is written after an outage") {
   Registrar.set(Entry);
   pass(100ms);
   Store.Down = true;
@@ -87,7 +91,7 @@
   CHECK(held()->Draining);
 }
 
-TEST_CASE_FIXTURE(registrar_fixture, "a withdrawn entry goes") {
+TEST_CASE_FIXTURE(registrar_fixture, "a withdrawn entry is removed") {
   Registrar.set(Entry);
   pass(100ms);
   Registrar.withdraw();
@@ -97,9 +101,11 @@
   CHECK(Registrar.settled());
 }
 
-TEST_CASE_FIXTURE(registrar_fixture, "an entry that was taken out comes back") {
-  // An agent was cut off for longer than flows live, and a balancer took its
-  // entry for that of a dead VM. Back again, its target would idle for ever.
+TEST_CASE_FIXTURE(registrar_fixture,
+                  "an entry that another process removed is written again") {
+  // An agent was cut off for longer than flows live, and a balancer removed its
+  // entry as that of a dead VM. Without a rewrite the target would stay idle
+  // forever.
   Registrar.set(Entry);
   pass(100ms);
   Missing = 0;
@@ -113,9 +119,9 @@
 }
 
 TEST_CASE_FIXTURE(registrar_fixture,
-                  "peers are asked where the store refuses") {
+                  "peers are asked to register a target if the store refuses") {
   // The store refuses some VMs and serves the others. A target that has just
-  // started beside a refused agent would idle until that is over.
+  // started next to a refused agent would stay idle until the store serves it.
   Store.Down = true;
   Registrar.set(Entry);
   pass(2s);
@@ -124,9 +130,10 @@
   CHECK(Asked.front() == Entry);
 }
 
-TEST_CASE_FIXTURE(registrar_fixture, "what a peer wrote counts as new") {
-  // A balancer has written the entry. When the store answers this agent again,
-  // others may have heard of the entry only a moment ago.
+TEST_CASE_FIXTURE(registrar_fixture,
+                  "an entry written by a peer counts as new") {
+  // A balancer has written the entry. When the store serves this agent again,
+  // other processes may have learned of the entry only a moment ago.
   Store.Down = true;
   Registrar.set(Entry);
   pass(2s);
@@ -141,9 +148,11 @@
   CHECK(held() == Entry);
 }
 
-TEST_CASE_FIXTURE(registrar_fixture, "an outage makes no known target new") {
-  // All machines lose power while the store is silent. When it is back, every
-  // target is one that all know; waiting would close them all for longer.
+TEST_CASE_FIXTURE(registrar_fixture,
+                  "a known target does not count as new after an outage") {
+  // All machines lose power while the store is not responding. When it is back,
+  // every target is already known to all processes; another wait would only
+  // keep all targets without new flows for longer.
   Store.put("site", Entry.Name, encodeTarget(Entry));
   Store.Down = true;
   Registrar.set(Entry);
@@ -155,7 +164,8 @@
   CHECK(Stored.front() == true);
 }
 
-TEST_CASE_FIXTURE(registrar_fixture, "nobody is asked to announce a leaver") {
+TEST_CASE_FIXTURE(registrar_fixture,
+                  "no peer is asked to register a target that is leaving") {
   Store.Down = true;
   Entry.Draining = true;
   Registrar.set(Entry);
@@ -166,7 +176,7 @@
   CHECK(Asked.empty());
 }
 
-TEST_CASE("an announcement survives its way") {
+TEST_CASE("a registration request is decoded unchanged") {
   const target_entry Entry{"target.one", "ledger", {0x0a000101, 700},
                            "brugge",     4,        false};
   const auto Bytes = encodeRegistrationRequest(Entry);
@@ -176,7 +186,7 @@
   CHECK(*Back == Entry);
 }
 
-TEST_CASE("an announcement that cannot be read names no target") {
+TEST_CASE("a truncated registration request is rejected") {
   const target_entry Entry{"target.one", "ledger", {0x0a000101, 700},
                            "brugge",     4,        false};
   auto Bytes = encodeRegistrationRequest(Entry);
@@ -189,7 +199,7 @@
   }
 }
 
-TEST_CASE("an entry that cannot be read is refused") {
+TEST_CASE("a malformed target entry is rejected") {
   for (const char *Broken :
        {"", "[]", R"({"service": 1})", R"({"service": "a"})",
         R"({"service":"a","agent":"x","zone":"z"})",
@@ -200,10 +210,11 @@
           }).has_value());
 }
 
-TEST_CASE_FIXTURE(registrar_fixture, "it is told that an entry was taken out") {
-  // A VM was cut off for long, counted as dead, and comes back as a new
-  // process. A balancer that is still cut off names its old entry; whoever took
-  // that for the store's word would give the target flows that others reset.
+TEST_CASE_FIXTURE(registrar_fixture,
+                  "knownMissing reports that an entry was removed") {
+  // A VM was cut off for long, was marked dead, and returns with a new process.
+  // A balancer that is still cut off reports the old entry as existing; an
+  // agent that relied on it would admit new flows that other balancers reset.
   Registrar.readExisting(Entry.Name);
   CHECK_FALSE(Registrar.knownMissing());
   pass(100ms);
@@ -216,7 +227,8 @@
   CHECK_FALSE(Registrar.knownMissing());
 }
 
-TEST_CASE_FIXTURE(registrar_fixture, "an entry of before is not missing") {
+TEST_CASE_FIXTURE(registrar_fixture,
+                  "an entry of a previous process is not missing") {
   Store.put("site", Entry.Name, encodeTarget(Entry));
   Registrar.readExisting(Entry.Name);
   pass(100ms);
--- a/test/directory/target_reports_test.cpp
+++ b/test/directory/target_reports_test.cpp
@@ -16,7 +16,7 @@
   return Report;
 }
 
-TEST_CASE("a target gets new flows once it has said that it is ready") {
+TEST_CASE("a target gets new flows after its first report") {
   target_reports Reports("ledger");
 
   CHECK_FALSE(Reports.acceptsNewFlows());
@@ -25,9 +25,10 @@
   CHECK(Reports.acceptsNewFlows());
 }
 
-TEST_CASE("a draining target gets none, whatever comes late") {
-  // A report that a partition held up arrives after the target has said that it
-  // drains. Taken at its word it would start new flows to a leaving target.
+TEST_CASE("a draining target gets no new flows after a stale report") {
+  // A report that was delayed by a network partition arrives after the target
+  // has reported that it is draining. If it were accepted, new flows would go
+  // to a leaving target.
   target_reports Reports("ledger");
   Reports.take(report("a", 100, 4), instant());
   Reports.take(report("a", 100, 6, /*Draining=*/true), instant());
@@ -37,7 +38,7 @@
   CHECK_FALSE(Reports.acceptsNewFlows());
 }
 
-TEST_CASE("a late word of an earlier run does not stop the next one") {
+TEST_CASE("a stale report of an earlier run does not affect the next run") {
   target_reports Reports("ledger");
   Reports.take(report("a", 100, 9), instant());
   Reports.take(report("b", 200, 1), instant());
@@ -48,7 +49,7 @@
   CHECK(Reports.acceptsNewFlows());
 }
 
-TEST_CASE("a run that starts again under its name begins anew") {
+TEST_CASE("a new run with the same id replaces the previous one") {
   target_reports Reports("ledger");
   Reports.take(report("a", 100, 9, true), instant());
 
@@ -57,7 +58,7 @@
   CHECK(Reports.acceptsNewFlows());
 }
 
-TEST_CASE("a target of another service is not this agent's") {
+TEST_CASE("a report for another service is rejected") {
   target_reports Reports("archive");
 
   CHECK(Reports.take(report("a", 100, 1), instant()) ==
@@ -65,7 +66,7 @@
   CHECK_FALSE(Reports.acceptsNewFlows());
 }
 
-TEST_CASE("what the store says counts until the target speaks") {
+TEST_CASE("the state from the store is used until the first report") {
   target_reports Reports("ledger");
   Reports.restore(/*Draining=*/false, 4, instant());
   CHECK(Reports.acceptsNewFlows());
@@ -76,14 +77,14 @@
   CHECK_FALSE(Reports.acceptsNewFlows());
 }
 
-TEST_CASE("a restarted agent gives a draining target nothing") {
+TEST_CASE("a restarted agent sends a draining target no new flows") {
   target_reports Reports("ledger");
   Reports.restore(/*Draining=*/true, 4, instant());
 
   CHECK_FALSE(Reports.acceptsNewFlows());
 }
 
-TEST_CASE("a warm-up ends by itself") {
+TEST_CASE("a warm-up ends without a further report") {
   target_reports Reports("ledger");
   target_report Report = report("a", 100, 1);
   Report.WarmupLeft = 2s;
--- a/test/platform/call_test.cpp
+++ b/test/platform/call_test.cpp
@@ -14,9 +14,9 @@
   return Call;
 }
 
-TEST_CASE("only a change that went out without an answer is unknown") {
-  // A write that never left may be sent again; one that went out may have taken
-  // effect, and sending it again could undo what others wrote meanwhile.
+TEST_CASE("only a change that was sent without a response is unknown") {
+  // A write that was never sent may be repeated. One that was sent may have
+  // taken effect, and a repetition could overwrite what others wrote meanwhile.
   call Read = write();
   Read.Verb = call_verb::Read;
 
@@ -28,13 +28,13 @@
         platform_outcome::Unavailable);
 }
 
-TEST_CASE("an answer that cannot be read leaves a write unknown") {
+TEST_CASE("a write with a malformed response is unknown") {
   CHECK(replyTo(write(), {200, "{", ""}).Outcome == platform_outcome::Unknown);
   CHECK(replyTo(write(), {409, "", ""}).Outcome == platform_outcome::Unknown);
   CHECK(replyTo(write(), {500, "", ""}).Outcome == platform_outcome::Unknown);
 }
 
-TEST_CASE("a refusal carries the time to come back, within reason") {
+TEST_CASE("a refusal contains the retry time, limited to sane values") {
   CHECK(replyTo(write(), {429, "", "3"}).RetryAfter == std::chrono::seconds(3));
   CHECK(replyTo(write(), {503, "", "never"}).RetryAfter ==
         std::chrono::seconds(1));
@@ -42,14 +42,14 @@
         std::chrono::seconds(1));
 }
 
-TEST_CASE("an object survives its JSON form") {
+TEST_CASE("an object is encoded and decoded unchanged") {
   const platform_object Object{
       {"service", "ledger"}, 7, "{\"a\": \"\\u00e9\"}", "test", 3, false};
 
   CHECK(decodeObject(encodeObject(Object)) == Object);
 }
 
-TEST_CASE("faultOf refuses what would change a request's meaning") {
+TEST_CASE("validationError rejects what would change a request's meaning") {
   call Call = write();
   CHECK(validationError(Call).empty());
   Call.Writer = "balancer-1#1764720000";
--- a/test/platform/mutated_answers_test.cpp
+++ b/test/platform/mutated_answers_test.cpp
@@ -7,9 +7,10 @@
 using namespace marjoramrail;
 using namespace marjoramrail::internal;
 
-TEST_CASE("mutated answers never make a write look failed or done") {
-  // A proxy before the platform cuts answers off or mixes them up. A write
-  // whose answer cannot be read may have taken effect: only "unknown" is true.
+TEST_CASE("a write with a mutated response is unknown, not failed or done") {
+  // A proxy in front of the platform truncates or garbles responses. A write
+  // whose response cannot be decoded may have taken effect, so that only
+  // "unknown" is correct.
   const platform_object Object{
       {"service", "ledger"}, 7, "{}", "test", 3, false};
   mutated_json Mutations(encodeObject(Object), 1);
@@ -24,7 +25,7 @@
   }
 }
 
-TEST_CASE("mutated lists are taken whole or not at all") {
+TEST_CASE("mutated lists are decoded completely or not at all") {
   platform_reply List;
   List.StoreVersion = 9;
   List.Objects = {{{"zone", "brugge"}, 7, "{}", "test", 3, false},
--- a/test/timeline/event_budget_test.cpp
+++ b/test/timeline/event_budget_test.cpp
@@ -5,8 +5,9 @@
 using namespace marjoramrail;
 using namespace std::chrono_literals;
 
-TEST_CASE("a flood of one kind is bounded") {
-  // A storm of new flows must not make the log the heaviest work of a small VM.
+TEST_CASE("the rate of events of one kind is limited") {
+  // A flood of new flows must not make logging the most expensive work of a
+  // small VM.
   event_budget Budget;
   std::size_t Taken = 0;
   for (int Ms = 0; Ms < 10'000; ++Ms)
@@ -17,7 +18,7 @@
   CHECK(Taken >= event_budget::CommonPerSecond * 9);
 }
 
-TEST_CASE("failures have room while successes flood") {
+TEST_CASE("a flood of successes does not displace failures") {
   event_budget Budget;
   for (int I = 0; I < 10'000; ++I)
     Budget.take(event_kind::RequestSeen, instant(1s));
@@ -26,7 +27,7 @@
   CHECK(Budget.take(event_kind::RequestFailed, instant(1s)));
 }
 
-TEST_CASE("what was left out is told, once a second") {
+TEST_CASE("the number of dropped events is reported once a second") {
   event_budget Budget;
   for (int I = 0; I < 100; ++I)
     Budget.take(event_kind::RequestSeen, instant(5s));
@@ -37,7 +38,7 @@
   CHECK(Budget.leftOut(event_kind::RequestSeen, instant(6s)) == 1);
 }
 
-TEST_CASE("figures survive their JSON line") {
+TEST_CASE("numeric fields are encoded and decoded unchanged") {
   timeline_event Event;
   Event.What = event_kind::RequestSlow;
   Event.Request = "ab12";
--- a/test/timeline/mutated_lines_test.cpp
+++ b/test/timeline/mutated_lines_test.cpp
@@ -5,8 +5,9 @@
 
 using namespace marjoramrail;
 
-TEST_CASE("mutated event lines are taken or refused with a reason") {
-  // A process is killed while it writes a line, or two processes share a log.
+TEST_CASE("mutated event lines are decoded or rejected with a reason") {
+  // A process is killed while it writes a line, or two processes write to one
+  // log.
   mutated_json Mutations(
       R"({"clock":7,"wall_ms":1700000000000,"process":"balancer-1",)"
       R"("event":"view-taken","service":"ledger","why":"view 7"})",
--- a/test/timeline/timeline_test.cpp
+++ b/test/timeline/timeline_test.cpp
@@ -12,7 +12,7 @@
   return Event;
 }
 
-TEST_CASE("an event survives its JSON line") {
+TEST_CASE("an event is encoded and decoded unchanged") {
   std::string Line;
   timeline Recorder(
       "agent-1", [] { return 1700000000000; },
@@ -29,8 +29,9 @@
 }
 
 TEST_CASE("merge puts a cause before its effect where wall clocks disagree") {
-  // The agent's VM runs five seconds behind. By the wall clock alone it would
-  // seem to accept a flow before the balancer had taken the view it came by.
+  // The clock of the agent's VM is five seconds behind. Ordered by the wall
+  // clock alone, the agent would accept a flow before the balancer had received
+  // the view that routed it.
   std::vector<timeline_event> Events;
   const auto Keep = [&](const std::string &Line) {
     Events.push_back(parseJsonLine(Line).value());
@@ -63,9 +64,9 @@
   CHECK(Clocks == std::vector<std::uint64_t>{5000, 5001, 5002});
 }
 
-TEST_CASE("without messages merge goes by the wall clock") {
-  // A busy agent records thousands of events while a balancer records one. By
-  // a count of events alone the balancer's change would seem to come first.
+TEST_CASE("merge uses the wall clock between processes without messages") {
+  // A busy agent logs thousands of events while a balancer logs one. Ordered by
+  // a counter of events alone, the balancer's change would come first.
   std::vector<timeline_event> Events;
   const auto Keep = [&](const std::string &Line) {
     Events.push_back(parseJsonLine(Line).value());
@@ -84,9 +85,9 @@
   CHECK(merge(Events).back().Why == "later");
 }
 
-TEST_CASE("a corrupted clock in a message is not followed") {
-  // One corrupted message would put all later events of the fleet after those
-  // of any process that did not hear of it, for good.
+TEST_CASE("an implausible clock in a message is ignored") {
+  // One corrupted message would permanently order all later events of the fleet
+  // after those of every process that did not receive it.
   timeline Recorder(
       "agent-1", [] { return 0; }, nullptr);
 
@@ -95,7 +96,7 @@
   CHECK(Recorder.clock() == 0);
 }
 
-TEST_CASE("recent keeps the last events and no more") {
+TEST_CASE("recent returns only the last events") {
   timeline Recorder(
       "agent-1", [] { return 0; }, nullptr);
 
@@ -108,7 +109,7 @@
   CHECK(Text.find("\"clock\":4,") < Text.find("\"clock\":5,"));
 }
 
-TEST_CASE("parseJsonLine names the field at fault") {
+TEST_CASE("parseJsonLine names the invalid field") {
   const auto reasonOf = [](std::string_view Line) {
     const auto Failure = failureOf([&]() -> result<void> {
       BOOST_LEAF_CHECK(parseJsonLine(Line));
