--- a/daemons/forwarder/event_log.cpp
+++ b/daemons/forwarder/event_log.cpp
@@ -26,7 +26,7 @@
 
 void event_log::record(timeline_event Event) {
   if (const std::uint64_t Skipped =
-          Budget.leftOut(Event.What, Loop.timers().now())) {
+          Budget.takeDroppedCount(Event.What, Loop.timers().now())) {
     timeline_event Gap;
     Gap.What = event_kind::LinesDropped;
     Gap.Why = std::string(nameOf(EventKindNames, Event.What));
--- a/daemons/forwarder/forward_balancer_process.cpp
+++ b/daemons/forwarder/forward_balancer_process.cpp
@@ -50,7 +50,7 @@
   Directory.Self = Settings.PeersListen;
   Directory.Seeds = peersOf(Settings);
   Directory.FlowLife = Settings.FlowLife;
-  Directory.Without = Settings.Without;
+  Directory.DisabledMechanisms = Settings.Without;
   return Directory;
 }
 
--- a/include/marjoramrail/directory.h
+++ b/include/marjoramrail/directory.h
@@ -80,11 +80,11 @@
 };
 
 /// Reads one configuration in steps, so that packets can be forwarded between
-/// them: appends up to \p Most further routes to \p Table and returns true when
-/// the table is complete. Fails with step::ValidateObject at the first part
-/// that cannot be decoded.
+/// them: appends up to \p MaxRoutes further routes to \p Table and returns true
+/// when the table is complete. Fails with step::ValidateObject at the first
+/// part that cannot be decoded.
 using route_reader =
-    std::function<result<bool>(std::size_t Most, route_table &Table)>;
+    std::function<result<bool>(std::size_t MaxRoutes, route_table &Table)>;
 
 /// The routing rule that a balancer currently applies for one address.
 struct route_rule {
@@ -295,7 +295,7 @@
   /// record for this long.
   duration FlowLife = std::chrono::minutes(1);
   /// Mechanisms that are disabled for an experiment.
-  mechanism_set Without;
+  mechanism_set DisabledMechanisms;
 };
 
 struct directory_platform {
--- a/include/marjoramrail/timeline.h
+++ b/include/marjoramrail/timeline.h
@@ -221,12 +221,12 @@
   /// The number of events of \p Kind dropped since the last call that returned
   /// more than 0. Returns more than 0 at most once a second: one line for each
   /// gap would double the log just when its rate is limited.
-  std::uint64_t leftOut(event_kind Kind, instant Now);
+  std::uint64_t takeDroppedCount(event_kind Kind, instant Now);
 
 private:
   struct kind_state {
     std::optional<token_bucket> Lines;
-    std::uint64_t LeftOut = 0;
+    std::uint64_t Dropped = 0;
     instant LastReportedAt;
   };
 
--- a/src/directory/directory.cpp
+++ b/src/directory/directory.cpp
@@ -15,10 +15,10 @@
 /// confirms the data of all balancers, at a rate of calls that does not grow
 /// with the fleet. The rest of SettleTime is left for passing this confirmation
 /// from balancer to balancer.
-constexpr duration WatchSpacing = std::chrono::milliseconds(550);
+constexpr duration FirstWatcherWait = std::chrono::milliseconds(550);
 /// The watchers of a zone watch the configuration for its changes only; the age
 /// of their data is confirmed by the watchers of the whole site.
-constexpr duration ZoneWatch = std::chrono::seconds(5);
+constexpr duration ZoneWatchWait = std::chrono::seconds(5);
 /// A balancer that has received no message from peers yet ranks first of all,
 /// and for a little longer first of its zone. Without these delays every
 /// balancer of a starting site would watch the store and be sent a response for
@@ -38,7 +38,7 @@
 constexpr duration PeerStateMaxAge = std::chrono::milliseconds(1200);
 /// How long a balancer that is not a watcher waits between two attempts while
 /// the store is unavailable: every call is charged for, including refused ones.
-constexpr duration BackgroundRetry = std::chrono::seconds(3);
+constexpr duration BackgroundRetryInterval = std::chrono::seconds(3);
 constexpr duration RecordCheckPeriod = std::chrono::milliseconds(200);
 
 } // namespace
@@ -72,7 +72,7 @@
   Feed.OnObject = [this, OnObject](const platform_object &Object) {
     (this->*OnObject)(Object);
   };
-  Feed.OnBatch = [this] { changed(); };
+  Feed.OnBatch = [this] { notifyChanges(); };
   Feed.Wait = [this, Wait] { return (this->*Wait)(); };
   Feed.OnAvailability = [this, Kind](bool Answers, const std::string &Reason) {
     Hooks.OnEvent(Answers ? event_kind::StoreRecovered : event_kind::StoreLost,
@@ -85,8 +85,9 @@
   const instant Now = Timers.now();
   const auto Wait = nextWait(Routes);
   const bool IsFirst = Peers.rankIn(ZoneNumber, Now) < RoutesWatchersInZone;
-  return !Wait && IsFirst && hasRunFor(ZonePeerDiscoveryTime, Now) ? ZoneWatch
-                                                                   : Wait;
+  return !Wait && IsFirst && hasRunFor(ZonePeerDiscoveryTime, Now)
+             ? ZoneWatchWait
+             : Wait;
 }
 
 std::optional<duration> directory::impl::siteWait() { return nextWait(Site); }
@@ -108,15 +109,15 @@
     return std::nullopt;
   // The watchers retry on behalf of all balancers.
   const bool HasTried =
-      Feed.failedAt() && Now - *Feed.failedAt() < BackgroundRetry;
+      Feed.failedAt() && Now - *Feed.failedAt() < BackgroundRetryInterval;
   if (Rank >= Watchers && HasTried)
     return std::nullopt;
   if (Rank >= Watchers || Peers.live(Now) == 0)
     return SoloWatchWait;
   if (Rank == 0)
-    return WatchSpacing;
+    return FirstWatcherWait;
   const duration Wait = std::min(
-      WatchSpacing * static_cast<std::int64_t>(Watchers), MaxWatchWait);
+      FirstWatcherWait * static_cast<std::int64_t>(Watchers), MaxWatchWait);
   return Wait * std::uniform_int_distribution<int>(75, 100)(Random) / 100;
 }
 
@@ -138,7 +139,7 @@
   Loader.OnTable = [this](const platform_object &Object, route_table Table) {
     onRoutesRead(Object, std::move(Table));
   };
-  Loader.OnTableReady = [this] { changed(); };
+  Loader.OnTableReady = [this] { notifyChanges(); };
   Loader.OnRefused = [this](const std::string &Why) {
     Hooks.OnEvent(event_kind::RoutesRefused, Why);
   };
@@ -215,8 +216,8 @@
     Peers.add(*Peer, zoneOf(Object));
 }
 
-void directory::impl::changed() {
-  takeNewestRoutes();
+void directory::impl::notifyChanges() {
+  activateNewestRoutes();
   notifyRules();
   if (std::exchange(TargetsChanged, false))
     Hooks.OnTargets();
@@ -234,7 +235,7 @@
 
 /// The first table is held until the record is known, which tells which of its
 /// services are new.
-void directory::impl::takeNewestRoutes() {
+void directory::impl::activateNewestRoutes() {
   if (!Decoded || !Site.known())
     return;
   route_table Table = std::move(*Decoded);
--- a/src/directory/directory_impl.h
+++ b/src/directory/directory_impl.h
@@ -50,8 +50,8 @@
   route_loader::hooks loaderHooks();
   void onRoutesRead(const platform_object &Object, route_table Table);
   std::optional<instant> knownAsOf() const;
-  void takeNewestRoutes();
-  void changed();
+  void activateNewestRoutes();
+  void notifyChanges();
   void notifyRules();
   void requestRecordUpdate();
   void armActivation();
@@ -63,7 +63,7 @@
   void applyChanges(sync_message &Reply);
   void applySyncState(const endpoint &Peer, object_feed &Feed,
                       const std::string &Kind, const sync_state &PeerState,
-                      instant Asked);
+                      instant RequestedAt);
   duration pullDelay(const endpoint &Peer, const object_feed &Feed) const;
   void pull(const endpoint &Peer, object_feed &Feed, const std::string &Kind,
             std::uint64_t PeerLastChange);
@@ -114,12 +114,12 @@
   bool RulesChanged = false;
   bool TargetsChanged = false;
   bool Pulling = false;
-  bool RecordBusy = false;
-  bool SelfBusy = false;
+  bool RecordWritePending = false;
+  bool SelfWritePending = false;
   instant NextSelfWrite;
   /// The version of this balancer's own entry that was last found to have the
   /// expected content.
-  std::uint64_t SelfReadAt = 0;
+  std::uint64_t SelfCheckedVersion = 0;
   instant NextPeerSweep;
   std::optional<instant> RecordNeededSince;
   std::optional<instant> RecheckRecordAt;
--- a/src/directory/directory_peers.cpp
+++ b/src/directory/directory_peers.cpp
@@ -31,7 +31,7 @@
   sync_message Message;
   Message.Self = Settings.Self;
   Message.Zone = ZoneNumber;
-  Message.AskedUs = Timers.now().time_since_epoch().count();
+  Message.RequestedAtUs = Timers.now().time_since_epoch().count();
   Message.IsServed = Site.answering();
   Message.Routes = syncStateOf(Routes);
   Message.Site = syncStateOf(Site);
@@ -58,7 +58,7 @@
     const measured_turn Turn(Hooks.OnTurn, turn_kind::AnswerGreeting);
     sync_message Reply = makeSyncMessage();
     Reply.IsReply = true;
-    Reply.AskedUs = Message->AskedUs;
+    Reply.RequestedAtUs = Message->RequestedAtUs;
     Reply.ChangesSince = Message->Site.Version;
     if (Site.lastChange() > Message->Site.Version)
       Reply.Changes = Site.changesSince(Message->Site.Version);
@@ -67,17 +67,17 @@
     Hooks.Send(Message->Self, encodeSyncMessage(Reply));
     return;
   }
-  const instant Asked{duration(Message->AskedUs)};
-  if (Asked > Timers.now())
+  const instant RequestedAt{duration(Message->RequestedAtUs)};
+  if (RequestedAt > Timers.now())
     return;
   if (Message->Changes)
     applyChanges(*Message);
   applySyncState(Message->Self, Routes, Settings.RoutesKind, Message->Routes,
-                 Asked);
-  const bool MoreComes = Message->Changes && Site.known();
-  if (!MoreComes || Message->Site.LastChange <= Site.version())
+                 RequestedAt);
+  const bool MoreFollows = Message->Changes && Site.known();
+  if (!MoreFollows || Message->Site.LastChange <= Site.version())
     applySyncState(Message->Self, Site, Settings.SiteKind, Message->Site,
-                   Asked);
+                   RequestedAt);
 }
 
 /// A reply holds as many changes as fit one datagram. The rest is requested at
@@ -94,11 +94,11 @@
 void directory::impl::applySyncState(const endpoint &Peer, object_feed &Feed,
                                      const std::string &Kind,
                                      const sync_state &PeerState,
-                                     instant Asked) {
+                                     instant RequestedAt) {
   if (PeerState.Version == 0)
     return;
   if (PeerState.AgeUs >= 0)
-    Feed.confirm(PeerState.LastChange, Asked - duration(PeerState.AgeUs));
+    Feed.confirm(PeerState.LastChange, RequestedAt - duration(PeerState.AgeUs));
   const bool Behind = !Feed.known() || PeerState.LastChange > Feed.version();
   if (!Behind)
     return;
--- a/src/directory/directory_writes.cpp
+++ b/src/directory/directory_writes.cpp
@@ -8,10 +8,10 @@
 
 /// Within this time after a write of the record the watch has returned its
 /// result.
-static constexpr duration RecordRecheck = std::chrono::milliseconds(600);
+static constexpr duration RecordRecheckDelay = std::chrono::milliseconds(600);
 /// Limits the rate at which balancers retry while the store refuses their
 /// calls.
-static constexpr duration SelfRetry = std::chrono::seconds(2);
+static constexpr duration SelfWriteInterval = std::chrono::seconds(2);
 static constexpr duration PeerSweepPeriod = std::chrono::seconds(10);
 /// Each balancer waits this long per rank, and writes the record only if those
 /// of lower rank have not.
@@ -25,26 +25,27 @@
 }
 
 void directory::impl::writeSelf() {
-  if (!Site.known() || SelfBusy || Timers.now() < NextSelfWrite)
+  if (!Site.known() || SelfWritePending || Timers.now() < NextSelfWrite)
     return;
   const std::string Name = BalancerPrefix + Settings.Name;
   const auto Held = Site.objects().find(Name);
   const bool IsHeld = Held != Site.objects().end();
-  if (IsHeld && Held->second.Version == SelfReadAt)
+  if (IsHeld && Held->second.Version == SelfCheckedVersion)
     return;
   if (IsHeld && json::parse(Held->second.Body, nullptr, false) ==
                     json::parse(selfBody())) {
-    SelfReadAt = Held->second.Version;
+    SelfCheckedVersion = Held->second.Version;
     return;
   }
   platform_write Write;
   Write.Object.Key = {Settings.SiteKind, Name};
   Write.Object.Body = selfBody();
   Write.Expected = IsHeld ? Held->second.Version : 0;
-  SelfBusy = true;
-  NextSelfWrite = Timers.now() + SelfRetry;
+  SelfWritePending = true;
+  NextSelfWrite = Timers.now() + SelfWriteInterval;
   Platform.Site.Write(Write, guarded([this](const platform_reply &Reply) {
-                        SelfBusy = Reply.Outcome == platform_outcome::Ok;
+                        SelfWritePending =
+                            Reply.Outcome == platform_outcome::Ok;
                       }));
 }
 
@@ -115,7 +116,8 @@
     RecheckRecordAt.reset();
     requestRecordUpdate();
   }
-  if (!RecordNeededSince || !Activation.known() || !Site.known() || RecordBusy)
+  if (!RecordNeededSince || !Activation.known() || !Site.known() ||
+      RecordWritePending)
     return;
   // The comparison is only made after the wait, when the record has usually
   // been written by another balancer.
@@ -136,13 +138,13 @@
   Write.Object.Key = {Settings.SiteKind, RecordName};
   Write.Object.Body = Body;
   Write.Expected = Held == Site.objects().end() ? 0 : Held->second.Version;
-  RecordBusy = true;
+  RecordWritePending = true;
   Platform.Site.Write(Write, guarded([this](const platform_reply &) {
-                        RecordBusy = false;
+                        RecordWritePending = false;
                         // The watch returns the new record; until then it need
                         // not be written again.
                         RecordNeededSince.reset();
-                        RecheckRecordAt = Timers.now() + RecordRecheck;
+                        RecheckRecordAt = Timers.now() + RecordRecheckDelay;
                       }));
 }
 
--- a/src/directory/object_feed.cpp
+++ b/src/directory/object_feed.cpp
@@ -5,11 +5,11 @@
 
 namespace marjoramrail::internal {
 
-/// Wait after the first failure; doubled up to LastRetry. Short, because a
-/// balancer cannot work after a restart without data from the store, and one
+/// Wait after the first failure; doubled up to MaxRetryInterval. Short, because
+/// a balancer cannot work after a restart without data from the store, and one
 /// balancer makes few calls a second.
-static constexpr duration FirstRetry = std::chrono::milliseconds(100);
-static constexpr duration LastRetry = std::chrono::milliseconds(800);
+static constexpr duration InitialRetryInterval = std::chrono::milliseconds(100);
+static constexpr duration MaxRetryInterval = std::chrono::milliseconds(800);
 /// After a change the next watch starts with this delay, so that changes in
 /// quick succession (all agents of a site start, configurations follow each
 /// other) are returned by one call instead of one call per change and watcher.
@@ -38,19 +38,19 @@
 void object_feed::start() { list(); }
 
 void object_feed::list() {
-  Store.List(Kind,
-             guarded([this, Asked = Timers.now()](const platform_reply &Reply) {
-               listed(Reply, Asked);
+  Store.List(Kind, guarded([this, RequestedAt = Timers.now()](
+                               const platform_reply &Reply) {
+               listed(Reply, RequestedAt);
              }));
 }
 
-void object_feed::listed(const platform_reply &Reply, instant Asked) {
+void object_feed::listed(const platform_reply &Reply, instant RequestedAt) {
   if (Reply.Outcome != platform_outcome::Ok)
     return retry(Reply, &object_feed::list);
   setAnswering(true, "");
   if (Reply.StoreVersion >= Version) {
     applyList(Reply);
-    advance(Reply.StoreVersion, Asked);
+    advance(Reply.StoreVersion, RequestedAt);
   }
   Hooks.OnBatch();
   follow();
@@ -66,14 +66,14 @@
 }
 
 void object_feed::watch(duration Wait) {
-  Store.Watch(
-      Version, Wait,
-      guarded([this, Asked = Timers.now(), Wait](const platform_reply &Reply) {
-        watched(Reply, Asked, Wait);
-      }));
+  Store.Watch(Version, Wait,
+              guarded([this, RequestedAt = Timers.now(),
+                       Wait](const platform_reply &Reply) {
+                watched(Reply, RequestedAt, Wait);
+              }));
 }
 
-void object_feed::watched(const platform_reply &Reply, instant Asked,
+void object_feed::watched(const platform_reply &Reply, instant RequestedAt,
                           duration Wait) {
   if (Reply.Outcome == platform_outcome::HistoryGone) {
     setAnswering(true, "change history no longer available");
@@ -88,9 +88,10 @@
   // A watch that waited its full time without a change confirms the state at
   // its end; one that ended early only confirms the state at the time of its
   // request.
-  const bool WaitedOut = Reply.Objects.empty() && Timers.now() - Asked >= Wait;
+  const bool WaitedOut =
+      Reply.Objects.empty() && Timers.now() - RequestedAt >= Wait;
   advance(std::max(Reply.StoreVersion, Version),
-          WaitedOut ? Asked + Wait : Asked);
+          WaitedOut ? RequestedAt + Wait : RequestedAt);
   if (!Changed)
     return follow();
   Hooks.OnBatch();
@@ -222,8 +223,8 @@
 void object_feed::retry(const platform_reply &Reply,
                         void (object_feed::*Step)()) {
   setAnswering(false, Reply.Reason);
-  const duration Wait =
-      std::min(FirstRetry * (1 << std::min(Failures++, 3)), LastRetry);
+  const duration Wait = std::min(
+      InitialRetryInterval * (1 << std::min(Failures++, 3)), MaxRetryInterval);
   Timers.after(Wait, [this, Alive = Alive, Step] {
     if (*Alive)
       (this->*Step)();
--- a/src/directory/object_feed.h
+++ b/src/directory/object_feed.h
@@ -80,10 +80,10 @@
 
 private:
   void list();
-  void listed(const platform_reply &Reply, instant Asked);
+  void listed(const platform_reply &Reply, instant RequestedAt);
   void follow();
   void watch(duration Wait);
-  void watched(const platform_reply &Reply, instant Asked, duration Wait);
+  void watched(const platform_reply &Reply, instant RequestedAt, duration Wait);
   void applyList(const platform_reply &Reply);
   bool applyObject(platform_object Object);
   void advance(std::uint64_t NewVersion, instant Moment);
--- a/src/directory/peer_selector.cpp
+++ b/src/directory/peer_selector.cpp
@@ -125,14 +125,14 @@
                                                  bool NeedsUpdates) {
   const candidates Found = candidatesAt(Now);
   std::vector<endpoint> Chosen;
-  const bool AsksWatcher = ++Rounds % 2 == 0;
-  if (const auto Ahead = unheardPeerAhead(/*OfZone=*/!AsksWatcher, Now))
+  const bool ContactsWatcher = ++Rounds % 2 == 0;
+  if (const auto Ahead = unheardPeerAhead(/*OfZone=*/!ContactsWatcher, Now))
     Chosen.push_back(*Ahead);
-  addOneOf(AsksWatcher ? Found.Watchers : Found.ZoneWatchers, Chosen);
+  addOneOf(ContactsWatcher ? Found.Watchers : Found.ZoneWatchers, Chosen);
   if (Rounds % RoundsPerSilentPeer == 0)
     addOneOf(Found.Unresponsive, Chosen);
   if (NeedsUpdates)
-    addOneOf(AsksWatcher ? Found.ZoneWatchers : Found.Watchers, Chosen);
+    addOneOf(ContactsWatcher ? Found.ZoneWatchers : Found.Watchers, Chosen);
   for (const std::vector<endpoint> *Any : {&Found.Live, &Found.Unresponsive})
     for (std::size_t Turn = 0; Turn < Fanout; ++Turn)
       addOneOf(*Any, Chosen);
--- a/src/directory/route_record.cpp
+++ b/src/directory/route_record.cpp
@@ -10,7 +10,7 @@
 
 /// Additional time for flows that were opened just before the service was
 /// removed, and for the configuration to reach every process.
-static constexpr duration RecordSlack = std::chrono::seconds(10);
+static constexpr duration RecordRetentionMargin = std::chrono::seconds(10);
 
 static constexpr const char *ServicesField = "services";
 
@@ -83,7 +83,7 @@
   notePrevious(Current, Now);
   std::vector<route_service> Expired;
   for (const auto &[Entry, Since] : PreviousSince)
-    if (Now - Since >= FlowLife + RecordSlack)
+    if (Now - Since >= FlowLife + RecordRetentionMargin)
       Expired.push_back(Entry);
   if (Expired.empty() && Services.containsAll(Current))
     return std::nullopt;
@@ -93,8 +93,8 @@
 std::optional<instant> route_record::nextExpiry() const {
   std::optional<instant> Next;
   for (const auto &[Entry, Since] : PreviousSince)
-    Next =
-        std::min(Next.value_or(instant::max()), Since + FlowLife + RecordSlack);
+    Next = std::min(Next.value_or(instant::max()),
+                    Since + FlowLife + RecordRetentionMargin);
   return Next;
 }
 
--- a/src/directory/route_table_codec.cpp
+++ b/src/directory/route_table_codec.cpp
@@ -10,7 +10,7 @@
 
 static constexpr int Format = 1;
 /// Every encoded table starts with this text; the fields have a fixed order.
-static constexpr std::string_view Beginning = "{\"marjoramrail_routes\":";
+static constexpr std::string_view FormatPrefix = "{\"marjoramrail_routes\":";
 
 /// Routes with the same shares.
 struct route_group {
@@ -24,7 +24,7 @@
   std::vector<route_group> Groups;
   std::size_t Last = 0;
   for (const route &Route : Table.Routes) {
-    // Most routes have the same shares as the previous one.
+    // MaxRoutes routes have the same shares as the previous one.
     if (Groups.empty() || Groups[Last].Shares != Route.Shares) {
       std::vector<std::pair<std::string, std::uint32_t>> Key;
       for (const service_share &Share : Route.Shares)
@@ -59,7 +59,7 @@
 }
 
 bool isEncodedRouteTable(std::string_view Body) {
-  return Body.substr(0, Beginning.size()) == Beginning;
+  return Body.substr(0, FormatPrefix.size()) == FormatPrefix;
 }
 
 static std::optional<std::vector<service_share>> sharesOf(const json &Json) {
@@ -83,12 +83,12 @@
   explicit encoded_table(const platform_object &Object)
       : Where(Object.Key.Name), Body(Object.Body) {}
 
-  result<bool> read(std::size_t Most, route_table &Table) {
+  result<bool> read(std::size_t MaxRoutes, route_table &Table) {
     if (!std::exchange(IsOpen, true)) {
       BOOST_LEAF_CHECK(open(Table));
       return Groups.empty();
     }
-    for (; Most > 0 && Group < Groups.size(); --Most)
+    for (; MaxRoutes > 0 && Group < Groups.size(); --MaxRoutes)
       takeNext(Table);
     return Group == Groups.size();
   }
@@ -155,8 +155,8 @@
 
 route_reader readEncodedRouteTable(const platform_object &Object) {
   const auto Table = std::make_shared<encoded_table>(Object);
-  return [Table](std::size_t Most, route_table &Into) {
-    return Table->read(Most, Into);
+  return [Table](std::size_t MaxRoutes, route_table &Into) {
+    return Table->read(MaxRoutes, Into);
   };
 }
 
--- a/src/directory/sync_message.cpp
+++ b/src/directory/sync_message.cpp
@@ -100,7 +100,7 @@
   Writer.put(SyncMessageFormat);
   Writer.put(static_cast<std::uint8_t>((Message.IsReply ? ReplyBit : 0) |
                                        (Message.IsServed ? ServedBit : 0)));
-  Writer.put(static_cast<std::uint64_t>(Message.AskedUs));
+  Writer.put(static_cast<std::uint64_t>(Message.RequestedAtUs));
   Writer.put(Message.Self);
   Writer.put(Message.Zone);
   for (const sync_state &Kind : {Message.Routes, Message.Site}) {
@@ -131,7 +131,8 @@
   const auto Flags = Reader.take<std::uint8_t>();
   Message.IsReply = (Flags & ReplyBit) != 0;
   Message.IsServed = (Flags & ServedBit) != 0;
-  Message.AskedUs = static_cast<std::int64_t>(Reader.take<std::uint64_t>());
+  Message.RequestedAtUs =
+      static_cast<std::int64_t>(Reader.take<std::uint64_t>());
   Message.Self = Reader.takeEndpoint();
   Message.Zone = Reader.take<std::uint32_t>();
   for (sync_state *Kind : {&Message.Routes, &Message.Site}) {
--- a/src/directory/sync_message.h
+++ b/src/directory/sync_message.h
@@ -42,7 +42,7 @@
   bool IsServed = true;
   /// The requester's clock when it sent the request, in microseconds; unchanged
   /// in the reply.
-  std::int64_t AskedUs = 0;
+  std::int64_t RequestedAtUs = 0;
   sync_state Routes;
   sync_state Site;
   /// In a reply: the requester's Site.Version, and all changes of that kind
--- a/src/directory/target_entry.cpp
+++ b/src/directory/target_entry.cpp
@@ -33,14 +33,14 @@
                                   const std::string &Body) {
   BOOST_LEAF_AUTO(Reader,
                   settings_reader::fromText(Body, Name, step::ValidateObject));
-  constexpr std::int64_t MostSlots = 1'000'000;
+  constexpr std::int64_t MaxSlots = 1'000'000;
   target_entry Target;
   Target.Name = Name;
   Target.Service = Reader.text("service");
   Target.Agent = Reader.address("agent");
   Target.Zone = Reader.text("zone");
   Target.Slots =
-      static_cast<std::uint32_t>(Reader.number("slots", 1, 1, MostSlots));
+      static_cast<std::uint32_t>(Reader.number("slots", 1, 1, MaxSlots));
   Target.Draining = Reader.flag("draining", false);
   Target.ByPeer = Reader.flag("by_peer", false);
   if (auto Finished = Reader.finish(); !Finished)
--- a/src/directory/target_registrar.cpp
+++ b/src/directory/target_registrar.cpp
@@ -2,10 +2,10 @@
 
 namespace marjoramrail {
 
-static constexpr duration FirstRetry = std::chrono::milliseconds(200);
+static constexpr duration InitialRetryInterval = std::chrono::milliseconds(200);
 /// Limits the wait, so that hosts register within about two seconds after an
 /// outage.
-static constexpr duration LastRetry = std::chrono::milliseconds(1600);
+static constexpr duration MaxRetryInterval = std::chrono::milliseconds(1600);
 
 struct target_registrar::impl {
   impl(timer_service &Timers, platform_api Store, std::string Kind, hooks Hooks)
@@ -147,8 +147,8 @@
 void target_registrar::impl::retry(const std::string &Reason) {
   Hooks.OnFailure(Reason);
   requestPeerRegistration();
-  const duration Wait =
-      std::min(FirstRetry * (1 << std::min(Failures++, 3)), LastRetry);
+  const duration Wait = std::min(
+      InitialRetryInterval * (1 << std::min(Failures++, 3)), MaxRetryInterval);
   IsBusy = true;
   Timers.after(Wait, [this, Alive = Alive] {
     if (!*Alive)
--- a/src/platform/call.cpp
+++ b/src/platform/call.cpp
@@ -62,7 +62,7 @@
   return std::chrono::seconds(Seconds);
 }
 
-static platform_reply unreadable(const platform_call &Call) {
+static platform_reply malformedReply(const platform_call &Call) {
   return replyToFailure(Call, call_failure::NoAnswer,
                         "cannot decode the platform's response");
 }
@@ -72,10 +72,10 @@
   platform_reply Reply;
   Reply.Outcome = platform_outcome::Ok;
   if (Call.Verb == call_verb::List || Call.Verb == call_verb::Watch)
-    return decodeObjects(Answer.Body, Reply) ? Reply : unreadable(Call);
+    return decodeObjects(Answer.Body, Reply) ? Reply : malformedReply(Call);
   auto Object = decodeObject(Answer.Body);
   if (!Object)
-    return unreadable(Call);
+    return malformedReply(Call);
   Reply.Object = std::move(*Object);
   return Reply;
 }
@@ -84,7 +84,7 @@
                                       const http_answer &Answer) {
   auto Object = decodeObject(Answer.Body);
   if (!Object)
-    return unreadable(Call);
+    return malformedReply(Call);
   platform_reply Reply;
   Reply.Outcome = platform_outcome::Conflict;
   Reply.Object = std::move(*Object);
--- a/src/platform/platform_client.cpp
+++ b/src/platform/platform_client.cpp
@@ -60,7 +60,7 @@
   void armTimer(const call_ptr &Call, duration Limit);
   void onTimeout(const call_ptr &Call);
   platform_reply decode(const call &Call, const http_answer &Answer);
-  void take(const call_ptr &Call, platform_reply Reply);
+  void handleAnswer(const call_ptr &Call, platform_reply Reply);
   void reportEnd(const call &Call, const platform_reply &Reply);
   void finish(const call_ptr &Call, platform_reply Reply);
   void deliver(const call_ptr &Call);
@@ -71,13 +71,13 @@
   /// Calls that have ended and whose callback has not run yet.
   std::map<call_ptr, platform_reply> Finished;
   /// Index of the server that new connections use.
-  std::size_t Current = 0;
+  std::size_t CurrentServer = 0;
   std::uint64_t Sequence = 0;
   bool HasAnswered = false;
   /// The number of calls before the first response, by object or kind.
   std::map<object_key, unsigned> FirstCalls;
   bool DispatchScheduled = false;
-  bool Closing = false;
+  bool IsClosing = false;
   /// Deferred tasks use this to check whether the client still exists.
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
 };
@@ -132,7 +132,7 @@
 void platform_client::impl::dispatchWaiting() {
   std::erase_if(Pool, [&](const std::unique_ptr<pooled_connection> &Pooled) {
     return Pooled->Unusable ||
-           (!Pooled->Call && Pooled->Http->server() != Current);
+           (!Pooled->Call && Pooled->Http->server() != CurrentServer);
   });
   // A connection may fail at once and return its call to Waiting.
   std::deque<call_ptr> Left;
@@ -157,8 +157,8 @@
   if (!IsWatch && InUse >= Settings.MaxConnections)
     return nullptr;
   auto Pooled = std::make_unique<pooled_connection>();
-  Pooled->Http = std::make_unique<http_connection>(Loop, Current,
-                                                   Settings.Servers[Current]);
+  Pooled->Http = std::make_unique<http_connection>(
+      Loop, CurrentServer, Settings.Servers[CurrentServer]);
   Pool.push_back(std::move(Pooled));
   return Pool.back().get();
 }
@@ -202,7 +202,7 @@
     FirstCalls.clear();
   if (Answer) {
     Call->Bytes += Answer->Body.size();
-    return take(Call, decode(*Call, *Answer));
+    return handleAnswer(Call, decode(*Call, *Answer));
   }
   Pooled.Unusable = true;
   const std::string Where = toText(Settings.Servers[Server]);
@@ -212,8 +212,8 @@
         replyToFailure(
             *Call, Failure,
             Where + " closed the connection before its response was complete"));
-  if (Server == Current)
-    Current = (Current + 1) % Settings.Servers.size();
+  if (Server == CurrentServer)
+    CurrentServer = (CurrentServer + 1) % Settings.Servers.size();
   if (!Call->changes() && ++Call->Refusals < Settings.Servers.size()) {
     Waiting.push_front(Call);
     return;
@@ -231,7 +231,8 @@
 /// Requests the next part of a list that is returned in several parts, so that
 /// callers get one list. The parts may be of different points in time; a watch
 /// has to continue from the version of the first one.
-void platform_client::impl::take(const call_ptr &Call, platform_reply Reply) {
+void platform_client::impl::handleAnswer(const call_ptr &Call,
+                                         platform_reply Reply) {
   if (Reply.Outcome != platform_outcome::Ok || Call->Verb != call_verb::List)
     return finish(Call, std::move(Reply));
   if (Call->Parts.empty())
@@ -309,7 +310,7 @@
 
 /// Ends all pending calls when the client is destroyed.
 void platform_client::impl::finishAll() {
-  Closing = true;
+  IsClosing = true;
   for (const auto &Pooled : std::exchange(Pool, {}))
     if (Pooled->Call)
       finish(Pooled->Call, replyToFailure(*Pooled->Call, call_failure::NoAnswer,
@@ -336,7 +337,7 @@
 /// client's destruction nor accesses a destroyed client.
 std::function<void(call)> platform_client::impl::starter() {
   return [this, Loop = &Loop, Alive = std::weak_ptr<bool>(Alive)](call Call) {
-    if (!Alive.expired() && !Closing)
+    if (!Alive.expired() && !IsClosing)
       return start(std::move(Call));
     Loop->defer([Call = std::move(Call)] {
       Call.Done(replyToFailure(Call, call_failure::NotSent, ClosedReason));
--- a/src/timeline/event_budget.cpp
+++ b/src/timeline/event_budget.cpp
@@ -17,17 +17,17 @@
                                  : token_bucket(RarePerSecond, RareBurst);
   if (State.Lines->take(Now))
     return true;
-  ++State.LeftOut;
+  ++State.Dropped;
   return false;
 }
 
-std::uint64_t event_budget::leftOut(event_kind Kind, instant Now) {
+std::uint64_t event_budget::takeDroppedCount(event_kind Kind, instant Now) {
   constexpr duration Spacing = std::chrono::seconds(1);
   kind_state &State = Kinds[static_cast<std::size_t>(Kind)];
-  if (State.LeftOut == 0 || Now - State.LastReportedAt < Spacing)
+  if (State.Dropped == 0 || Now - State.LastReportedAt < Spacing)
     return 0;
   State.LastReportedAt = Now;
-  return std::exchange(State.LeftOut, 0);
+  return std::exchange(State.Dropped, 0);
 }
 
 } // namespace marjoramrail
--- a/test/directory/sync_message_test.cpp
+++ b/test/directory/sync_message_test.cpp
@@ -11,7 +11,7 @@
   Message.Self = {0x0a000001, 7000};
   Message.Zone = 17;
   Message.IsReply = true;
-  Message.AskedUs = 123456789;
+  Message.RequestedAtUs = 123456789;
   Message.Routes = {5, 4, 1000};
   Message.Site = {9, 8, -1};
   Message.ChangesSince = 6;
@@ -30,7 +30,7 @@
   CHECK(Back->Self == sample().Self);
   CHECK(Back->Zone == 17);
   CHECK(Back->IsReply);
-  CHECK(Back->AskedUs == 123456789);
+  CHECK(Back->RequestedAtUs == 123456789);
   CHECK(Back->Routes.Version == 5);
   CHECK(Back->Site.AgeUs == -1);
   CHECK(Back->ChangesSince == 6);
--- a/test/timeline/event_budget_test.cpp
+++ b/test/timeline/event_budget_test.cpp
@@ -32,10 +32,10 @@
   for (int I = 0; I < 100; ++I)
     Budget.take(event_kind::RequestSeen, instant(5s));
 
-  CHECK(Budget.leftOut(event_kind::RequestSeen, instant(5s)) == 40);
+  CHECK(Budget.takeDroppedCount(event_kind::RequestSeen, instant(5s)) == 40);
   Budget.take(event_kind::RequestSeen, instant(5s));
-  CHECK(Budget.leftOut(event_kind::RequestSeen, instant(5500ms)) == 0);
-  CHECK(Budget.leftOut(event_kind::RequestSeen, instant(6s)) == 1);
+  CHECK(Budget.takeDroppedCount(event_kind::RequestSeen, instant(5500ms)) == 0);
+  CHECK(Budget.takeDroppedCount(event_kind::RequestSeen, instant(6s)) == 1);
 }
 
 TEST_CASE("numeric fields are encoded and decoded unchanged") {
