--- a/test/directory/peer_selector_test.cpp
+++ b/test/directory/peer_selector_test.cpp
@@ -8,8 +8,8 @@
 
 static endpoint balancer(std::uint32_t Number) { return {Number, 7000}; }
 
-static peer_selector ringOf(std::uint32_t Self, std::uint32_t Balancers,
-                            instant Now) {
+static peer_selector selectorOf(std::uint32_t Self, std::uint32_t Balancers,
+                                instant Now) {
   peer_selector Selector(balancer(Self), 1, Self);
   for (std::uint32_t Number = 1; Number <= Balancers; ++Number)
     Selector.recordMessage(balancer(Number), 1, Now);
@@ -23,7 +23,7 @@
   constexpr std::uint32_t Fleet = 2000;
   std::map<endpoint, int> Greeted;
   for (std::uint32_t Self = 1; Self <= Fleet; Self += 20) {
-    peer_selector Selector = ringOf(Self, Fleet, Now);
+    peer_selector Selector = selectorOf(Self, Fleet, Now);
     for (const endpoint &Peer : Selector.choosePeers(Now))
       ++Greeted[Peer];
   }
@@ -38,7 +38,7 @@
 TEST_CASE(
     "an unresponsive peer is contacted rarely and finally counts as dead") {
   const instant Start(10s);
-  peer_selector Selector = ringOf(1, 5, Start);
+  peer_selector Selector = selectorOf(1, 5, Start);
   Selector.add(balancer(9));
   int Asked = 0;
   instant Now = Start;
@@ -58,7 +58,7 @@
 
 TEST_CASE("the rank counts live peers with lower addresses") {
   const instant Now(10s);
-  const peer_selector Selector = ringOf(3, 5, Now);
+  const peer_selector Selector = selectorOf(3, 5, Now);
 
   CHECK(Selector.live(Now) == 4);
   CHECK(Selector.rank(Now) == 2);
