--- a/src/directory/directory.cpp
+++ b/src/directory/directory.cpp
@@ -8,36 +8,38 @@
 
 namespace {
 
-/// A balancer that does not watch hears of changes, and dates its knowledge, by
-/// these; 120 bytes each, two in a round.
-constexpr duration GreetingPeriod = std::chrono::milliseconds(200);
-/// How often the first in rank lets a watch run out, which dates what all
-/// balancers know, at a rate of calls that does not grow with the fleet. The
-/// rest of SettleTime is for the word's way from balancer to balancer.
-constexpr duration WatchSpacing = std::chrono::milliseconds(550);
-/// The first of a zone watch the configuration for its changes alone; how old
-/// their knowledge is, the watchers of the whole site tell them.
-constexpr duration ZoneWatch = std::chrono::seconds(5);
-/// Until peers are heard, every balancer takes itself for the first of all, and
-/// a little longer for the first of its zone. Without these pauses every
-/// balancer of a site that starts would watch the store, and all of them be
-/// answered at each agent's announcement.
-constexpr duration FirstPeersMetAfter = std::chrono::milliseconds(400);
-constexpr duration ZonePeersMetAfter = std::chrono::seconds(2);
-/// A balancer without peers dates its knowledge alone, within SettleTime.
-constexpr duration LoneWatch = std::chrono::milliseconds(900);
-/// Longer waits only delay the notice that a connection has gone silent.
-constexpr duration MostWatch = std::chrono::seconds(20);
-/// Balancers of a zone that watch the configuration: it is too large for a
-/// datagram, and a copy within the zone crosses no link between zones.
-constexpr std::size_t RoutesWatchersInZone = peer_ring::FirstInZone;
-/// A balancer whose knowledge is older watches by itself: the watchers may be
-/// cut off from the store, or it from them.
-constexpr duration TrustPeersFor = std::chrono::milliseconds(1200);
-/// How long a balancer that is no watcher waits between two tries while the
-/// store is away: every call is paid for, also one that is refused.
-constexpr duration PatientRetry = std::chrono::seconds(3);
-constexpr duration RecordPeriod = std::chrono::milliseconds(200);
+/// A balancer that does not watch the store learns of changes, and confirms the
+/// age of its data, by these messages; 120 bytes each, two per round.
+constexpr duration SyncPeriod = std::chrono::milliseconds(200);
+/// The watch time of the first balancer in rank. Each watch that expires
+/// confirms the data of all balancers, at a rate of calls that does not grow
+/// with the fleet. The rest of SettleTime is left for passing this confirmation
+/// from balancer to balancer.
+constexpr duration FirstWatcherWait = std::chrono::milliseconds(550);
+/// The watchers of a zone watch the configuration for its changes only; the age
+/// of their data is confirmed by the watchers of the whole site.
+constexpr duration ZoneWatchWait = std::chrono::seconds(5);
+/// A balancer that has received no message from peers yet ranks first of all,
+/// and for a little longer first of its zone. Without these delays every
+/// balancer of a starting site would watch the store and be sent a response for
+/// every agent that registers.
+constexpr duration PeerDiscoveryTime = std::chrono::milliseconds(400);
+constexpr duration ZonePeerDiscoveryTime = std::chrono::seconds(2);
+/// A balancer without peers confirms its data alone, within SettleTime.
+constexpr duration SoloWatchWait = std::chrono::milliseconds(900);
+/// Longer waits would only delay the detection of a connection that no longer
+/// responds.
+constexpr duration MaxWatchWait = std::chrono::seconds(20);
+/// The number of balancers per zone that watch the configuration. It is too
+/// large for a datagram, and copies within the zone use no link between zones.
+constexpr std::size_t RoutesWatchersInZone = peer_selector::WatchersPerZone;
+/// A balancer whose data is older than this watches the store itself: the
+/// watchers may be cut off from the store, or this balancer from them.
+constexpr duration PeerStateMaxAge = std::chrono::milliseconds(1200);
+/// How long a balancer that is not a watcher waits between two attempts while
+/// the store is unavailable: every call is charged for, including refused ones.
+constexpr duration BackgroundRetryInterval = std::chrono::seconds(3);
+constexpr duration RecordCheckPeriod = std::chrono::milliseconds(200);
 
 } // namespace
 
@@ -56,10 +58,10 @@
       Site(Timers, this->Platform.Site, this->Settings.SiteKind,
            feedHooks(this->Settings.SiteKind, &impl::onSiteObject,
                      &impl::siteWait)),
-      Intake(intakeHooks()), ZoneNumber(static_cast<std::uint32_t>(
+      Loader(loaderHooks()), ZoneNumber(static_cast<std::uint32_t>(
                                  serviceNumber(this->Settings.Zone))) {
   for (const endpoint &Seed : this->Settings.Seeds)
-    Peers.know(Seed);
+    Peers.add(Seed);
 }
 
 object_feed::hooks
@@ -70,10 +72,10 @@
   Feed.OnObject = [this, OnObject](const platform_object &Object) {
     (this->*OnObject)(Object);
   };
-  Feed.OnBatch = [this] { changed(); };
+  Feed.OnBatch = [this] { notifyChanges(); };
   Feed.Wait = [this, Wait] { return (this->*Wait)(); };
-  Feed.OnContact = [this, Kind](bool Answers, const std::string &Reason) {
-    Hooks.OnEvent(Answers ? event_kind::StoreRegained : event_kind::StoreLost,
+  Feed.OnAvailability = [this, Kind](bool Answers, const std::string &Reason) {
+    Hooks.OnEvent(Answers ? event_kind::StoreRecovered : event_kind::StoreLost,
                   Kind + ": " + Reason);
   };
   return Feed;
@@ -83,63 +85,66 @@
   const instant Now = Timers.now();
   const auto Wait = nextWait(Routes);
   const bool IsFirst = Peers.rankIn(ZoneNumber, Now) < RoutesWatchersInZone;
-  return !Wait && IsFirst && hasMet(ZonePeersMetAfter, Now) ? ZoneWatch : Wait;
+  return !Wait && IsFirst && hasRunFor(ZonePeerDiscoveryTime, Now)
+             ? ZoneWatchWait
+             : Wait;
 }
 
 std::optional<duration> directory::impl::siteWait() { return nextWait(Site); }
 
-bool directory::impl::hasMet(duration After, instant Now) const {
+bool directory::impl::hasRunFor(duration After, instant Now) const {
   return StartedAt && Now - *StartedAt >= After;
 }
 
-/// The first in rank dates the knowledge of all; the other watchers stand by,
-/// and bring news when it fails. Were all to date it in turns, their turns
-/// would drift together, and between them everyone's knowledge grow too old.
+/// The first balancer in rank confirms the age of the data for all. The other
+/// watchers are standbys, which report changes if the first one fails. If all
+/// watchers confirmed in turn, their periods would drift together and the data
+/// of all balancers would become too old in between.
 std::optional<duration> directory::impl::nextWait(const object_feed &Feed) {
   const instant Now = Timers.now();
   const std::size_t Rank = Peers.rank(Now);
   const std::size_t Watchers = Peers.watchers(Now);
-  const bool IsFresh = Feed.asOf() && Now - *Feed.asOf() <= TrustPeersFor;
-  if (IsFresh && (Rank >= Watchers || !hasMet(FirstPeersMetAfter, Now)))
+  const bool IsFresh = Feed.asOf() && Now - *Feed.asOf() <= PeerStateMaxAge;
+  if (IsFresh && (Rank >= Watchers || !hasRunFor(PeerDiscoveryTime, Now)))
     return std::nullopt;
-  // The watchers try on behalf of all.
+  // The watchers retry on behalf of all balancers.
   const bool HasTried =
-      Feed.failedAt() && Now - *Feed.failedAt() < PatientRetry;
+      Feed.failedAt() && Now - *Feed.failedAt() < BackgroundRetryInterval;
   if (Rank >= Watchers && HasTried)
     return std::nullopt;
   if (Rank >= Watchers || Peers.live(Now) == 0)
-    return LoneWatch;
+    return SoloWatchWait;
   if (Rank == 0)
-    return WatchSpacing;
-  const duration Wait =
-      std::min(WatchSpacing * static_cast<std::int64_t>(Watchers), MostWatch);
+    return FirstWatcherWait;
+  const duration Wait = std::min(
+      FirstWatcherWait * static_cast<std::int64_t>(Watchers), MaxWatchWait);
   return Wait * std::uniform_int_distribution<int>(75, 100)(Random) / 100;
 }
 
 void directory::impl::onRoutesObject(const platform_object &Object) {
   if (Object.Key.Name != Settings.RoutesName || Object.Deleted)
     return;
-  if (!Intake.busy())
-    KnownBeforeIntake = Routes.asOf();
-  Intake.take(Object);
+  if (!Loader.busy())
+    KnownBeforeLoading = Routes.asOf();
+  Loader.take(Object);
 }
 
-route_intake::hooks directory::impl::intakeHooks() {
-  route_intake::hooks Intake;
-  Intake.Read = [this](const platform_object &Object) {
+route_loader::hooks directory::impl::loaderHooks() {
+  route_loader::hooks Loader;
+  Loader.Read = [this](const platform_object &Object) {
     return isEncodedRouteTable(Object.Body) ? readEncodedRouteTable(Object)
                                             : Hooks.ReadRoutes(Object);
   };
-  Intake.Yield = Hooks.Yield;
-  Intake.OnTable = [this](const platform_object &Object, route_table Table) {
+  Loader.Yield = Hooks.Yield;
+  Loader.OnTable = [this](const platform_object &Object, route_table Table) {
     onRoutesRead(Object, std::move(Table));
   };
-  Intake.OnUse = [this] { changed(); };
-  Intake.OnRefused = [this](const std::string &Why) {
+  Loader.OnTableReady = [this] { notifyChanges(); };
+  Loader.OnRefused = [this](const std::string &Why) {
     Hooks.OnEvent(event_kind::RoutesRefused, Why);
   };
-  Intake.OnTurn = Hooks.OnTurn;
-  return Intake;
+  Loader.OnTurn = Hooks.OnTurn;
+  return Loader;
 }
 
 void directory::impl::onRoutesRead(const platform_object &Object,
@@ -156,7 +161,7 @@
   if (Name == RecordName && !Object.Deleted) {
     Record.load(Object.Body);
     RulesChanged = true;
-    needRecord();
+    requestRecordUpdate();
     return;
   }
   if (Name.starts_with(BalancerPrefix))
@@ -199,7 +204,8 @@
       serviceNumber(Body["zone"].get<std::string>()));
 }
 
-/// A deleted entry leads nowhere any more, unless its balancer is heard again.
+/// Peers whose entry was deleted are not contacted any more, unless a message
+/// from them arrives.
 void directory::impl::onBalancer(const platform_object &Object) {
   const auto Peer = balancerAt(Object);
   if (!Peer)
@@ -207,60 +213,62 @@
   if (Object.Deleted)
     Peers.forget(*Peer);
   else
-    Peers.know(*Peer, zoneOf(Object));
+    Peers.add(*Peer, zoneOf(Object));
 }
 
-void directory::impl::changed() {
-  takeNewestRoutes();
-  tellRules();
+void directory::impl::notifyChanges() {
+  activateNewestRoutes();
+  notifyRules();
   if (std::exchange(TargetsChanged, false))
     Hooks.OnTargets();
 }
 
-void directory::impl::tellRules() {
+void directory::impl::notifyRules() {
   if (!std::exchange(RulesChanged, false))
     return;
   measured_turn Turn(Hooks.OnTurn, turn_kind::BuildRules);
-  const rule_changes Changes = Gate.changes(Record);
-  Turn.setItems(Changes.Changed.size() + Changes.Gone.size());
+  const rule_changes Changes = Activation.changes(Record);
+  Turn.setItems(Changes.Changed.size() + Changes.Removed.size());
   if (!Changes.empty())
     Hooks.OnRules(Changes);
 }
 
-/// The first table waits for the record, which tells what of it is new.
-void directory::impl::takeNewestRoutes() {
+/// The first table is held until the record is known, which tells which of its
+/// services are new.
+void directory::impl::activateNewestRoutes() {
   if (!Decoded || !Site.known())
     return;
   route_table Table = std::move(*Decoded);
   Decoded.reset();
-  if (!Gate.take(std::move(Table), Record, Timers.now()))
+  if (!Activation.take(std::move(Table), Record, Timers.now()))
     return;
   RulesChanged = true;
-  needRecord();
+  requestRecordUpdate();
   Hooks.OnEvent(event_kind::RoutesKnown,
                 "version " + std::to_string(DecodedVersion));
-  armGate();
+  armActivation();
 }
 
-void directory::impl::armGate() {
-  const auto Due = Gate.nextChange();
+void directory::impl::armActivation() {
+  const auto Due = Activation.nextChange();
   if (!Due)
     return;
   Timers.after(*Due - Timers.now(), guarded([this] {
-    if (!Gate.advance(Timers.now()))
+    if (!Activation.advance(Timers.now()))
       return;
-    Hooks.OnEvent(event_kind::RoutesInForce,
-                  "version " + std::to_string(Gate.versionInForce()));
+    Hooks.OnEvent(event_kind::RoutesActivated,
+                  "version " + std::to_string(Activation.activeVersion()));
     RulesChanged = true;
-    tellRules();
-    armGate();
+    notifyRules();
+    armActivation();
   }));
 }
 
-/// A configuration that is still being read is not known: a list without the
-/// service that it brings would be called whole.
+/// A configuration that is still being read does not count as known: otherwise
+/// a list of owner candidates without its new service would be considered
+/// complete.
 std::optional<instant> directory::impl::knownAsOf() const {
-  const auto RoutesAsOf = Intake.busy() ? KnownBeforeIntake : Routes.asOf();
+  const auto RoutesAsOf = Loader.busy() ? KnownBeforeLoading : Routes.asOf();
   const auto SiteAsOf = Site.asOf();
   if (!RoutesAsOf || !SiteAsOf)
     return std::nullopt;
@@ -282,26 +290,27 @@
   Impl->StartedAt = Impl->Timers.now();
   Impl->Routes.start();
   Impl->Site.start();
-  Impl->greet();
-  Impl->Timers.every(GreetingPeriod, Impl->guarded([this] { Impl->greet(); }));
-  Impl->Timers.every(RecordPeriod,
-                     Impl->guarded([this] { Impl->keepRecord(); }));
+  Impl->sendSyncMessages();
+  Impl->Timers.every(SyncPeriod,
+                     Impl->guarded([this] { Impl->sendSyncMessages(); }));
+  Impl->Timers.every(RecordCheckPeriod,
+                     Impl->guarded([this] { Impl->maintainRecord(); }));
 }
 
-void directory::knowPeers(const std::vector<endpoint> &Peers) {
+void directory::addPeers(const std::vector<endpoint> &Peers) {
   for (const endpoint &Peer : Peers)
-    Impl->Peers.know(Peer);
+    Impl->Peers.add(Peer);
 }
 
 void directory::input(const endpoint &From,
                       std::span<const std::uint8_t> Bytes) {
-  if (isAnnouncement(Bytes))
-    return Impl->announce(From, Bytes);
+  if (isRegistrationRequest(Bytes))
+    return Impl->onRegistrationRequest(From, Bytes);
   Impl->input(From, Bytes);
 }
 
 bool directory::isForDirectory(std::span<const std::uint8_t> Bytes) {
-  return isGreeting(Bytes) || isAnnouncement(Bytes);
+  return isSyncMessage(Bytes) || isRegistrationRequest(Bytes);
 }
 
 std::optional<std::string> directory::serve(const std::string &Kind) const {
@@ -312,8 +321,8 @@
     Feed = &Impl->Site;
   if (!Feed || !Feed->known())
     return std::nullopt;
-  // What is being read has no short form yet.
-  if (Feed == &Impl->Routes && Impl->Intake.busy())
+  // The compact form of a configuration that is being read does not exist yet.
+  if (Feed == &Impl->Routes && Impl->Loader.busy())
     return std::nullopt;
   measured_turn Turn(Impl->Hooks.OnTurn, turn_kind::ServeCopies);
   platform_reply List;
@@ -326,11 +335,11 @@
 }
 
 bool directory::ready() const {
-  return Impl->Gate.known() && Impl->Site.known();
+  return Impl->Activation.known() && Impl->Site.known();
 }
 
 std::vector<route_rule> directory::rules() const {
-  return Impl->Gate.rules(Impl->Record);
+  return Impl->Activation.rules(Impl->Record);
 }
 
 std::vector<target_entry> directory::targets() const {
@@ -341,7 +350,7 @@
 }
 
 std::uint64_t directory::routesVersion() const {
-  return Impl->Gate.versionInForce();
+  return Impl->Activation.activeVersion();
 }
 
 std::optional<instant> directory::knownAsOf() const {
@@ -358,16 +367,17 @@
     if (Object == Impl->Site.objects().end())
       continue;
     Impl->Hooks.OnEvent(event_kind::TargetDown, Name);
-    // A conflict means that someone has just written it: then it lives.
+    // A conflict means that the agent has just rewritten the entry and is
+    // alive.
     Impl->Platform.Site.Remove(Object->second.Key, Object->second.Version,
                                [](const platform_reply &) {});
   }
 }
 
-std::vector<target_entry> directory::targetsInCharge() const {
+std::vector<target_entry> directory::supervisedTargets() const {
   const instant Now = Impl->Timers.now();
   std::vector<target_entry> Zone;
-  if (!Impl->hasMet(ZonePeersMetAfter, Now) ||
+  if (!Impl->hasRunFor(ZonePeerDiscoveryTime, Now) ||
       Impl->Peers.rankIn(Impl->ZoneNumber, Now) != 0)
     return Zone;
   for (const auto &[Name, Target] : Impl->Targets)
--- a/src/directory/directory_impl.h
+++ b/src/directory/directory_impl.h
@@ -1,9 +1,9 @@
-//===- directory_impl.h - The parts of a balancer's directory ---*- C++ -*-===//
+//===- directory_impl.h - Internals of the directory class ------*- C++ -*-===//
 ///
 /// \file
-/// The state behind directory. Its functions stand by subject: what is learnt
-/// from the store in directory.cpp, from peers in directory_peers.cpp, and what
-/// this balancer writes in directory_writes.cpp.
+/// The implementation class of directory. Its functions are grouped by subject:
+/// data from the store in directory.cpp, exchange with peers in
+/// directory_peers.cpp, writes to the store in directory_writes.cpp.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -13,11 +13,11 @@
 #include "marjoramrail/directory.h"
 
 #include "directory/object_feed.h"
-#include "directory/peer_greeting.h"
-#include "directory/peer_ring.h"
-#include "directory/route_gate.h"
-#include "directory/route_intake.h"
+#include "directory/peer_selector.h"
+#include "directory/route_activation.h"
+#include "directory/route_loader.h"
 #include "directory/route_table_codec.h"
+#include "directory/sync_message.h"
 
 #include <random>
 
@@ -25,7 +25,7 @@
 
 using namespace internal;
 
-/// Names of our own objects begin with what they are.
+/// Prefixes and names of marjoramrail's own objects in the store.
 inline constexpr const char *TargetPrefix = "target.";
 inline constexpr const char *BalancerPrefix = "balancer.";
 inline constexpr const char *RecordName = "routes";
@@ -41,43 +41,45 @@
   std::optional<duration> routesWait();
   std::optional<duration> siteWait();
   std::optional<duration> nextWait(const object_feed &Feed);
-  /// This balancer has been running for so long.
-  bool hasMet(duration After, instant Now) const;
+  /// Whether this balancer has been running for at least \p After.
+  bool hasRunFor(duration After, instant Now) const;
 
   void onRoutesObject(const platform_object &Object);
   void onSiteObject(const platform_object &Object);
   void onBalancer(const platform_object &Object);
-  route_intake::hooks intakeHooks();
+  route_loader::hooks loaderHooks();
   void onRoutesRead(const platform_object &Object, route_table Table);
   std::optional<instant> knownAsOf() const;
-  void takeNewestRoutes();
-  void changed();
-  void tellRules();
-  void needRecord();
-  void armGate();
+  void activateNewestRoutes();
+  void notifyChanges();
+  void notifyRules();
+  void requestRecordUpdate();
+  void armActivation();
 
-  void greet();
+  void sendSyncMessages();
   void input(const endpoint &From, std::span<const std::uint8_t> Bytes);
-  peer_greeting greeting() const;
-  kind_knowledge knowledgeOf(const object_feed &Feed) const;
-  void takeChanges(peer_greeting &Reply);
-  void learnFrom(const endpoint &Peer, object_feed &Feed,
-                 const std::string &Kind, const kind_knowledge &Theirs,
-                 instant Asked);
+  sync_message makeSyncMessage() const;
+  sync_state syncStateOf(const object_feed &Feed) const;
+  void applyChanges(sync_message &Reply);
+  void applySyncState(const endpoint &Peer, object_feed &Feed,
+                      const std::string &Kind, const sync_state &PeerState,
+                      instant RequestedAt);
   duration pullDelay(const endpoint &Peer, const object_feed &Feed) const;
   void pull(const endpoint &Peer, object_feed &Feed, const std::string &Kind,
-            std::uint64_t TheirChange);
+            std::uint64_t PeerLastChange);
 
-  void keepRecord();
+  void maintainRecord();
   std::optional<std::string> compareRecord();
   void writeRecord(const std::string &Body);
   void writeSelf();
-  void dropGonePeers();
-  void announce(const endpoint &From, std::span<const std::uint8_t> Bytes);
-  void writeFor(const target_entry &Target);
-  /// The balancer that \p Object names, if it is a balancer's entry.
+  void removeDeadPeers();
+  void onRegistrationRequest(const endpoint &From,
+                             std::span<const std::uint8_t> Bytes);
+  void registerTarget(const target_entry &Target);
+  /// The address of the balancer that \p Object registers, if it is the entry
+  /// of a balancer.
   static std::optional<endpoint> balancerAt(const platform_object &Object);
-  /// The number of the zone that a balancer's entry names, or 0.
+  /// The numeric id of the zone in a balancer's entry, or 0.
   static std::uint32_t zoneOf(const platform_object &Object);
   std::string selfBody() const;
 
@@ -93,30 +95,31 @@
   directory_settings Settings;
   directory_hooks Hooks;
   std::mt19937_64 Random;
-  peer_ring Peers;
+  peer_selector Peers;
   route_record Record;
-  route_gate Gate;
+  route_activation Activation;
   object_feed Routes;
   object_feed Site;
-  route_intake Intake;
-  /// While the intake is at work: what was known before it began.
-  std::optional<instant> KnownBeforeIntake;
+  route_loader Loader;
+  /// While the loader is busy: the time up to which data was complete when
+  /// loading began.
+  std::optional<instant> KnownBeforeLoading;
   std::uint32_t ZoneNumber;
   std::optional<instant> StartedAt;
   std::map<std::string, target_entry> Targets;
-  /// The newest table, until the gate takes it.
+  /// The newest table, until it is passed to Activation.
   std::optional<route_table> Decoded;
   std::uint64_t DecodedVersion = 0;
-  /// Something that rules rest on has changed, or a target has, since the hooks
-  /// were last called.
+  /// Rules or targets have changed since the hooks were last called.
   bool RulesChanged = false;
   bool TargetsChanged = false;
   bool Pulling = false;
-  bool RecordBusy = false;
-  bool SelfBusy = false;
+  bool RecordWritePending = false;
+  bool SelfWritePending = false;
   instant NextSelfWrite;
-  /// The version of this balancer's entry that says what it shall.
-  std::uint64_t SelfReadAt = 0;
+  /// The version of this balancer's own entry that was last found to have the
+  /// expected content.
+  std::uint64_t SelfCheckedVersion = 0;
   instant NextPeerSweep;
   std::optional<instant> RecordNeededSince;
   std::optional<instant> RecheckRecordAt;
--- a/src/directory/directory_writes.cpp
+++ b/src/directory/directory_writes.cpp
@@ -6,56 +6,60 @@
 
 using json = nlohmann::json;
 
-/// After a write of the record, its outcome has come by the watch.
-static constexpr duration RecordRecheck = std::chrono::milliseconds(600);
-/// A store that refuses is not asked by every balancer at every look.
-static constexpr duration SelfRetry = std::chrono::seconds(2);
+/// Within this time after a write of the record the watch has returned its
+/// result.
+static constexpr duration RecordRecheckDelay = std::chrono::milliseconds(600);
+/// Limits the rate at which balancers retry while the store refuses their
+/// calls.
+static constexpr duration SelfWriteInterval = std::chrono::seconds(2);
 static constexpr duration PeerSweepPeriod = std::chrono::seconds(10);
-/// The next in rank writes the record when the ones before have not.
+/// Each balancer waits this long per rank, and writes the record only if those
+/// of lower rank have not.
 static constexpr duration RankDelay = std::chrono::milliseconds(200);
-/// Ranks that wait their turn; beyond, a store that many cannot reach would
-/// hold up the record longer than SettleTime.
-static constexpr std::size_t MostRanks = 5;
+/// The number of ranks that wait. With more, the record would be delayed for
+/// longer than SettleTime if many balancers cannot reach the store.
+static constexpr std::size_t MaxRanks = 5;
 
 std::string directory::impl::selfBody() const {
   return json{{"self", toText(Settings.Self)}, {"zone", Settings.Zone}}.dump();
 }
 
 void directory::impl::writeSelf() {
-  if (!Site.known() || SelfBusy || Timers.now() < NextSelfWrite)
+  if (!Site.known() || SelfWritePending || Timers.now() < NextSelfWrite)
     return;
   const std::string Name = BalancerPrefix + Settings.Name;
   const auto Held = Site.objects().find(Name);
   const bool IsHeld = Held != Site.objects().end();
-  if (IsHeld && Held->second.Version == SelfReadAt)
+  if (IsHeld && Held->second.Version == SelfCheckedVersion)
     return;
   if (IsHeld && json::parse(Held->second.Body, nullptr, false) ==
                     json::parse(selfBody())) {
-    SelfReadAt = Held->second.Version;
+    SelfCheckedVersion = Held->second.Version;
     return;
   }
   platform_write Write;
   Write.Object.Key = {Settings.SiteKind, Name};
   Write.Object.Body = selfBody();
   Write.Expected = IsHeld ? Held->second.Version : 0;
-  SelfBusy = true;
-  NextSelfWrite = Timers.now() + SelfRetry;
+  SelfWritePending = true;
+  NextSelfWrite = Timers.now() + SelfWriteInterval;
   Platform.Site.Write(Write, guarded([this](const platform_reply &Reply) {
-                        SelfBusy = Reply.Outcome == platform_outcome::Ok;
+                        SelfWritePending =
+                            Reply.Outcome == platform_outcome::Ok;
                       }));
 }
 
-/// Entries of balancers that were replaced. Left there, every balancer would
-/// greet them for ever. One that lives finds its entry missing and writes it
-/// again.
-void directory::impl::dropGonePeers() {
+/// Removes the entries of balancers that were replaced; otherwise every
+/// balancer would send messages to them indefinitely. A balancer that is alive
+/// finds its entry missing and writes it again.
+void directory::impl::removeDeadPeers() {
   const instant Now = Timers.now();
   if (Now < NextPeerSweep || !Site.known() || Peers.rank(Now) != 0)
     return;
   NextPeerSweep = Now + PeerSweepPeriod;
   for (const auto &[Name, Object] : Site.objects()) {
     const auto Peer = balancerAt(Object);
-    if (!Peer || !Peers.isGone(*Peer, Now))
+    if (!Peer || !Peers.isDead(*Peer, Now))
       continue;
     Hooks.OnEvent(event_kind::TargetDown, Name);
     Platform.Site.Remove(Object.Key, Object.Version,
@@ -63,11 +67,11 @@
   }
 }
 
-void directory::impl::announce(const endpoint &From,
-                               std::span<const std::uint8_t> Bytes) {
+void directory::impl::onRegistrationRequest(
+    const endpoint &From, std::span<const std::uint8_t> Bytes) {
   const auto Failure = failureOf([&]() -> result<void> {
-    BOOST_LEAF_AUTO(Target, decodeAnnouncement(Bytes));
-    writeFor(Target);
+    BOOST_LEAF_AUTO(Target, decodeRegistrationRequest(Bytes));
+    registerTarget(Target);
     return {};
   });
   if (Failure)
@@ -75,14 +79,15 @@
                   toText(From) + ": " + toText(*Failure));
 }
 
-/// The store may refuse the VM of a new target for long, and serve this one.
-/// Only an entry that is not there is written: of one that is, its agent alone
-/// knows more than the store.
-void directory::impl::writeFor(const target_entry &Target) {
+/// Registers a target on behalf of its agent: the store may refuse the VM of a
+/// new target for long and serve this balancer. Only a missing entry is
+/// written, since the state of an existing one is only known to its agent.
+void directory::impl::registerTarget(const target_entry &Target) {
   if (!Site.known() || !Target.Name.starts_with(TargetPrefix) ||
       Site.objects().contains(Target.Name))
     return;
-  Hooks.OnEvent(event_kind::TargetJoined, Target.Name + " by way of here");
+  Hooks.OnEvent(event_kind::TargetJoined,
+                Target.Name + ", written on behalf of its agent");
   platform_write Write;
   Write.Object.Key = {Settings.SiteKind, Target.Name};
   target_entry Entry = Target;
@@ -91,36 +96,39 @@
   Platform.Site.Write(Write, [](const platform_reply &) {});
 }
 
-/// The routes or the record have changed, or a write may have failed.
-void directory::impl::needRecord() {
+/// Called when the routes or the record have changed, or a write may have
+/// failed.
+void directory::impl::requestRecordUpdate() {
   RecordNeededSince = RecordNeededSince.value_or(Timers.now());
 }
 
 std::optional<std::string> directory::impl::compareRecord() {
-  const route_services &Current = Gate.newestServices();
+  const route_services &Current = Activation.newestServices();
   const measured_turn Turn(Hooks.OnTurn, turn_kind::CompareRecord,
                            Current.entries().size());
   return Record.update(Current, Timers.now());
 }
 
-void directory::impl::keepRecord() {
+void directory::impl::maintainRecord() {
   writeSelf();
-  dropGonePeers();
+  removeDeadPeers();
   if (RecheckRecordAt && Timers.now() >= *RecheckRecordAt) {
     RecheckRecordAt.reset();
-    needRecord();
+    requestRecordUpdate();
   }
-  if (!RecordNeededSince || !Gate.known() || !Site.known() || RecordBusy)
+  if (!RecordNeededSince || !Activation.known() || !Site.known() ||
+      RecordWritePending)
     return;
-  // Whoever waits its turn compares only then: mostly the record has come.
-  const auto Rank = std::min(Peers.rank(Timers.now()), MostRanks);
+  // The comparison is only made after the wait, when the record has usually
+  // been written by another balancer.
+  const auto Rank = std::min(Peers.rank(Timers.now()), MaxRanks);
   if (Timers.now() - *RecordNeededSince <
       RankDelay * static_cast<std::int64_t>(Rank))
     return;
   if (const auto Body = compareRecord())
     return writeRecord(*Body);
   RecordNeededSince.reset();
-  // Former services leave the record in time.
+  // Previous services are removed from the record when their time is over.
   RecheckRecordAt = Record.nextExpiry();
 }
 
@@ -130,13 +138,13 @@
   Write.Object.Key = {Settings.SiteKind, RecordName};
   Write.Object.Body = Body;
   Write.Expected = Held == Site.objects().end() ? 0 : Held->second.Version;
-  RecordBusy = true;
+  RecordWritePending = true;
   Platform.Site.Write(Write, guarded([this](const platform_reply &) {
-                        RecordBusy = false;
-                        // The watch brings the record; until then nobody needs
-                        // to write it again.
+                        RecordWritePending = false;
+                        // The watch returns the new record; until then it need
+                        // not be written again.
                         RecordNeededSince.reset();
-                        RecheckRecordAt = Timers.now() + RecordRecheck;
+                        RecheckRecordAt = Timers.now() + RecordRecheckDelay;
                       }));
 }
 
--- /dev/null
+++ b/src/directory/peer_selector.cpp
@@ -0,0 +1,147 @@
+#include "directory/peer_selector.h"
+
+namespace marjoramrail::internal {
+
+void peer_selector::add(const endpoint &Peer, std::uint32_t Zone) {
+  if (Peer == Self)
+    return;
+  peer &State = Peers[Peer];
+  if (!State.HeardAt && Zone != 0)
+    State.Zone = Zone;
+}
+
+void peer_selector::recordMessage(const endpoint &Peer, std::uint32_t Zone,
+                                  instant Now, bool IsServed) {
+  if (Peer != Self)
+    Peers[Peer] = {Now, Zone, IsServed, 0, Now};
+}
+
+std::size_t peer_selector::live(instant Now) const {
+  return static_cast<std::size_t>(
+      std::count_if(Peers.begin(), Peers.end(),
+                    [&](const auto &Peer) { return Peer.second.isLive(Now); }));
+}
+
+bool peer_selector::anyServed(instant Now) const {
+  return std::any_of(Peers.begin(), Peers.end(), [&](const auto &Peer) {
+    return Peer.second.IsServed && Peer.second.isLive(Now);
+  });
+}
+
+std::size_t peer_selector::countAhead(
+    instant Now, const std::function<bool(const peer &)> &Counts) const {
+  const bool AnyServed = anyServed(Now);
+  return static_cast<std::size_t>(
+      std::count_if(Peers.begin(), Peers.end(), [&](const auto &Item) {
+        const auto &[Peer, State] = Item;
+        const bool IsEligible = State.IsServed || !AnyServed;
+        return Peer < Self && State.isLive(Now) && IsEligible && Counts(State);
+      }));
+}
+
+std::size_t peer_selector::rank(instant Now) const {
+  return countAhead(Now, [](const peer &) { return true; });
+}
+
+std::size_t peer_selector::watchers(instant Now) const {
+  return std::max(MinWatchers, live(Now) / BalancersPerWatcher);
+}
+
+std::size_t peer_selector::rankIn(std::uint32_t Zone, instant Now) const {
+  return countAhead(Now,
+                    [Zone](const peer &State) { return State.Zone == Zone; });
+}
+
+std::size_t peer_selector::liveIn(std::uint32_t Zone, instant Now) const {
+  return static_cast<std::size_t>(
+      std::count_if(Peers.begin(), Peers.end(), [&](const auto &Peer) {
+        return Peer.second.isLive(Now) && Peer.second.Zone == Zone;
+      }));
+}
+
+bool peer_selector::isOfZone(const endpoint &Peer, std::uint32_t Wanted) const {
+  const auto Found = Peers.find(Peer);
+  return Found != Peers.end() && Found->second.Zone == Wanted;
+}
+
+bool peer_selector::isDead(const endpoint &Peer, instant Now) const {
+  const auto Found = Peers.find(Peer);
+  return Found != Peers.end() && !Found->second.isLive(Now) &&
+         Found->second.Unanswered >= DeadAfterMessages &&
+         Now - Found->second.UnansweredSince >= DeadAfter;
+}
+
+void peer_selector::addOneOf(const std::vector<endpoint> &Peers,
+                             std::vector<endpoint> &Chosen) {
+  std::vector<endpoint> Left;
+  for (const endpoint &Peer : Peers)
+    if (std::find(Chosen.begin(), Chosen.end(), Peer) == Chosen.end())
+      Left.push_back(Peer);
+  if (Left.empty() || Chosen.size() >= Fanout)
+    return;
+  std::uniform_int_distribution<std::size_t> Place(0, Left.size() - 1);
+  Chosen.push_back(Left[Place(Random)]);
+}
+
+std::optional<endpoint> peer_selector::unheardPeerAhead(bool OfZone,
+                                                        instant Now) const {
+  const bool IsAhead =
+      OfZone ? rankIn(Zone, Now) < WatchersPerZone : rank(Now) < watchers(Now);
+  if (!IsAhead)
+    return std::nullopt;
+  for (const auto &[Peer, State] : Peers)
+    if (Peer < Self && !State.isLive(Now) && (!OfZone || State.Zone == Zone) &&
+        State.Unanswered < MaxTriesAhead)
+      return Peer;
+  return std::nullopt;
+}
+
+peer_selector::candidates peer_selector::candidatesAt(instant Now) const {
+  candidates Found;
+  const bool AnyServed = anyServed(Now);
+  // Watchers contact the first few among them, so that all watchers soon have
+  // the same data.
+  const std::size_t MaxWatchers =
+      rank(Now) < watchers(Now) ? MinWatchers : watchers(Now);
+  const std::size_t MaxZoneWatchers =
+      std::max(WatchersPerZone, liveIn(Zone, Now) / BalancersPerWatcher);
+  for (const auto &[Peer, State] : Peers) {
+    if (!State.isLive(Now)) {
+      Found.Unresponsive.push_back(Peer);
+      continue;
+    }
+    Found.Live.push_back(Peer);
+    if (!State.IsServed && AnyServed)
+      continue;
+    if (Found.Watchers.size() < MaxWatchers)
+      Found.Watchers.push_back(Peer);
+    if (State.Zone == Zone && Found.ZoneWatchers.size() < MaxZoneWatchers)
+      Found.ZoneWatchers.push_back(Peer);
+  }
+  return Found;
+}
+
+std::vector<endpoint> peer_selector::choosePeers(instant Now,
+                                                 bool NeedsUpdates) {
+  const candidates Found = candidatesAt(Now);
+  std::vector<endpoint> Chosen;
+  const bool ContactsWatcher = ++Rounds % 2 == 0;
+  if (const auto Ahead = unheardPeerAhead(/*OfZone=*/!ContactsWatcher, Now))
+    Chosen.push_back(*Ahead);
+  addOneOf(ContactsWatcher ? Found.Watchers : Found.ZoneWatchers, Chosen);
+  if (Rounds % RoundsPerSilentPeer == 0)
+    addOneOf(Found.Unresponsive, Chosen);
+  if (NeedsUpdates)
+    addOneOf(ContactsWatcher ? Found.ZoneWatchers : Found.Watchers, Chosen);
+  for (const std::vector<endpoint> *Any : {&Found.Live, &Found.Unresponsive})
+    for (std::size_t Turn = 0; Turn < Fanout; ++Turn)
+      addOneOf(*Any, Chosen);
+  for (const endpoint &Peer : Chosen) {
+    peer &State = Peers[Peer];
+    if (State.Unanswered++ == 0)
+      State.UnansweredSince = Now;
+  }
+  return Chosen;
+}
+
+} // namespace marjoramrail::internal
--- /dev/null
+++ b/src/directory/route_activation.cpp
@@ -0,0 +1,168 @@
+#include "directory/route_activation.h"
+
+#include <algorithm>
+#include <xxhash.h>
+
+namespace marjoramrail::internal {
+
+route_activation::sorted_table::sorted_table(route_table Unsorted)
+    : Table(std::move(Unsorted)), Services(Table) {
+  // Stable, so that the shares of a route keep their order.
+  std::stable_sort(
+      Table.Routes.begin(), Table.Routes.end(),
+      [](const route &A, const route &B) { return A.Address < B.Address; });
+}
+
+bool route_activation::take(route_table Table, const route_record &Record,
+                            instant Now) {
+  if (Newest && Table.Version <= Newest->Table.Version)
+    return false;
+  const bool IsFirst = !Newest;
+  Newest = std::make_shared<const sorted_table>(std::move(Table));
+  if (IsFirst) {
+    // Services that were on record before this process started are known to
+    // every process that may receive packets of their flows.
+    Active = Newest;
+    Withheld = Newest->Services.without(Record.all());
+    if (!Withheld.empty())
+      Due = Now + SettleTime;
+    return true;
+  }
+  if (Active->Services.containsAll(Newest->Services)) {
+    Active = Newest;
+    if (Withheld.empty())
+      Due.reset();
+    return true;
+  }
+  // A change that arrives while another one waits does not extend the wait:
+  // otherwise changes in quick succession would never take effect.
+  if (!Due)
+    Due = Now + SettleTime;
+  return true;
+}
+
+bool route_activation::advance(instant Now) {
+  if (!Due || Now < *Due)
+    return false;
+  Due.reset();
+  Withheld.clear();
+  Active = Newest;
+  return true;
+}
+
+std::optional<instant> route_activation::nextChange() const { return Due; }
+
+bool route_activation::isWithheld(const route_service &Entry) const {
+  return std::binary_search(Withheld.begin(), Withheld.end(), Entry);
+}
+
+/// Iterates over the active routes, the newest ones and the record in parallel,
+/// in order of address, and calls \p Take with each address and the parts of
+/// its rule: active services in the order of their shares, then upcoming ones,
+/// then previous ones.
+template <typename Callable>
+void route_activation::forEachRule(const route_record &Record,
+                                   const Callable &Take) const {
+  const std::vector<route> &Present = Active->Table.Routes;
+  static const std::vector<route> None;
+  const std::vector<route> &Coming =
+      Newest && Newest != Active ? Newest->Table.Routes : None;
+  const route_services &Recorded = Record.all();
+  std::vector<rule_part> Parts;
+  const auto Add = [&](std::string_view Name, service_id Service) {
+    const bool Named =
+        std::any_of(Parts.begin(), Parts.end(), [&](const rule_part &Part) {
+          return Part.Service == Service;
+        });
+    if (!Named)
+      Parts.push_back({Name, Service});
+  };
+  auto Now = Present.begin();
+  auto Next = Coming.begin();
+  auto Previous = Recorded.entries().begin();
+  const auto PreviousEnd = Recorded.entries().end();
+  while (Now != Present.end() || Next != Coming.end()) {
+    endpoint Address = Now != Present.end() ? Now->Address : Next->Address;
+    if (Next != Coming.end())
+      Address = std::min(Address, Next->Address);
+    Parts.clear();
+    for (; Now != Present.end() && Now->Address == Address; ++Now)
+      for (const service_share &Share : Now->Shares) {
+        const service_id Service = serviceNumber(Share.Service);
+        Parts.push_back({Share.Service, Service, Share.Weight,
+                         Withheld.empty() || !isWithheld({Address, Service})});
+      }
+    for (; Next != Coming.end() && Next->Address == Address; ++Next)
+      for (const service_share &Share : Next->Shares)
+        Add(Share.Service, serviceNumber(Share.Service));
+    while (Previous != PreviousEnd && Previous->Address < Address)
+      ++Previous;
+    for (; Previous != PreviousEnd && Previous->Address == Address; ++Previous)
+      Add(Recorded.nameOf(Previous->Service), Previous->Service);
+    Take(Address, Parts);
+  }
+}
+
+route_rule route_activation::ruleOf(const endpoint &Address,
+                                    const std::vector<rule_part> &Parts) {
+  route_rule Rule;
+  Rule.Address = Address;
+  for (const rule_part &Part : Parts) {
+    std::string Name(Part.Name);
+    if (Part.TakesNew)
+      Rule.Shares.push_back({Name, Part.Weight});
+    if (std::find(Rule.OwnerServices.begin(), Rule.OwnerServices.end(), Name) ==
+        Rule.OwnerServices.end())
+      Rule.OwnerServices.push_back(std::move(Name));
+  }
+  return Rule;
+}
+
+std::uint64_t route_activation::hashOf(const std::vector<rule_part> &Parts) {
+  std::uint64_t Hash = Parts.size();
+  for (const rule_part &Part : Parts) {
+    const std::uint32_t Fields[] = {static_cast<std::uint32_t>(Part.Service),
+                                    Part.Weight,
+                                    static_cast<std::uint32_t>(Part.TakesNew)};
+    Hash = XXH3_64bits_withSeed(Fields, sizeof(Fields), Hash);
+  }
+  return Hash;
+}
+
+std::vector<route_rule>
+route_activation::rules(const route_record &Record) const {
+  std::vector<route_rule> All;
+  forEachRule(Record, [&](const endpoint &Address,
+                          const std::vector<rule_part> &Parts) {
+    All.push_back(ruleOf(Address, Parts));
+  });
+  return All;
+}
+
+rule_changes route_activation::changes(const route_record &Record) {
+  rule_changes Changes;
+  std::vector<rule_fingerprint> Fingerprints;
+  Fingerprints.reserve(Newest ? Newest->Table.Routes.size() : 0);
+  auto Before = ReportedRules.begin();
+  const auto SkipTo = [&](const endpoint &Address) {
+    for (; Before != ReportedRules.end() && Before->Address < Address; ++Before)
+      Changes.Removed.push_back(Before->Address);
+  };
+  forEachRule(Record, [&](const endpoint &Address,
+                          const std::vector<rule_part> &Parts) {
+    SkipTo(Address);
+    const bool Known =
+        Before != ReportedRules.end() && Before->Address == Address;
+    Fingerprints.push_back({Address, hashOf(Parts)});
+    if (!Known || Before->Hash != Fingerprints.back().Hash)
+      Changes.Changed.push_back(ruleOf(Address, Parts));
+    if (Known)
+      ++Before;
+  });
+  for (; Before != ReportedRules.end(); ++Before)
+    Changes.Removed.push_back(Before->Address);
+  ReportedRules = std::move(Fingerprints);
+  return Changes;
+}
+
+} // namespace marjoramrail::internal
--- /dev/null
+++ b/src/directory/route_activation.h
@@ -0,0 +1,89 @@
+//===- route_activation.h - When a configuration takes effect ---*- C++ -*-===//
+///
+/// \file
+/// Delays the additions of a new configuration until every balancer can know
+/// them. If a balancer sent flows to a new service at once, another balancer
+/// that does not know the service yet would receive packets of these flows,
+/// find no owner among the targets it knows and reset them. Removals and
+/// changes of weights take effect at once.
+///
+/// A version never replaces a newer one, in whatever order updates arrive.
+///
+//===----------------------------------------------------------------------===//
+
+#ifndef MARJORAMRAIL_DIRECTORY_ROUTE_ACTIVATION_H
+#define MARJORAMRAIL_DIRECTORY_ROUTE_ACTIVATION_H
+
+#include "directory/route_record.h"
+
+namespace marjoramrail::internal {
+
+class route_activation {
+public:
+  /// Accepts a newer table; false if it is not newer than the newest one known.
+  bool take(route_table Table, const route_record &Record, instant Now);
+  /// Activates additions whose wait is over; true if something changed.
+  bool advance(instant Now);
+  /// When advance() has to be called next, if at all.
+  std::optional<instant> nextChange() const;
+
+  bool known() const { return Newest != nullptr; }
+  const route_table *newest() const {
+    return Newest ? &Newest->Table : nullptr;
+  }
+  /// The services of newest(), which must exist.
+  const route_services &newestServices() const { return Newest->Services; }
+  std::uint64_t activeVersion() const { return Active->Table.Version; }
+
+  /// The rules of all routes that are in effect or upcoming.
+  std::vector<route_rule> rules(const route_record &Record) const;
+  /// The differences to the rules that the previous call returned.
+  rule_changes changes(const route_record &Record);
+
+private:
+  /// A table with its routes sorted by address, and the services of each route.
+  /// It is large and immutable; the active table is often also the newest, and
+  /// they share one copy.
+  struct sorted_table {
+    explicit sorted_table(route_table Unsorted);
+
+    route_table Table;
+    route_services Services;
+  };
+
+  /// One service in a route's rule.
+  struct rule_part {
+    std::string_view Name;
+    service_id Service{};
+    std::uint32_t Weight = 0;
+    /// The service gets new flows; otherwise it may only own existing ones.
+    bool TakesNew = false;
+  };
+
+  /// Hash of a rule, to detect changes.
+  struct rule_fingerprint {
+    endpoint Address;
+    std::uint64_t Hash = 0;
+  };
+
+  template <typename Callable>
+  void forEachRule(const route_record &Record, const Callable &Take) const;
+  bool isWithheld(const route_service &Entry) const;
+  static route_rule ruleOf(const endpoint &Address,
+                           const std::vector<rule_part> &Parts);
+  static std::uint64_t hashOf(const std::vector<rule_part> &Parts);
+
+  std::shared_ptr<const sorted_table> Active =
+      std::make_shared<const sorted_table>(route_table());
+  std::shared_ptr<const sorted_table> Newest;
+  std::optional<instant> Due;
+  /// Services of the first table that were not on record and get no new flows
+  /// until Due. Sorted.
+  std::vector<route_service> Withheld;
+  /// The rules that changes() last returned, sorted by address.
+  std::vector<rule_fingerprint> ReportedRules;
+};
+
+} // namespace marjoramrail::internal
+
+#endif // MARJORAMRAIL_DIRECTORY_ROUTE_ACTIVATION_H
--- a/src/forward/owner_lookup.cpp
+++ b/src/forward/owner_lookup.cpp
@@ -159,7 +159,7 @@
                                        const flow_key &Flow,
                                        const candidate_list &List,
                                        instant Now) {
-  logEvent(event_kind::FlowSought, Where, Flow, List.front(), Now,
+  logEvent(event_kind::OwnerLookupStarted, Where, Flow, List.front(), Now,
            static_cast<double>(List.size()));
 }
 
--- a/src/forward/routed_packets.cpp
+++ b/src/forward/routed_packets.cpp
@@ -132,7 +132,7 @@
   if (Size == 0)
     return agent_outcome::Malformed;
   logEvent(Head.opensFlow() ? event_kind::FlowHandedOn
-                            : event_kind::FlowPassedOn,
+                            : event_kind::OwnerLookupForwarded,
            Why, Head.Flow, Routed.Owners[Routed.Position]);
   Hooks.SendToPeer(Routed.Owners[Routed.Position], {Buffer.data(), Size});
   return agent_outcome::PassedOn;
@@ -158,13 +158,13 @@
                                                    std::string_view Why) {
   const bool IsNew = Head.opensFlow();
   if (!IsNew && Routed.has(routed_flag::Continues)) {
-    logEvent(event_kind::FlowPassedOn,
+    logEvent(event_kind::OwnerLookupForwarded,
              "returned to its balancer for the next list", Head.Flow,
              Routed.Balancer);
     return requestNextList(Routed);
   }
   if (Head.Rst || (!IsNew && !Routed.has(routed_flag::Complete))) {
-    logEvent(event_kind::FlowPassedOn,
+    logEvent(event_kind::OwnerLookupForwarded,
              "not passed on: its list may be incomplete", Head.Flow, {});
     return agent_outcome::Indeterminate;
   }
--- a/src/platform/call.cpp
+++ b/src/platform/call.cpp
@@ -5,7 +5,7 @@
 
 namespace marjoramrail::internal {
 
-/// When a refusal names no time, or one that cannot be read.
+/// Used when a refusal contains no retry time or an invalid one.
 static constexpr duration DefaultRetryAfter = std::chrono::seconds(1);
 static constexpr std::uint32_t MaxRetryAfterSeconds = 3600;
 
@@ -33,7 +33,7 @@
   }
 }
 
-std::string faultOf(const platform_call &Call) {
+std::string validationError(const platform_call &Call) {
   const std::string Rule = ": expected 1 to " + std::to_string(MaxKeyLength) +
                            " of letters, digits, \".\", \"_\", \":\" and \"-\"";
   if (Call.Verb == call_verb::Watch && Call.Key.Kind.empty())
@@ -62,9 +62,9 @@
   return std::chrono::seconds(Seconds);
 }
 
-static platform_reply unreadable(const platform_call &Call) {
-  return replyToLoss(Call, call_loss::NoAnswer,
-                     "the platform's answer cannot be read");
+static platform_reply malformedReply(const platform_call &Call) {
+  return replyToFailure(Call, call_failure::NoAnswer,
+                        "cannot decode the platform's response");
 }
 
 static platform_reply replyToOk(const platform_call &Call,
@@ -72,10 +72,10 @@
   platform_reply Reply;
   Reply.Outcome = platform_outcome::Ok;
   if (Call.Verb == call_verb::List || Call.Verb == call_verb::Watch)
-    return decodeObjects(Answer.Body, Reply) ? Reply : unreadable(Call);
+    return decodeObjects(Answer.Body, Reply) ? Reply : malformedReply(Call);
   auto Object = decodeObject(Answer.Body);
   if (!Object)
-    return unreadable(Call);
+    return malformedReply(Call);
   Reply.Object = std::move(*Object);
   return Reply;
 }
@@ -84,14 +84,15 @@
                                       const http_answer &Answer) {
   auto Object = decodeObject(Answer.Body);
   if (!Object)
-    return unreadable(Call);
+    return malformedReply(Call);
   platform_reply Reply;
   Reply.Outcome = platform_outcome::Conflict;
   Reply.Object = std::move(*Object);
   Reply.Reason = Reply.Object.Version == 0
                      ? "no such object"
                      : "version " + std::to_string(Reply.Object.Version) +
-                           " of " + Reply.Object.Writer + " stands";
+                           " written by " + Reply.Object.Writer +
+                           " is the current one";
   return Reply;
 }
 
@@ -116,15 +117,16 @@
     Reply.RetryAfter = retryAfterOf(Answer.RetryAfter);
     return Reply;
   default:
-    return replyToLoss(Call, call_loss::NoAnswer,
-                       "the platform answered with code " +
-                           std::to_string(Answer.Code));
+    return replyToFailure(Call, call_failure::NoAnswer,
+                          "the platform responded with HTTP status " +
+                              std::to_string(Answer.Code));
   }
 }
 
-platform_reply replyToLoss(const platform_call &Call, call_loss Loss,
-                           const std::string &Reason) {
-  const bool MayHaveChanged = Call.changes() && Loss == call_loss::NoAnswer;
+platform_reply replyToFailure(const platform_call &Call, call_failure Failure,
+                              const std::string &Reason) {
+  const bool MayHaveChanged =
+      Call.changes() && Failure == call_failure::NoAnswer;
   platform_reply Reply;
   Reply.Outcome = MayHaveChanged ? platform_outcome::Unknown
                                  : platform_outcome::Unavailable;
--- a/src/timeline/timeline.cpp
+++ b/src/timeline/timeline.cpp
@@ -6,8 +6,9 @@
 
 namespace marjoramrail {
 
-/// Clocks count in microseconds: with one step an event they would outrun the
-/// wall clock at a thousand events a second if they counted milliseconds.
+/// Logical clocks count microseconds: each event advances them by at least one,
+/// and in milliseconds they would outrun the wall clock at a thousand events a
+/// second.
 static std::uint64_t clockOf(std::int64_t WallMs) {
   return static_cast<std::uint64_t>(std::max<std::int64_t>(WallMs, 0)) * 1000;
 }
@@ -15,9 +16,9 @@
 static constexpr std::int64_t MaxAheadMs = 3600 * 1000;
 
 timeline::timeline(std::string Process, wall_clock WallMs, sink Sink,
-                   std::size_t Kept)
+                   std::size_t MaxEvents)
     : Process(std::move(Process)), WallMs(std::move(WallMs)),
-      Sink(std::move(Sink)), Limit(Kept) {}
+      Sink(std::move(Sink)), Limit(MaxEvents) {}
 
 void timeline::record(timeline_event Event) {
   Event.WallMs = WallMs();
@@ -32,7 +33,7 @@
     Lines.pop_front();
 }
 
-void timeline::witness(std::uint64_t Received) {
+void timeline::observeClock(std::uint64_t Received) {
   if (Received <= clockOf(WallMs() + MaxAheadMs))
     Clock = std::max(Clock, Received);
 }
--- a/test/directory/many_routes_test.cpp
+++ b/test/directory/many_routes_test.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 constexpr std::size_t ManyRoutes = 4200;
-/// A narrow link (10 Mbit/s) carries so much in 50 ms.
-constexpr std::size_t MostBytes = 64 * 1024;
+/// The amount of data that a slow link (10 Mbit/s) transfers in 50 ms.
+constexpr std::size_t MaxBytes = 64 * 1024;
 
-/// {"version": 3, "count": 2}: so many routes on successive addresses, spelled
-/// out to the size that a site's own configuration has.
+/// A configuration with \p Count routes on successive addresses, as verbose as
+/// a site's own configuration.
 std::string bodyOf(std::uint64_t Version, std::size_t Count) {
   nlohmann::json Routes = nlohmann::json::array();
   for (std::size_t I = 0; I < Count; ++I)
@@ -45,16 +45,16 @@
   return Table;
 }
 
-/// One balancer that knows a large configuration and does with each change what
-/// its process does.
+/// One balancer with a large configuration that processes changes as its
+/// process does.
 class many_routes {
 public:
   timer_service Timers;
   fake_platform Store{Timers};
   store_faults Faults;
   std::unique_ptr<directory> Directory;
-  /// Routes that were looked at, by kind of work.
-  std::map<turn_kind, std::size_t> Looked;
+  /// Items processed, by kind of work.
+  std::map<turn_kind, std::size_t> ItemsByWork;
 
   many_routes() {
     Store.put("config", "main", bodyOf(1, ManyRoutes));
@@ -76,7 +76,7 @@
     Hooks.ListFromPeer = [](const endpoint &, const std::string &,
                             const platform_callback &) {};
     Hooks.OnTurn = [this](const turn_done &Turn) {
-      Looked[Turn.What] += Turn.Items;
+      ItemsByWork[Turn.What] += Turn.Items;
     };
     Directory = std::make_unique<directory>(
         Timers,
@@ -87,7 +87,7 @@
     pass(5s);
     REQUIRE(Directory->routesVersion() == 1);
     REQUIRE(Directory->rules().size() == ManyRoutes);
-    Looked.clear();
+    ItemsByWork.clear();
   }
 
   void pass(duration Time) { Timers.advance(Timers.now() + Time); }
@@ -102,36 +102,39 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(many_routes, "targets that join cost no look at the routes") {
-  // Targets are replaced one after the other, several a second, on a site with
-  // thousands of routes. If every target makes balancers go through all routes,
-  // those with a small share of a core do nothing else: callers' packets wait,
-  // and so does the next configuration.
+TEST_CASE_FIXTURE(many_routes,
+                  "new targets do not cause any work on the routes") {
+  // Targets are replaced one after the other, several per second, on a site
+  // with thousands of routes. If every target change made balancers process all
+  // routes, those with a small share of a core would do nothing else: callers'
+  // packets and the next configuration would be delayed.
   for (unsigned Number = 0; Number < 10; ++Number) {
     addTarget(Number);
     pass(500ms);
   }
 
   CHECK(Directory->targets().size() == 10);
-  CHECK(Looked[turn_kind::BuildRules] == 0);
-  CHECK(Looked[turn_kind::CompareRecord] == 0);
+  CHECK(ItemsByWork[turn_kind::BuildRules] == 0);
+  CHECK(ItemsByWork[turn_kind::CompareRecord] == 0);
 }
 
-TEST_CASE_FIXTURE(many_routes, "a peer copies many routes in little") {
+TEST_CASE_FIXTURE(many_routes,
+                  "many routes are copied between peers in few bytes") {
   // All but two balancers of a zone copy a new configuration from those two. In
-  // the site's own spelling it fills a narrow link for a second, and more when
-  // several copy at once.
+  // the site's own format it would saturate a slow link for a second, and
+  // longer if several balancers copy at once.
   const auto Copy = Directory->serve("config");
 
   REQUIRE(Copy);
-  CHECK(Copy->size() <= MostBytes);
+  CHECK(Copy->size() <= MaxBytes);
 }
 
 TEST_CASE_FIXTURE(many_routes, "the record of many routes is small") {
-  // Every balancer gets the record of services when a route is added. A record
-  // that spells out each address takes as long to come as the configuration.
+  // Every balancer receives the record of services when a route is added. A
+  // record with all addresses spelled out would take as long to transfer as the
+  // configuration.
   const platform_object Record = Store.get("marjoramrail", "routes");
 
   REQUIRE(Record.Version != 0);
-  CHECK(Record.Body.size() <= MostBytes);
+  CHECK(Record.Body.size() <= MaxBytes);
 }
--- a/test/directory/target_reports_test.cpp
+++ b/test/directory/target_reports_test.cpp
@@ -16,46 +16,49 @@
   return Report;
 }
 
-TEST_CASE("a target gets new flows once it has said that it is ready") {
+TEST_CASE("a target gets new flows after its first report") {
   target_reports Reports("ledger");
 
   CHECK_FALSE(Reports.acceptsNewFlows());
-  CHECK(Reports.take(report("a", 100, 1), instant()) == report_verdict::Taken);
+  CHECK(Reports.take(report("a", 100, 1), instant()) ==
+        report_verdict::Accepted);
   CHECK(Reports.acceptsNewFlows());
 }
 
-TEST_CASE("a draining target gets none, whatever comes late") {
-  // A report that a partition held up arrives after the target has said that it
-  // drains. Taken at its word it would start new flows to a leaving target.
+TEST_CASE("a draining target gets no new flows after a stale report") {
+  // A report that was delayed by a network partition arrives after the target
+  // has reported that it is draining. If it were accepted, new flows would go
+  // to a leaving target.
   target_reports Reports("ledger");
   Reports.take(report("a", 100, 4), instant());
   Reports.take(report("a", 100, 6, /*Draining=*/true), instant());
 
-  CHECK(Reports.take(report("a", 100, 5), instant()) == report_verdict::Late);
-  CHECK(Reports.take(report("a", 100, 6), instant()) == report_verdict::Late);
+  CHECK(Reports.take(report("a", 100, 5), instant()) == report_verdict::Stale);
+  CHECK(Reports.take(report("a", 100, 6), instant()) == report_verdict::Stale);
   CHECK_FALSE(Reports.acceptsNewFlows());
 }
 
-TEST_CASE("a late word of an earlier run does not stop the next one") {
+TEST_CASE("a stale report of an earlier run does not affect the next run") {
   target_reports Reports("ledger");
   Reports.take(report("a", 100, 9), instant());
   Reports.take(report("b", 200, 1), instant());
 
   CHECK(Reports.take(report("a", 100, 10, true), instant()) ==
-        report_verdict::Late);
-  CHECK(Reports.leave("a", instant()) == report_verdict::Late);
+        report_verdict::Stale);
+  CHECK(Reports.leave("a", instant()) == report_verdict::Stale);
   CHECK(Reports.acceptsNewFlows());
 }
 
-TEST_CASE("a run that starts again under its name begins anew") {
+TEST_CASE("a new run with the same id replaces the previous one") {
   target_reports Reports("ledger");
   Reports.take(report("a", 100, 9, true), instant());
 
-  CHECK(Reports.take(report("a", 200, 1), instant()) == report_verdict::Taken);
+  CHECK(Reports.take(report("a", 200, 1), instant()) ==
+        report_verdict::Accepted);
   CHECK(Reports.acceptsNewFlows());
 }
 
-TEST_CASE("a target of another service is not this agent's") {
+TEST_CASE("a report for another service is rejected") {
   target_reports Reports("archive");
 
   CHECK(Reports.take(report("a", 100, 1), instant()) ==
@@ -63,25 +66,25 @@
   CHECK_FALSE(Reports.acceptsNewFlows());
 }
 
-TEST_CASE("what the store says counts until the target speaks") {
+TEST_CASE("the state from the store is used until the first report") {
   target_reports Reports("ledger");
-  Reports.recall(/*Draining=*/false, 4, instant());
+  Reports.restore(/*Draining=*/false, 4, instant());
   CHECK(Reports.acceptsNewFlows());
 
   CHECK(Reports.take(report("a", 100, 0, true), instant()) ==
-        report_verdict::Taken);
-  Reports.recall(false, 4, instant());
+        report_verdict::Accepted);
+  Reports.restore(false, 4, instant());
   CHECK_FALSE(Reports.acceptsNewFlows());
 }
 
-TEST_CASE("a restarted agent gives a draining target nothing") {
+TEST_CASE("a restarted agent sends a draining target no new flows") {
   target_reports Reports("ledger");
-  Reports.recall(/*Draining=*/true, 4, instant());
+  Reports.restore(/*Draining=*/true, 4, instant());
 
   CHECK_FALSE(Reports.acceptsNewFlows());
 }
 
-TEST_CASE("a warm-up ends by itself") {
+TEST_CASE("a warm-up ends without a further report") {
   target_reports Reports("ledger");
   target_report Report = report("a", 100, 1);
   Report.WarmupLeft = 2s;
--- a/test/timeline/event_budget_test.cpp
+++ b/test/timeline/event_budget_test.cpp
@@ -5,19 +5,20 @@
 using namespace marjoramrail;
 using namespace std::chrono_literals;
 
-TEST_CASE("a flood of one kind is bounded") {
-  // A storm of new flows must not make the log the heaviest work of a small VM.
+TEST_CASE("the rate of events of one kind is limited") {
+  // A flood of new flows must not make logging the most expensive work of a
+  // small VM.
   event_budget Budget;
   std::size_t Taken = 0;
   for (int Ms = 0; Ms < 10'000; ++Ms)
     Taken += Budget.take(event_kind::FlowRouted, instant(1ms * Ms));
 
   CHECK(Taken <=
-        event_budget::CommonAtOnce + event_budget::CommonPerSecond * 10);
+        event_budget::CommonBurst + event_budget::CommonPerSecond * 10);
   CHECK(Taken >= event_budget::CommonPerSecond * 9);
 }
 
-TEST_CASE("failures have room while successes flood") {
+TEST_CASE("a flood of successes does not displace failures") {
   event_budget Budget;
   for (int I = 0; I < 10'000; ++I)
     Budget.take(event_kind::RequestSeen, instant(1s));
@@ -26,18 +27,18 @@
   CHECK(Budget.take(event_kind::RequestFailed, instant(1s)));
 }
 
-TEST_CASE("what was left out is told, once a second") {
+TEST_CASE("the number of dropped events is reported once a second") {
   event_budget Budget;
   for (int I = 0; I < 100; ++I)
     Budget.take(event_kind::RequestSeen, instant(5s));
 
-  CHECK(Budget.leftOut(event_kind::RequestSeen, instant(5s)) == 40);
+  CHECK(Budget.takeDroppedCount(event_kind::RequestSeen, instant(5s)) == 40);
   Budget.take(event_kind::RequestSeen, instant(5s));
-  CHECK(Budget.leftOut(event_kind::RequestSeen, instant(5500ms)) == 0);
-  CHECK(Budget.leftOut(event_kind::RequestSeen, instant(6s)) == 1);
+  CHECK(Budget.takeDroppedCount(event_kind::RequestSeen, instant(5500ms)) == 0);
+  CHECK(Budget.takeDroppedCount(event_kind::RequestSeen, instant(6s)) == 1);
 }
 
-TEST_CASE("figures survive their JSON line") {
+TEST_CASE("numeric fields are encoded and decoded unchanged") {
   timeline_event Event;
   Event.What = event_kind::RequestSlow;
   Event.Request = "ab12";
