--- a/src/directory/directory_impl.h
+++ b/src/directory/directory_impl.h
@@ -59,11 +59,11 @@
   void sendSyncMessages();
   void input(const endpoint &From, std::span<const std::uint8_t> Bytes);
   sync_message makeSyncMessage() const;
-  sync_state syncStateOf(const object_feed &Feed) const;
+  replication_state replicationStateOf(const object_feed &Feed) const;
   void applyChanges(sync_message &Reply);
   void applySyncState(const endpoint &Peer, object_feed &Feed,
-                      const std::string &Kind, const sync_state &PeerState,
-                      instant RequestedAt);
+                      const std::string &Kind,
+                      const replication_state &PeerState, instant RequestedAt);
   duration pullDelay(const endpoint &Peer, const object_feed &Feed) const;
   void pull(const endpoint &Peer, object_feed &Feed, const std::string &Kind,
             std::uint64_t PeerLastChange);
--- a/src/directory/directory_peers.cpp
+++ b/src/directory/directory_peers.cpp
@@ -15,8 +15,9 @@
 /// Data older than this is refreshed, well before SettleTime expires.
 static constexpr duration RefreshAfter = std::chrono::milliseconds(500);
 
-sync_state directory::impl::syncStateOf(const object_feed &Feed) const {
-  sync_state State;
+replication_state
+directory::impl::replicationStateOf(const object_feed &Feed) const {
+  replication_state State;
   // Peers would request data that cannot be served while it is being read.
   if (!Feed.known() || (&Feed == &Routes && Loader.busy()))
     return State;
@@ -33,8 +34,8 @@
   Message.Zone = ZoneNumber;
   Message.RequestedAtUs = Timers.now().time_since_epoch().count();
   Message.IsServed = Site.answering();
-  Message.Routes = syncStateOf(Routes);
-  Message.Site = syncStateOf(Site);
+  Message.Routes = replicationStateOf(Routes);
+  Message.Site = replicationStateOf(Site);
   return Message;
 }
 
@@ -93,7 +94,7 @@
 
 void directory::impl::applySyncState(const endpoint &Peer, object_feed &Feed,
                                      const std::string &Kind,
-                                     const sync_state &PeerState,
+                                     const replication_state &PeerState,
                                      instant RequestedAt) {
   if (PeerState.Version == 0)
     return;
--- a/src/directory/sync_message.cpp
+++ b/src/directory/sync_message.cpp
@@ -103,7 +103,7 @@
   Writer.put(static_cast<std::uint64_t>(Message.RequestedAtUs));
   Writer.put(Message.Self);
   Writer.put(Message.Zone);
-  for (const sync_state &Kind : {Message.Routes, Message.Site}) {
+  for (const replication_state &Kind : {Message.Routes, Message.Site}) {
     Writer.put(Kind.Version);
     Writer.put(Kind.LastChange);
     Writer.put(static_cast<std::uint64_t>(Kind.AgeUs));
@@ -135,7 +135,7 @@
       static_cast<std::int64_t>(Reader.take<std::uint64_t>());
   Message.Self = Reader.takeEndpoint();
   Message.Zone = Reader.take<std::uint32_t>();
-  for (sync_state *Kind : {&Message.Routes, &Message.Site}) {
+  for (replication_state *Kind : {&Message.Routes, &Message.Site}) {
     Kind->Version = Reader.take<std::uint64_t>();
     Kind->LastChange = Reader.take<std::uint64_t>();
     Kind->AgeUs = static_cast<std::int64_t>(Reader.take<std::uint64_t>());
--- a/src/directory/sync_message.h
+++ b/src/directory/sync_message.h
@@ -23,7 +23,7 @@
 namespace marjoramrail::internal {
 
 /// Up to which version a balancer knows the objects of one kind.
-struct sync_state {
+struct replication_state {
   /// Every change up to this store version is known.
   std::uint64_t Version = 0;
   /// Version of the newest known change; 0 if nothing is known yet.
@@ -43,8 +43,8 @@
   /// The requester's clock when it sent the request, in microseconds; unchanged
   /// in the reply.
   std::int64_t RequestedAtUs = 0;
-  sync_state Routes;
-  sync_state Site;
+  replication_state Routes;
+  replication_state Site;
   /// In a reply: the requester's Site.Version, and all changes of that kind
   /// from there up to ChangesUpTo, ordered by version.
   std::uint64_t ChangesSince = 0;
