--- a/daemons/agent/agent_packets.cpp
+++ b/daemons/agent/agent_packets.cpp
@@ -106,7 +106,7 @@
 
 void agent_process::sendAnswer(bytes_view Packet) {
   tcp_packet Answer;
-  if (Owner && parseAnswer(Packet, Answer) == packet_fault::None)
+  if (Owner && parseReturnPacket(Packet, Answer) == packet_fault::None)
     Owner->noteAnswer(Answer, Loop.timers().now());
   Socket.send(Settings.FabricReturn, Packet);
 }
--- a/daemons/agent/agent_view.cpp
+++ b/daemons/agent/agent_view.cpp
@@ -214,9 +214,9 @@
     Proxy->updatePeerLoad(Peer);
   };
   Hooks.TellSilence = [this](const endpoint &Balancer,
-                             const silence_notice &Notice) {
-    std::array<std::uint8_t, SilenceNoticeBytes> Buffer;
-    encodeSilenceNotice(Notice, Buffer);
+                             const unresponsive_notice &Notice) {
+    std::array<std::uint8_t, UnresponsiveNoticeBytes> Buffer;
+    encodeUnresponsiveNotice(Notice, Buffer);
     Socket.send(Balancer, Buffer);
   };
   Owner = std::make_unique<flow_owner>(Owned, std::move(Hooks));
--- a/daemons/marjoramctl/status.cpp
+++ b/daemons/marjoramctl/status.cpp
@@ -48,12 +48,12 @@
 }
 
 static std::string lagText(const service_status &Status) {
-  if (Status.InForceOn >= Status.Nodes)
+  if (Status.AppliedOn >= Status.Nodes)
     return "-";
   std::string Text;
   for (const std::string &Name : Status.Lagging)
     Text += (Text.empty() ? "" : ",") + Name;
-  const std::size_t Count = Status.Nodes - Status.InForceOn;
+  const std::size_t Count = Status.Nodes - Status.AppliedOn;
   if (Count > Status.Lagging.size())
     Text += (Text.empty() ? "" : ",") + std::string("+") +
             std::to_string(Count - Status.Lagging.size());
@@ -74,7 +74,7 @@
     BOOST_LEAF_AUTO(Status, parseServiceStatus(Found->second.Body, Name));
     const bool Current = Status.AcceptedVersion >= Spec.Version;
     Row.insert(Row.end(), {std::to_string(Status.ViewVersion),
-                           std::to_string(Status.InForceOn) + "/" +
+                           std::to_string(Status.AppliedOn) + "/" +
                                std::to_string(Status.Nodes) +
                                (Current ? "" : " (of an older version)"),
                            lagText(Status), std::to_string(Status.TargetsReady),
--- a/include/marjoramrail/agent.h
+++ b/include/marjoramrail/agent.h
@@ -208,7 +208,7 @@
   /// The target's load for reports; may be empty.
   std::function<peer_load()> Load;
   /// Tells a balancer that a peer may be dead; may be empty.
-  std::function<void(const endpoint &Balancer, const silence_notice &)>
+  std::function<void(const endpoint &Balancer, const unresponsive_notice &)>
       TellSilence;
   /// A peer's report, for the relay of requests; may be empty.
   std::function<void(const peer_message &)> OnReport;
--- a/include/marjoramrail/base.h
+++ b/include/marjoramrail/base.h
@@ -199,14 +199,14 @@
 /// pause. It starts full.
 class token_bucket {
 public:
-  token_bucket(double PerSecond, double AtOnce)
-      : PerSecond(PerSecond), AtOnce(AtOnce), Tokens(AtOnce) {}
+  token_bucket(double TokensPerSecond, double Burst)
+      : TokensPerSecond(TokensPerSecond), Burst(Burst), Tokens(Burst) {}
 
   /// Whether one more action may be taken now; if so, it counts as taken.
   bool take(instant Now) {
     const double Passed = std::chrono::duration<double>(Now - FilledAt).count();
     FilledAt = Now;
-    Tokens = std::min(Tokens + Passed * PerSecond, AtOnce);
+    Tokens = std::min(Tokens + Passed * TokensPerSecond, Burst);
     if (Tokens < 1)
       return false;
     Tokens -= 1;
@@ -214,8 +214,8 @@
   }
 
 private:
-  double PerSecond;
-  double AtOnce;
+  double TokensPerSecond;
+  double Burst;
   double Tokens;
   instant FilledAt;
 };
--- a/include/marjoramrail/resource.h
+++ b/include/marjoramrail/resource.h
@@ -104,7 +104,7 @@
 /// Checks one service against the others that stand: numbers and addresses are
 /// unique, or a packet for one could be taken for another's.
 result<void> checkAgainst(const service_spec &Service,
-                          const std::vector<service_spec> &Standing);
+                          const std::vector<service_spec> &Existing);
 
 /// One object of a file that an operator applies:
 ///   {"kind": "service", "name": "ledger", "spec": {...}}
@@ -142,9 +142,9 @@
   std::uint64_t AcceptedVersion = 0;
   /// The version of the view that carries it.
   std::uint64_t ViewVersion = 0;
-  std::uint32_t InForceOn = 0;
+  std::uint32_t AppliedOn = 0;
   std::uint32_t Nodes = 0;
-  /// At most a few names; the count is Nodes - InForceOn.
+  /// At most a few names; the count is Nodes - AppliedOn.
   std::vector<std::string> Lagging;
   std::uint32_t TargetsReady = 0;
   std::uint32_t TargetsDraining = 0;
--- a/include/marjoramrail/runtime.h
+++ b/include/marjoramrail/runtime.h
@@ -56,7 +56,7 @@
 
   /// Moves the timers' clock to the present, see timer_service::observe().
   /// Every event of a socket starts with it, since the loop may have slept.
-  void wake();
+  void updateClock();
 
   /// Runs \p Task when the current callback has returned, for owners that must
   /// not destroy an object from within its own hook.
--- a/include/marjoramrail/wire.h
+++ b/include/marjoramrail/wire.h
@@ -97,7 +97,7 @@
 packet_fault parseTcpPacket(bytes_view Bytes, tcp_packet &Packet);
 
 /// Reads a packet on its way back (Flow.Caller is its destination).
-packet_fault parseAnswer(bytes_view Bytes, tcp_packet &Packet);
+packet_fault parseReturnPacket(bytes_view Bytes, tcp_packet &Packet);
 
 /// Twice what owner_list holds: where targets end their flows themselves, a
 /// packet names every target that may hold its flow, as far as the link allows.
@@ -209,23 +209,24 @@
 /// One UDP datagram from the sender's routed socket, integers in network byte
 /// order: u16 magic 0x4d53 | u8 format 1 | u8 zero | u32 service |
 /// u32 address, u16 port of the silent agent
-struct silence_notice {
+struct unresponsive_notice {
   service_id Service{};
-  endpoint Silent;
+  endpoint Agent;
 
-  bool operator==(const silence_notice &) const = default;
+  bool operator==(const unresponsive_notice &) const = default;
 };
 
-inline constexpr std::size_t SilenceNoticeBytes = 14;
+inline constexpr std::size_t UnresponsiveNoticeBytes = 14;
 
 /// Writes \p Notice to \p Buffer and returns its size; 0 if it does not fit.
-std::size_t encodeSilenceNotice(const silence_notice &Notice,
-                                std::span<std::uint8_t> Buffer);
+std::size_t encodeUnresponsiveNotice(const unresponsive_notice &Notice,
+                                     std::span<std::uint8_t> Buffer);
 
 /// True if \p Bytes has the size and the magic number of a silence notice.
-bool isSilenceNotice(bytes_view Bytes);
+bool isUnresponsiveNotice(bytes_view Bytes);
 
-packet_fault decodeSilenceNotice(bytes_view Bytes, silence_notice &Notice);
+packet_fault decodeUnresponsiveNotice(bytes_view Bytes,
+                                      unresponsive_notice &Notice);
 
 /// A reset that answers \p Packet in the service's name, so that a caller whose
 /// flow has no owner any more learns it at once instead of by silence. Returns
--- a/src/balancer/balancer_core.cpp
+++ b/src/balancer/balancer_core.cpp
@@ -69,17 +69,17 @@
 /// Believed from agents of the service alone, and about their peers.
 packet_fault balancer_core::impl::takeSilence(const endpoint &From,
                                               bytes_view Bytes, instant Now) {
-  silence_notice Notice;
-  const packet_fault Fault = decodeSilenceNotice(Bytes, Notice);
+  unresponsive_notice Notice;
+  const packet_fault Fault = decodeUnresponsiveNotice(Bytes, Notice);
   if (Fault != packet_fault::None)
     return Fault;
   const routed_service *Service = Services.findNumber(Notice.Service);
   if (Service == nullptr)
     return packet_fault::UnknownService;
-  if (From == Notice.Silent || !Service->Router.findAgent(From) ||
-      !Service->Router.findAgent(Notice.Silent))
+  if (From == Notice.Agent || !Service->Router.findAgent(From) ||
+      !Service->Router.findAgent(Notice.Agent))
     return packet_fault::ForeignSender;
-  Silent.add(Notice.Silent, Now);
+  Silent.add(Notice.Agent, Now);
   ++Counters.NoticesTaken;
   return packet_fault::None;
 }
@@ -179,7 +179,7 @@
   packet_fault Fault = packet_fault::None;
   if (isOwnerNotice(Bytes))
     Fault = Impl->takeNotice(From, Bytes);
-  else if (isSilenceNotice(Bytes))
+  else if (isUnresponsiveNotice(Bytes))
     Fault = Impl->takeSilence(From, Bytes, Now);
   else
     Fault = Impl->route(Bytes, Now);
--- a/src/fleet/shard_status.cpp
+++ b/src/fleet/shard_status.cpp
@@ -40,12 +40,12 @@
   applied_summary Applied = Hooks.Applied(Service);
   if (State.Stored && State.FullyAppliedVersion == State.Stored->View.Version) {
     Applied = {State.FullyAppliedVersion,
-               State.Status.InForceOn,
+               State.Status.AppliedOn,
                State.Status.Nodes,
                true,
                {}};
   }
-  Status.InForceOn = Applied.Nodes;
+  Status.AppliedOn = Applied.Nodes;
   Status.Nodes = Applied.Of;
   Status.Lagging = Applied.Lagging;
   if (State.Stored) {
@@ -83,7 +83,7 @@
   const service_status Status = statusOf(Service, State);
   if (Status == State.Status)
     return;
-  const bool Complete = Status.Nodes > 0 && Status.InForceOn == Status.Nodes;
+  const bool Complete = Status.Nodes > 0 && Status.AppliedOn == Status.Nodes;
   if (!Complete && Timers.now() - State.StatusAt < StatusInterval) {
     Due.insert(Service);
     return;
@@ -103,7 +103,7 @@
   State.StatusBusy = false;
   if (Result.Outcome == write_outcome::Written) {
     State.Status = Status;
-    if (Status.Nodes > 0 && Status.InForceOn == Status.Nodes)
+    if (Status.Nodes > 0 && Status.AppliedOn == Status.Nodes)
       State.FullyAppliedVersion = Status.ViewVersion;
     State.StatusVersion = Result.Object.Version;
     return;
--- a/src/platform/platform_client.cpp
+++ b/src/platform/platform_client.cpp
@@ -180,7 +180,7 @@
 /// the log shows this as failed calls of which most bytes have arrived.
 /// Therefore the time-out restarts with each part received.
 void platform_client::impl::onPart(const call_ptr &Call) {
-  Loop.wake();
+  Loop.updateClock();
   const duration Left =
       Call->StartedAt + Call->Wait + MaxAnswerTime - Loop.timers().now();
   Loop.timers().cancel(Call->Timer);
--- a/src/resource/service.cpp
+++ b/src/resource/service.cpp
@@ -83,9 +83,9 @@
 }
 
 result<void> checkAgainst(const service_spec &Service,
-                          const std::vector<service_spec> &Standing) {
+                          const std::vector<service_spec> &Existing) {
   const std::string Peer = "service/" + Service.Name;
-  for (const service_spec &Other : Standing) {
+  for (const service_spec &Other : Existing) {
     if (Other.Name == Service.Name) {
       // Agents and past generations know a service by its number; a new one
       // would cut off every flow that is open.
--- a/src/resource/status.cpp
+++ b/src/resource/status.cpp
@@ -30,7 +30,7 @@
       Reader.number("accepted_version", std::nullopt, 0, MaxVersion);
   Status.ViewVersion =
       Reader.number("view_version", std::nullopt, 0, MaxVersion);
-  Status.InForceOn = Reader.number("in_force_on", std::nullopt, 0, MaxCount);
+  Status.AppliedOn = Reader.number("in_force_on", std::nullopt, 0, MaxCount);
   Status.Nodes = Reader.number("nodes", std::nullopt, 0, MaxCount);
   Status.Lagging = Reader.texts("lagging", false);
   Status.TargetsReady = Reader.number("targets_ready", 0, 0, MaxCount);
@@ -54,7 +54,7 @@
                           {"since_ms", Condition.SinceMs}});
   const ordered_json Json = {{"accepted_version", Status.AcceptedVersion},
                              {"view_version", Status.ViewVersion},
-                             {"in_force_on", Status.InForceOn},
+                             {"in_force_on", Status.AppliedOn},
                              {"nodes", Status.Nodes},
                              {"lagging", Status.Lagging},
                              {"targets_ready", Status.TargetsReady},
--- a/src/runtime/event_loop.cpp
+++ b/src/runtime/event_loop.cpp
@@ -1,5 +1,5 @@
 #include "marjoramrail/runtime.h"
-#include "runtime/loop_error.h"
+#include "runtime/socket_error.h"
 
 #include <algorithm>
 #include <csignal>
@@ -105,7 +105,7 @@
   Impl->Stopped = false;
 }
 
-void event_loop::wake() { Timers.observe(monotonicNow()); }
+void event_loop::updateClock() { Timers.observe(monotonicNow()); }
 
 void event_loop::stop() {
   Impl->Stopped = true;
--- a/src/runtime/line_writer.cpp
+++ b/src/runtime/line_writer.cpp
@@ -6,7 +6,7 @@
 namespace marjoramrail {
 
 /// Lines gather for this long, so that a busy process makes few system calls.
-static constexpr duration GatherTime = std::chrono::milliseconds(50);
+static constexpr duration FlushDelay = std::chrono::milliseconds(50);
 
 line_writer::line_writer(event_loop &Loop, int Descriptor)
     : Loop(Loop), Descriptor(Descriptor) {
@@ -29,7 +29,7 @@
   Buffer += '\n';
   if (std::exchange(FlushScheduled, true))
     return;
-  Loop.timers().after(GatherTime, [this, Alive = Alive] {
+  Loop.timers().after(FlushDelay, [this, Alive = Alive] {
     if (!*Alive)
       return;
     FlushScheduled = false;
--- a/src/runtime/loop_error.cpp
+++ b/src/runtime/socket_error.cpp
@@ -1,4 +1,4 @@
-#include "runtime/loop_error.h"
+#include "runtime/socket_error.h"
 
 #include <arpa/inet.h>
 #include <cerrno>
--- a/src/runtime/loop_error.h
+++ b/src/runtime/socket_error.h
@@ -1,12 +1,12 @@
-//===- loop_error.h - Errors of the operating system ------------*- C++ -*-===//
+//===- socket_error.h - Socket addresses and errno errors -------*- C++ -*-===//
 ///
 /// \file
 /// Turns errno and socket addresses into the project's own types.
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef MARJORAMRAIL_RUNTIME_LOOP_ERROR_H
-#define MARJORAMRAIL_RUNTIME_LOOP_ERROR_H
+#ifndef MARJORAMRAIL_RUNTIME_SOCKET_ERROR_H
+#define MARJORAMRAIL_RUNTIME_SOCKET_ERROR_H
 
 #include "marjoramrail/base.h"
 
@@ -25,4 +25,4 @@
 
 } // namespace marjoramrail::internal
 
-#endif // MARJORAMRAIL_RUNTIME_LOOP_ERROR_H
+#endif // MARJORAMRAIL_RUNTIME_SOCKET_ERROR_H
--- a/src/runtime/status_page.cpp
+++ b/src/runtime/status_page.cpp
@@ -53,7 +53,7 @@
 }
 
 void status_page::impl::answer(evhtp_request_t *Request) const {
-  Loop.wake();
+  Loop.updateClock();
   const std::string Path = Request->uri->path->full;
   if (serve(Request, Path))
     return;
--- a/src/runtime/tcp_stream.cpp
+++ b/src/runtime/tcp_stream.cpp
@@ -1,5 +1,5 @@
 #include "marjoramrail/runtime.h"
-#include "runtime/loop_error.h"
+#include "runtime/socket_error.h"
 
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
@@ -45,7 +45,7 @@
 }
 
 void tcp_stream::impl::read() {
-  Loop->wake();
+  Loop->updateClock();
   evbuffer *Input = bufferevent_get_input(Events);
   const std::size_t Size = evbuffer_get_length(Input);
   const auto *Bytes =
@@ -57,7 +57,7 @@
 }
 
 void tcp_stream::impl::drained() {
-  Loop->wake();
+  Loop->updateClock();
   if (Closing)
     return event(BEV_EVENT_EOF);
   if (std::exchange(Finishing, false))
@@ -67,7 +67,7 @@
 }
 
 void tcp_stream::impl::event(short What) {
-  Loop->wake();
+  Loop->updateClock();
   if ((What & BEV_EVENT_CONNECTED) != 0) {
     Connected = true;
     if (Hooks.OnConnected)
@@ -187,7 +187,7 @@
 void tcp_listener::impl::accept(evconnlistener *, evutil_socket_t Socket,
                                 sockaddr *Address, int, void *User) {
   auto &Self = *static_cast<impl *>(User);
-  Self.Loop.wake();
+  Self.Loop.updateClock();
   auto State = std::make_unique<tcp_stream::impl>();
   State->Loop = &Self.Loop;
   State->Peer = toEndpoint(*reinterpret_cast<sockaddr_in *>(Address));
--- a/src/runtime/udp_socket.cpp
+++ b/src/runtime/udp_socket.cpp
@@ -1,5 +1,5 @@
 #include "marjoramrail/runtime.h"
-#include "runtime/loop_error.h"
+#include "runtime/socket_error.h"
 
 #include <array>
 #include <cstring>
@@ -65,7 +65,7 @@
 };
 
 void udp_socket::impl::receive() {
-  Loop.wake();
+  Loop.updateClock();
   std::array<datagram, BatchSize> Batch;
   for (int Round = 0; Round < BatchesPerWakeup; ++Round) {
     for (mmsghdr &Header : In.Headers)
--- a/src/wire/tcp_packet.cpp
+++ b/src/wire/tcp_packet.cpp
@@ -79,7 +79,7 @@
   return Fault;
 }
 
-packet_fault parseAnswer(bytes_view Bytes, tcp_packet &Packet) {
+packet_fault parseReturnPacket(bytes_view Bytes, tcp_packet &Packet) {
   const packet_fault Fault = parseTcpPacket(Bytes, Packet);
   if (Fault == packet_fault::None)
     std::swap(Packet.Flow.Caller, Packet.Flow.Service);
--- a/standins/fabric/fabric_model.cpp
+++ b/standins/fabric/fabric_model.cpp
@@ -46,7 +46,7 @@
                              instant Now) {
   ++Counters.FromAgents;
   tcp_packet Packet;
-  if (parseAnswer(Bytes, Packet) != packet_fault::None) {
+  if (parseReturnPacket(Bytes, Packet) != packet_fault::None) {
     ++Counters.Unreadable;
     return;
   }
--- a/standins/platform/http_server.cpp
+++ b/standins/platform/http_server.cpp
@@ -1,6 +1,6 @@
 #include "http_server.h"
 #include "platform/object_codec.h"
-#include "runtime/loop_error.h"
+#include "runtime/socket_error.h"
 
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
--- a/test/balancer/core_fixture.h
+++ b/test/balancer/core_fixture.h
@@ -46,8 +46,8 @@
 
   packet_fault tellSilence(const endpoint &Silent, const endpoint &From,
                            service_id Service = service_id(1)) {
-    byte_string Notice(SilenceNoticeBytes);
-    encodeSilenceNotice({Service, Silent}, Notice);
+    byte_string Notice(UnresponsiveNoticeBytes);
+    encodeUnresponsiveNotice({Service, Silent}, Notice);
     return Core.onDatagram(From, Notice, Now);
   }
 
--- a/test/balancer/mutation_test.cpp
+++ b/test/balancer/mutation_test.cpp
@@ -123,7 +123,7 @@
       REQUIRE(Parsed.Payload <= Bytes.Size);
       writeReset(Parsed, Reset);
     }
-    parseAnswer(Bytes, Parsed);
+    parseReturnPacket(Bytes, Parsed);
     if (decodeRouted(Bytes, Routed) == packet_fault::None) {
       ++Accepted;
       REQUIRE(Routed.Count <= MaxRoutedOwners);
--- a/test/daemons/marjoramctl/read_verbs_test.cpp
+++ b/test/daemons/marjoramctl/read_verbs_test.cpp
@@ -140,7 +140,7 @@
   Status.Name = "ledger";
   Status.AcceptedVersion = 1;
   Status.ViewVersion = 9;
-  Status.InForceOn = 2;
+  Status.AppliedOn = 2;
   Status.Nodes = 3;
   Status.Lagging = {"balancer-3"};
   Status.TargetsReady = 7;
--- a/test/fleet/gossip_test.cpp
+++ b/test/fleet/gossip_test.cpp
@@ -81,7 +81,7 @@
   REQUIRE(Took);
   CHECK(*Took < 5s);
   Fleet.run(15s);
-  CHECK(Fleet.status(0).InForceOn == 40);
+  CHECK(Fleet.status(0).AppliedOn == 40);
   CHECK(Fleet.status(0).AcceptedVersion ==
         Fleet.Platform.get("service", "service0").Version);
 }
@@ -101,7 +101,7 @@
   Fleet.run(4s);
 
   const service_status Status = Fleet.status(0);
-  CHECK(Status.InForceOn < Status.Nodes);
+  CHECK(Status.AppliedOn < Status.Nodes);
   const bool Everywhere =
       std::any_of(Status.Conditions.begin(), Status.Conditions.end(),
                   [](const condition &Condition) {
--- a/test/fleet/shard_controller_test.cpp
+++ b/test/fleet/shard_controller_test.cpp
@@ -41,7 +41,7 @@
 
   const service_status Status = statusOf(Site, "ledger");
 
-  CHECK(Status.InForceOn == 3);
+  CHECK(Status.AppliedOn == 3);
   CHECK(Status.Nodes == 3);
   CHECK(Status.TargetsReady == 7);
   CHECK(conditionOf(Status, "InForce") == "+");
--- a/test/mutated_json.h
+++ b/test/mutated_json.h
@@ -17,12 +17,12 @@
 
 class mutated_json {
 public:
-  mutated_json(std::string Right, std::uint64_t Seed)
-      : Right(std::move(Right)), Random(Seed) {}
+  mutated_json(std::string Original, std::uint64_t Seed)
+      : Original(std::move(Original)), Random(Seed) {}
 
   /// The next text: one to four mutations of the right one.
   std::string next() {
-    std::string Text = Right;
+    std::string Text = Original;
     for (std::size_t Count = 1 + below(4); Count > 0; --Count)
       mutate(Text);
     return Text;
@@ -33,7 +33,7 @@
 
   void mutate(std::string &Text) {
     if (Text.empty())
-      Text = Right;
+      Text = Original;
     const std::size_t At = below(Text.size());
     const std::size_t Length = 1 + below(12);
     switch (below(6)) {
@@ -90,7 +90,7 @@
     return Chosen == Tokens.size() ? std::string(5000, '[') : Tokens[Chosen];
   }
 
-  std::string Right;
+  std::string Original;
   std::mt19937_64 Random;
 };
 
--- a/test/path/path_world.cpp
+++ b/test/path/path_world.cpp
@@ -134,9 +134,9 @@
     put({cargo::Peer, Hosts[Number].Agent, To, {}, Message, 0, 0}, true);
   };
   Hooks.TellSilence = [this, Number](const endpoint &To,
-                                     const silence_notice &Notice) {
-    std::vector<std::uint8_t> Bytes(SilenceNoticeBytes);
-    encodeSilenceNotice(Notice, Bytes);
+                                     const unresponsive_notice &Notice) {
+    std::vector<std::uint8_t> Bytes(UnresponsiveNoticeBytes);
+    encodeUnresponsiveNotice(Notice, Bytes);
     put({cargo::Notice, Hosts[Number].Agent, To, std::move(Bytes), {}, 0, 0},
         true);
   };
@@ -200,7 +200,7 @@
   const flow_key Back{Flow.Service, Flow.Caller};
   byte_string Bytes = samplePacket(Back, Flags, 0, Sequence, Acknowledged);
   tcp_packet Answer;
-  parseAnswer(Bytes, Answer);
+  parseReturnPacket(Bytes, Answer);
   Host.Core->noteAnswer(Answer, Now);
   put({cargo::ToCaller,
        Host.Agent,
--- a/test/path/world_callers.cpp
+++ b/test/path/world_callers.cpp
@@ -83,7 +83,7 @@
 
 void path_world::callerReceives(const parcel &Parcel) {
   tcp_packet Packet;
-  if (parseAnswer(Parcel.Bytes, Packet) != packet_fault::None)
+  if (parseReturnPacket(Parcel.Bytes, Packet) != packet_fault::None)
     return;
   caller &Caller = Callers[numberOf(Packet.Flow)];
   if (Caller.State == caller_state::SynSent) {
--- a/test/resource/mutated_objects_test.cpp
+++ b/test/resource/mutated_objects_test.cpp
@@ -13,8 +13,8 @@
 
 /// Feeds mutations of \p Right to a parser: each is taken or refused by name.
 template <typename Parser>
-static void check(const std::string &Right, Parser Parse) {
-  mutated_json Mutations(Right, 1);
+static void check(const std::string &Original, Parser Parse) {
+  mutated_json Mutations(Original, 1);
   int Taken = 0;
   for (int I = 0; I < Texts; ++I) {
     const std::string Text = Mutations.next();
--- a/test/resource/object_file_test.cpp
+++ b/test/resource/object_file_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace marjoramrail;
 
-static const std::string Two = R"([
+static const std::string TwoServices = R"([
   // The two services of the site.
   {"kind": "service", "name": "ledger", "spec": {
     "number": 1, "address": "10.77.0.1:443", "zones": ["brugge"]}},
@@ -19,13 +19,14 @@
   return Failure ? toText(*Failure) : "";
 }
 
-static std::string with(const std::string &From, const std::string &To) {
-  std::string Text = Two;
+static std::string withReplaced(const std::string &From,
+                                const std::string &To) {
+  std::string Text = TwoServices;
   return Text.replace(Text.find(From), From.size(), To);
 }
 
 TEST_CASE("parseObjectFile reads a list of objects with comments") {
-  const auto Objects = parseObjectFile(Two, "site.json");
+  const auto Objects = parseObjectFile(TwoServices, "site.json");
 
   REQUIRE(Objects);
   REQUIRE(Objects->size() == 2);
@@ -41,7 +42,7 @@
 }
 
 TEST_CASE("parseObjectFile tells every fault with file, object and field") {
-  std::string Text = with("\"number\": 1", "\"number\": 0");
+  std::string Text = withReplaced("\"number\": 1", "\"number\": 0");
   Text.replace(Text.find("10.77.0.2:443"), 13, "10.77.0.2");
 
   const std::string Reason = reasonOf(Text);
@@ -53,18 +54,18 @@
 }
 
 TEST_CASE("parseObjectFile checks the objects of a file against each other") {
-  CHECK(reasonOf(with("\"number\": 2", "\"number\": 1"))
+  CHECK(reasonOf(withReplaced("\"number\": 2", "\"number\": 1"))
             .find("is that of service ledger") != std::string::npos);
-  CHECK(reasonOf(with("\"archive\"", "\"ledger\"")).find("stands twice") !=
-        std::string::npos);
+  CHECK(reasonOf(withReplaced("\"archive\"", "\"ledger\""))
+            .find("stands twice") != std::string::npos);
 }
 
 TEST_CASE("parseObjectFile names the line of a syntax error and odd objects") {
   CHECK(reasonOf("[\n{,").find("site.json: line 2") != std::string::npos);
   CHECK(reasonOf("[7]").find("object 1: expected") != std::string::npos);
   CHECK(reasonOf("[]").find("holds no object") != std::string::npos);
-  CHECK(reasonOf(with("\"kind\": \"service\"", "\"kind\": \"servis\""))
+  CHECK(reasonOf(withReplaced("\"kind\": \"service\"", "\"kind\": \"servis\""))
             .find("object 1: field kind") != std::string::npos);
-  CHECK(reasonOf(with("\"spec\"", "\"specs\"")).find("field specs") !=
+  CHECK(reasonOf(withReplaced("\"spec\"", "\"specs\"")).find("field specs") !=
         std::string::npos);
 }
--- a/test/resource/service_test.cpp
+++ b/test/resource/service_test.cpp
@@ -18,7 +18,8 @@
   return Failure ? toText(*Failure) : "";
 }
 
-static std::string with(const std::string &From, const std::string &To) {
+static std::string withReplaced(const std::string &From,
+                                const std::string &To) {
   std::string Text = Ledger;
   return Text.replace(Text.find(From), From.size(), To);
 }
@@ -45,16 +46,17 @@
 }
 
 TEST_CASE("parseService names object, field, reason and range") {
-  CHECK(reasonOf(with("\"number\": 1", "\"number\": 0")) ==
+  CHECK(reasonOf(withReplaced("\"number\": 1", "\"number\": 0")) ==
         "validate-object service/ledger: field number: 0 is not a whole number "
         "from 1 to 4294967295");
-  CHECK(reasonOf(with("\"protocol\": \"http2\"", "\"protocol\": \"udp\"")) ==
+  CHECK(reasonOf(
+            withReplaced("\"protocol\": \"http2\"", "\"protocol\": \"udp\"")) ==
         "validate-object service/ledger: field protocol: expected \"tcp\" or "
         "\"http2\"");
-  CHECK(reasonOf(with(":443", ":0")).find("a port from 1 to 65535") !=
-        std::string::npos);
-  CHECK(reasonOf(with("\"brugge\"", "\"oostende\"")).find("oostende twice") !=
+  CHECK(reasonOf(withReplaced(":443", ":0")).find("a port from 1 to 65535") !=
         std::string::npos);
+  CHECK(reasonOf(withReplaced("\"brugge\"", "\"oostende\""))
+            .find("oostende twice") != std::string::npos);
   CHECK(reasonOf(Ledger, "Ledger!").find("field name") != std::string::npos);
   CHECK(reasonOf("{\n\n\"number\": }").find("line 3") != std::string::npos);
 }
@@ -62,7 +64,7 @@
 TEST_CASE("parseService refuses a misspelt field") {
   // An operator writes "slot_per_target"; were it ignored, the default would
   // stay in force on VMs that no one logs in to.
-  CHECK(reasonOf(with("slots_per_target", "slot_per_target")) ==
+  CHECK(reasonOf(withReplaced("slots_per_target", "slot_per_target")) ==
         "validate-object service/ledger: field slot_per_target: is not known "
         "here");
 }
@@ -70,9 +72,8 @@
 TEST_CASE("parseService refuses a number too large for JSON") {
   // The JSON library reports 1e999 by another exception than a syntax error;
   // uncaught, it ended the process that read the object.
-  CHECK(
-      reasonOf(with("\"number\": 1", "\"number\": 1e999")).find("too large") !=
-      std::string::npos);
+  CHECK(reasonOf(withReplaced("\"number\": 1", "\"number\": 1e999"))
+            .find("too large") != std::string::npos);
 }
 
 TEST_CASE("checkAgainst refuses a number or address that stands elsewhere") {
@@ -101,7 +102,7 @@
   const drain_status Progress{"ledger-3", 12, 1, false, 1700000000000};
   service_status Status;
   Status.Name = "ledger";
-  Status.InForceOn = 2;
+  Status.AppliedOn = 2;
   Status.Nodes = 3;
   Status.Lagging = {"balancer-3"};
   Status.Conditions = {{"ready", true, "7 targets", 1700000000000}};
--- a/test/runtime/sockets_test.cpp
+++ b/test/runtime/sockets_test.cpp
@@ -116,7 +116,7 @@
     udp_socket Sender(Other, [](std::span<const datagram>) {});
     CHECK(Sender.open(AnyPort));
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
-    Other.wake();
+    Other.updateClock();
     Sent = Other.timers().now();
     const std::uint8_t Byte = 1;
     Sender.send(To, {&Byte, 1});
--- a/test/wire/tcp_packet_test.cpp
+++ b/test/wire/tcp_packet_test.cpp
@@ -50,7 +50,7 @@
   tcp_packet Packet;
 
   const auto Fault =
-      parseAnswer(samplePacket(Reversed, SynBit | AckBit), Packet);
+      parseReturnPacket(samplePacket(Reversed, SynBit | AckBit), Packet);
 
   CHECK(Fault == packet_fault::None);
   CHECK(Packet.Flow == Flow);
@@ -60,9 +60,9 @@
 TEST_CASE("parseTcpPacket refuses every truncation of a packet") {
   // A datagram cut short on the way. Read past its end, it would route by
   // whatever the buffer held before: another flow's ports.
-  const byte_string Whole = samplePacket(Flow, AckBit, 5);
-  for (std::size_t Size = 0; Size < Whole.size(); ++Size)
-    CHECK(faultOf({Whole.begin(), Whole.begin() + Size}) ==
+  const byte_string FullPacket = samplePacket(Flow, AckBit, 5);
+  for (std::size_t Size = 0; Size < FullPacket.size(); ++Size)
+    CHECK(faultOf({FullPacket.begin(), FullPacket.begin() + Size}) ==
           packet_fault::Truncated);
 }
 
--- a/test/wire/silence_notice_test.cpp
+++ b/test/wire/unresponsive_notice_test.cpp
@@ -5,26 +5,26 @@
 using namespace marjoramrail;
 using namespace marjoramrail::test;
 
-static const silence_notice Notice{service_id(3), {0x0a000009, 7000}};
+static const unresponsive_notice Notice{service_id(3), {0x0a000009, 7000}};
 
 static byte_string encoded() {
-  byte_string Buffer(SilenceNoticeBytes);
-  REQUIRE(encodeSilenceNotice(Notice, Buffer) == SilenceNoticeBytes);
+  byte_string Buffer(UnresponsiveNoticeBytes);
+  REQUIRE(encodeUnresponsiveNotice(Notice, Buffer) == UnresponsiveNoticeBytes);
   return Buffer;
 }
 
 static packet_fault faultOf(const byte_string &Bytes) {
-  silence_notice Back;
-  return decodeSilenceNotice(Bytes, Back);
+  unresponsive_notice Back;
+  return decodeUnresponsiveNotice(Bytes, Back);
 }
 
 TEST_CASE("decodeSilenceNotice reads what encodeSilenceNotice wrote") {
-  silence_notice Back;
+  unresponsive_notice Back;
 
-  REQUIRE(decodeSilenceNotice(encoded(), Back) == packet_fault::None);
+  REQUIRE(decodeUnresponsiveNotice(encoded(), Back) == packet_fault::None);
 
   CHECK(Back == Notice);
-  CHECK(isSilenceNotice(encoded()));
+  CHECK(isUnresponsiveNotice(encoded()));
   CHECK_FALSE(isOwnerNotice(encoded()));
 }
 
@@ -35,7 +35,7 @@
   SUBCASE("too short") {
     Bytes.pop_back();
     CHECK(faultOf(Bytes) == packet_fault::Truncated);
-    CHECK_FALSE(isSilenceNotice(Bytes));
+    CHECK_FALSE(isUnresponsiveNotice(Bytes));
   }
   SUBCASE("too long") {
     Bytes.push_back(0);
--- a/test/wire/write_reset_test.cpp
+++ b/test/wire/write_reset_test.cpp
@@ -35,7 +35,7 @@
 
   const byte_string Bytes = resetFor(samplePacket(Flow, AckBit, 10));
 
-  REQUIRE(parseAnswer(Bytes, Reset) == packet_fault::None);
+  REQUIRE(parseReturnPacket(Bytes, Reset) == packet_fault::None);
   CHECK(Reset.Flow == Flow);
   CHECK(Reset.Rst);
   CHECK_FALSE(Reset.Ack);
@@ -47,7 +47,7 @@
 
   const byte_string Bytes = resetFor(samplePacket(Flow, SynBit | FinBit, 10));
 
-  REQUIRE(parseAnswer(Bytes, Reset) == packet_fault::None);
+  REQUIRE(parseReturnPacket(Bytes, Reset) == packet_fault::None);
   CHECK(Reset.Rst);
   CHECK(Reset.Ack);
   CHECK(Reset.Sequence == 0);
