--- a/include/marjoramrail/base.h
+++ b/include/marjoramrail/base.h
@@ -1,10 +1,9 @@
 //===- base.h - Times, addresses, errors and timers -------------*- C++ -*-===//
 ///
 /// \file
-/// What every other library of marjoramrail stands on: the clock that cores
-/// are driven by, endpoints and flows, errors that carry the step and the peer
-/// at which they arose, tables of names for enumerations, budgets of actions
-/// and the timer service.
+/// Types that every other library of marjoramrail uses: the clock type,
+/// endpoints and flows, errors that carry the failed step and the peer, name
+/// tables for enumerations, a token bucket and the timer service.
 ///
 /// Usage:
 /// \code
@@ -41,8 +40,9 @@
 // Time
 //===----------------------------------------------------------------------===//
 
-/// The clock of the cores. It has no now(): a core is told the time, so that a
-/// test can turn it by hand.
+/// The clock of the cores, the classes that hold the logic of a daemon without
+/// its I/O. It has no now(): the caller passes the time to a core, so that
+/// tests control it.
 struct core_clock {
   using duration = std::chrono::microseconds;
   using rep = duration::rep;
@@ -52,14 +52,15 @@
 };
 
 using duration = core_clock::duration;
-/// A moment on the monotonic clock of one process; not comparable across VMs.
+/// A time point on the monotonic clock of one process; not comparable across
+/// VMs.
 using instant = core_clock::time_point;
 
 //===----------------------------------------------------------------------===//
 // Errors
 //===----------------------------------------------------------------------===//
 
-/// Where in the work an error arose. Each has a name in stepNames().
+/// The operation that failed. toText() prints its name.
 enum class step {
   ParseAddress,
   ParseSettings,
@@ -78,8 +79,8 @@
   RunRequest,
 };
 
-/// One error: the step that failed, the peer it concerned (an address, a file
-/// or an object; empty where there is none) and a sentence for the operator.
+/// One error: the step that failed, the peer it concerns (an address, a file
+/// or an object; empty if there is none) and a message for the operator.
 struct failure {
   step Step;
   std::string Peer;
@@ -88,13 +89,13 @@
 
 template <typename T> using result = boost::leaf::result<T>;
 
-/// Starts an error that the nearest handler receives as a failure.
+/// Creates a Boost.LEAF error that handlers receive as a failure.
 boost::leaf::error_id fail(step Step, std::string Peer, std::string Reason);
 
-/// Returns "STEP PEER: REASON", the one-line form of logs and tools.
+/// Returns "STEP PEER: REASON", the one-line form used in logs and tools.
 std::string toText(const failure &Failure);
 
-/// Runs \p Body, which returns a result<void>, and yields its failure, if any.
+/// Runs \p Body, which returns a result, and returns its failure, if any.
 /// \code
 ///   if (auto Failure = failureOf([&] { return check(Settings); }))
 ///     LOG(ERROR) << toText(*Failure);
@@ -118,7 +119,7 @@
 // Names of enumerators
 //===----------------------------------------------------------------------===//
 
-/// A table of names for an enum class, in the order of its enumerators.
+/// Maps the enumerators of an enum class, in their order, to names.
 template <typename Enum, std::size_t Size>
 using name_table = std::array<std::pair<Enum, std::string_view>, Size>;
 
@@ -132,7 +133,7 @@
   return "unknown";
 }
 
-/// Returns the enumerator called \p Name in \p Table, if there is one.
+/// Returns the enumerator that \p Table maps to \p Name, if there is one.
 template <typename Enum, std::size_t Size>
 constexpr std::optional<Enum> valueNamed(const name_table<Enum, Size> &Table,
                                          std::string_view Name) {
@@ -151,7 +152,8 @@
   std::uint32_t Address = 0;
   std::uint16_t Port = 0;
 
-  // The linter sees a variable of the compiler's own in it.
+  // clang-tidy reports the name of a variable that the compiler generates for
+  // this operator.
   // NOLINTNEXTLINE(readability-identifier-naming)
   auto operator<=>(const endpoint &) const = default;
 };
@@ -161,7 +163,7 @@
 
 std::string toText(const endpoint &Endpoint);
 
-/// The caller's end and the service's end of one TCP flow.
+/// The caller's and the service's endpoint of one TCP flow.
 struct flow_key {
   endpoint Caller;
   endpoint Service;
@@ -171,22 +173,24 @@
 
 std::string toText(const flow_key &Flow);
 
-/// A 64-bit hash of a flow under \p Seed, the same on every VM and in every
-/// version of the program: balancers must agree on it without talking.
+/// Returns a 64-bit hash of a flow under \p Seed. It must be the same on every
+/// VM and in every version of the program, because balancers route by it
+/// without exchanging messages about single flows.
 std::uint64_t hashOf(const flow_key &Flow, std::uint64_t Seed);
 
-/// For unordered containers.
+/// Hash function for unordered containers.
 struct flow_key_hash {
   std::size_t operator()(const flow_key &Flow) const { return hashOf(Flow, 0); }
 };
 
-/// The number of a service, given once when it is accepted and never reused.
+/// The number of a service, assigned by its operator and never reused for
+/// another service.
 enum class service_id : std::uint32_t {};
 
-/// The number of a target host. It outlives restarts; the incarnation does not.
+/// The number of a target host. Unlike the incarnation, it stays the same when
+/// the host restarts.
 enum class host_id : std::uint32_t {};
 
-/// The number of an availability zone.
 enum class zone_id : std::uint16_t {};
 
 //===----------------------------------------------------------------------===//
@@ -195,14 +199,14 @@
 
 enum class timer_id : std::uint64_t {};
 
-/// Admits so many actions a second on average, and so many at once after a
-/// pause. It starts full.
+/// Limits actions to an average rate per second, with bursts of a given size
+/// after a pause. It starts full.
 class token_bucket {
 public:
   token_bucket(double TokensPerSecond, double Burst)
       : TokensPerSecond(TokensPerSecond), Burst(Burst), Tokens(Burst) {}
 
-  /// Whether one more action may be taken now; if so, it counts as taken.
+  /// Takes a token for one action. Returns false if none is available.
   bool take(instant Now) {
     const double Passed = std::chrono::duration<double>(Now - FilledAt).count();
     FilledAt = Now;
@@ -220,8 +224,8 @@
   instant FilledAt;
 };
 
-/// The timers of one process. Parts subscribe; whoever owns the loop calls
-/// advance(). Not thread-safe: one loop on one thread.
+/// The timers of one process. Any part may add timers; the owner of the event
+/// loop calls advance(). Not thread-safe: one loop runs on one thread.
 class timer_service {
 public:
   using callback = std::function<void()>;
@@ -236,20 +240,21 @@
   /// Calls \p Callback every \p Period, first one period from now.
   timer_id every(duration Period, callback Callback);
 
-  /// Forgets a timer; unknown and spent ones are ignored.
+  /// Removes a timer. An unknown or expired one is ignored.
   void cancel(timer_id Timer);
 
-  /// Moves the clock to \p To and fires what is due, in order of time; a
-  /// callback sees now() as its own due time. Time never goes back.
+  /// Moves the clock to \p To and fires the timers that are due, in order of
+  /// their due times. While a callback runs, now() is its due time. The clock
+  /// never moves backwards.
   void advance(instant To);
 
-  /// Moves the clock to \p To without firing anything: what is due fires on
-  /// the next advance(). For a loop that has slept and is in an event's hook,
-  /// where a delay counted from the old time would end too early and a timer's
-  /// callback could destroy what the event is about.
+  /// Moves the clock to \p To without firing timers; those that are due fire on
+  /// the next advance(). For event hooks that run after the loop has slept: a
+  /// delay counted from the old time would end too early, and a timer callback
+  /// fired here could destroy the object that the event concerns.
   void observe(instant To) { Now = std::max(Now, To); }
 
-  /// The next due time, for the loop's sleep.
+  /// The earliest due time, until which the loop may sleep.
   std::optional<instant> nextDue() const;
 
 private:
--- a/include/marjoramrail/resource.h
+++ b/include/marjoramrail/resource.h
@@ -1,22 +1,22 @@
-//===- resource.h - What operators declare ----------------------*- C++ -*-===//
+//===- resource.h - Objects of the resource API -----------------*- C++ -*-===//
 ///
 /// \file
-/// The objects of the resource API, their checks and their JSON forms. Desired
-/// state ("spec") is the operators'; "status" is written by the system. Both
-/// are kept as separate platform objects (KIND and KIND-status), so that an
-/// operator's write and the system's report never race for one version.
+/// The objects of the resource API, their validation and their JSON forms.
+/// Operators write the desired state ("spec"); the system writes the "status".
+/// The two are separate platform objects (KIND and KIND-status), so that writes
+/// of an operator and of the system never conflict on one object version.
 ///
 /// Usage:
 /// \code
 ///   BOOST_LEAF_AUTO(Ledger, parseService(JsonText, "ledger"));
-///   BOOST_LEAF_CHECK(checkAgainst(Ledger, Standing));
+///   BOOST_LEAF_CHECK(checkAgainst(Ledger, Existing));
 ///   Write({{"service", Ledger.Name}, toJson(Ledger)});
 /// \endcode
 ///
-/// Every refusal is one failure with step::ValidateObject whose peer is
-/// KIND/NAME and whose reason names each field at fault, why, and the range
-/// allowed. Unknown fields are refused: a misspelt rule would otherwise leave a
-/// default in force without a word.
+/// An invalid object gives one failure with step::ValidateObject. Its peer is
+/// KIND/NAME, and its reason names each invalid field, the error and the
+/// allowed range. Unknown fields are rejected: a misspelt rule would otherwise
+/// leave a default in effect without any error.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -33,7 +33,7 @@
 
 namespace marjoramrail {
 
-/// The kinds that operators write.
+/// The kinds of objects that operators write.
 enum class resource_kind { Service, Zone, Drain };
 
 inline constexpr name_table<resource_kind, 3> ResourceKindNames = {{
@@ -43,9 +43,10 @@
 }};
 
 enum class service_protocol {
-  /// Opaque bytes, spliced to the target.
+  /// The bytes are passed to the target without being interpreted.
   Tcp,
-  /// Requests are told apart, refused, relayed and run at most once.
+  /// Single requests are recognized, and can be refused, relayed and run at
+  /// most once.
   Http2,
 };
 
@@ -54,7 +55,7 @@
     {service_protocol::Http2, "http2"},
 }};
 
-/// A service, the zones it runs in and its rules for spreading connections.
+/// A service, its zones and its rules for distributing connections.
 struct service_spec {
   std::string Name;
   /// Chosen by the operator, unique, never reused for another service.
@@ -62,14 +63,15 @@
   endpoint Address;
   service_protocol Protocol = service_protocol::Http2;
   std::vector<std::string> Zones;
-  /// Requests that one target runs at a time.
+  /// Maximum number of requests that one target runs concurrently.
   std::uint32_t SlotsPerTarget = 4;
-  /// An agent hands a SYN on when it has more than this share of the mean of
-  /// its service, in percent (100 = never above the mean).
+  /// An agent passes a SYN to the next choice if it has more than this
+  /// percentage of its service's mean (100 = never above the mean).
   std::uint32_t MaxSharePercent = 105;
-  /// How long a new target takes to reach its full share of new flows.
+  /// Time in which a new target's share of new flows rises to the full share.
   std::uint32_t ColdStartSeconds = 10;
-  /// Flows that end silently are closed after this.
+  /// A flow without any packet for this time is closed, since its end may have
+  /// been missed.
   std::uint32_t SilentFlowSeconds = 60;
 
   bool operator==(const service_spec &) const = default;
@@ -83,8 +85,8 @@
   bool operator==(const zone_spec &) const = default;
 };
 
-/// The wish that a target host or a balancer takes no new work, so that its VM
-/// can be stopped. Named after the host.
+/// A request that a target host or a balancer takes no new work, so that its VM
+/// can be stopped. The object has the name of the host.
 struct drain_spec {
   std::string Host;
   std::string Reason;
@@ -101,8 +103,9 @@
 std::string toJson(const zone_spec &Zone);
 std::string toJson(const drain_spec &Drain);
 
-/// Checks one service against the others that stand: numbers and addresses are
-/// unique, or a packet for one could be taken for another's.
+/// Checks one service against the existing ones. Numbers and addresses must be
+/// unique; otherwise a packet for one service could be delivered to another.
+/// The number of an existing service must not change.
 result<void> checkAgainst(const service_spec &Service,
                           const std::vector<service_spec> &Existing);
 
@@ -112,19 +115,19 @@
 struct resource_object {
   resource_kind Kind{};
   std::string Name;
-  /// The JSON text that the platform keeps.
+  /// The JSON text that the platform stores.
   std::string Spec;
 
   bool operator==(const resource_object &) const = default;
 };
 
-/// Reads and checks a whole file, also the objects against each other. The
-/// failure's peer is the file, and its reason tells every fault with its
-/// object, so that nothing is applied of a file with a mistake in it.
+/// Reads a file and checks its objects, each by itself and against the others.
+/// The failure's peer is the file, and its reason lists every error with its
+/// object. Nothing of a file with an error is applied.
 result<std::vector<resource_object>> parseObjectFile(std::string_view Text,
                                                      const std::string &File);
 
-/// One condition of a status: what, since when, why.
+/// One condition of a status, with the reason and the time of its last change.
 struct condition {
   std::string Type;
   bool Holds = false;
@@ -135,16 +138,17 @@
   bool operator==(const condition &) const = default;
 };
 
-/// What the system reports of a service.
+/// The status of a service, written by the system.
 struct service_status {
   std::string Name;
-  /// The platform version of the spec that this answers.
+  /// The platform version of the spec that this status refers to.
   std::uint64_t AcceptedVersion = 0;
-  /// The version of the view that carries it.
+  /// The version of the view that contains this spec.
   std::uint64_t ViewVersion = 0;
+  /// Number of nodes that have applied the view.
   std::uint32_t AppliedOn = 0;
   std::uint32_t Nodes = 0;
-  /// At most a few names; the count is Nodes - AppliedOn.
+  /// The names of a few of the Nodes - AppliedOn nodes that have not yet.
   std::vector<std::string> Lagging;
   std::uint32_t TargetsReady = 0;
   std::uint32_t TargetsDraining = 0;
@@ -157,15 +161,15 @@
                                           const std::string &Name);
 std::string toJson(const service_status &Status);
 
-/// What the system reports of a drain: whether the VM can be stopped yet.
+/// The status of a drain: whether the VM can be stopped yet.
 struct drain_status {
   std::string Host;
-  /// Flows and requests that the host still holds.
+  /// Flows and requests that are still open on the host.
   std::uint32_t Flows = 0;
   std::uint32_t Requests = 0;
-  /// Stopping the VM now cuts off nothing.
+  /// Stopping the VM now interrupts no flow or request.
   bool SafeToStop = false;
-  /// When the drain took hold; wall clock, milliseconds since 1970.
+  /// When the drain took effect; wall clock, milliseconds since 1970.
   std::int64_t SinceMs = 0;
 
   bool operator==(const drain_status &) const = default;
@@ -175,16 +179,16 @@
                                       const std::string &Name);
 std::string toJson(const drain_status &Status);
 
-/// The kinds that the system writes, each beside the operators' kind.
+/// The kinds of objects that the system writes.
 inline constexpr std::string_view ServiceStatusKind = "service-status";
 inline constexpr std::string_view DrainStatusKind = "drain-status";
 
-/// Fails unless \p Name can name an object: 1 to 63 of a-z, 0-9 and "-",
-/// beginning with a letter or digit. Names go into paths, file names and
-/// metrics.
+/// Fails unless \p Name is a valid object name: 1 to 63 characters of a-z, 0-9
+/// and "-", beginning with a letter or digit. The set is limited because names
+/// are used in paths, file names and metrics.
 result<void> checkName(std::string_view Kind, std::string_view Name);
 
-/// Parses and checks an object of any operators' kind by itself.
+/// Parses and checks a single object of any kind that operators write.
 result<void> checkObject(resource_kind Kind, std::string_view Json,
                          const std::string &Name);
 
--- a/include/marjoramrail/runtime.h
+++ b/include/marjoramrail/runtime.h
@@ -1,8 +1,9 @@
-//===- runtime.h - What joins a core to the operating system ----*- C++ -*-===//
+//===- runtime.h - Event loop, sockets, settings and metrics ----*- C++ -*-===//
 ///
 /// \file
-/// The loop of a daemon: timers, signals, UDP and TCP sockets, the status page
-/// and settings. One loop on one thread; nothing here is thread-safe.
+/// The event loop of a daemon with its timers, signals, UDP and TCP sockets,
+/// and the status page, metrics, settings and start-up of a daemon. Each loop
+/// runs on one thread; nothing here is thread-safe.
 ///
 /// Usage:
 /// \code
@@ -32,9 +33,9 @@
 
 namespace marjoramrail {
 
-/// libevent's loop with a timer_service that follows the monotonic clock, the
-/// time of a suspended machine included: what was known before a suspension is
-/// old after it.
+/// A libevent loop with a timer_service that follows the monotonic clock. The
+/// clock includes the time during which the machine is suspended, so that
+/// information from before a suspension counts as old after it.
 class event_loop {
 public:
   event_loop();
@@ -54,12 +55,12 @@
   void run();
   void stop();
 
-  /// Moves the timers' clock to the present, see timer_service::observe().
-  /// Every event of a socket starts with it, since the loop may have slept.
+  /// Moves the timers' clock to the current time, see timer_service::observe().
+  /// Every socket event handler calls it first, since the loop may have slept.
   void updateClock();
 
-  /// Runs \p Task when the current callback has returned, for owners that must
-  /// not destroy an object from within its own hook.
+  /// Runs \p Task after the current callback has returned. An owner uses this
+  /// to destroy an object from within a hook that the object itself calls.
   void defer(std::function<void()> Task);
 
 private:
@@ -68,19 +69,20 @@
   std::unique_ptr<impl> Impl;
 };
 
-/// One received datagram; valid during the hook.
+/// One received datagram. Bytes is valid only while the receive hook runs.
 struct datagram {
   endpoint From;
   std::span<const std::uint8_t> Bytes;
 };
 
-/// A UDP socket that receives and sends in batches (recvmmsg, sendmmsg): at
-/// 200,000 packets a second one system call per packet would take the core.
+/// A UDP socket that receives and sends in batches (recvmmsg, sendmmsg). At
+/// 200,000 packets per second, one system call per packet would occupy a whole
+/// processor core.
 class udp_socket {
 public:
   using receive_hook = std::function<void(std::span<const datagram>)>;
 
-  /// Throws no exception: open() tells whether the socket could be bound.
+  /// Does not open the socket; open() does and reports errors.
   udp_socket(event_loop &Loop, receive_hook OnBatch);
   ~udp_socket();
   udp_socket(const udp_socket &) = delete;
@@ -90,12 +92,12 @@
   result<void> open(const endpoint &Local);
   endpoint local() const;
 
-  /// Queues a copy of \p Bytes. Sent at the end of the receive hook, when the
-  /// batch is full, or on flush().
+  /// Queues a copy of \p Bytes. The queue is sent after the receive hook, when
+  /// the batch is full, or on flush().
   void send(const endpoint &To, std::span<const std::uint8_t> Bytes);
   void flush();
 
-  /// Datagrams the kernel did not take.
+  /// Number of datagrams that were too large or that the kernel rejected.
   std::uint64_t dropped() const;
 
 private:
@@ -103,15 +105,16 @@
   std::unique_ptr<impl> Impl;
 };
 
-/// One TCP connection of the kernel.
+/// A TCP connection of the operating system (unlike the TCP stack of the
+/// agents).
 class tcp_stream {
 public:
   struct hooks {
     std::function<void()> OnConnected;
     std::function<void(std::string_view Bytes)> OnData;
-    /// Our side or the peer's ended; \p Reason is empty for a plain end.
+    /// Either side closed the connection. \p Reason is empty unless it failed.
     std::function<void(std::string Reason)> OnClosed;
-    /// What was queued has gone out, for back-pressure.
+    /// All queued bytes have been written; for back-pressure.
     std::function<void()> OnDrained;
   };
 
@@ -119,11 +122,12 @@
   tcp_stream(const tcp_stream &) = delete;
   tcp_stream &operator=(const tcp_stream &) = delete;
 
-  /// Starts to connect; the outcome comes through a hook.
+  /// Starts to connect. A hook reports the outcome.
   static std::unique_ptr<tcp_stream> connect(event_loop &Loop,
                                              const endpoint &Peer, hooks Hooks);
 
-  /// Connects from the address of \p Local, by which the peer knows us.
+  /// Connects from the address of \p Local, by which the peer identifies this
+  /// process.
   static std::unique_ptr<tcp_stream> connectFrom(event_loop &Loop,
                                                  const endpoint &Local,
                                                  const endpoint &Peer,
@@ -135,9 +139,10 @@
   /// Bytes accepted by write() that the kernel has not taken yet.
   std::size_t queued() const;
   void pauseReading(bool Pause);
-  /// Closes when everything written has gone out.
+  /// Closes the connection after all queued bytes have been written.
   void closeAfterWrites();
-  /// Ends our direction when everything written has gone out; goes on reading.
+  /// Shuts down the sending direction after all queued bytes have been written;
+  /// reading continues.
   void finishWriting();
 
 private:
@@ -165,12 +170,12 @@
   std::unique_ptr<impl> Impl;
 };
 
-/// Writes lines to a file descriptor without ever waiting for its reader. A
-/// reader that stops would otherwise stop the process with it; what does not
-/// fit into the buffer is left out and counted.
+/// Writes lines to a file descriptor without blocking. With blocking writes, a
+/// reader that stops reading would stop this process. Lines that do not fit
+/// into the buffer are dropped and counted.
 class line_writer {
 public:
-  /// Some hundred lines: a reader that is late by a moment loses nothing.
+  /// Holds some hundred lines, so that a brief delay of the reader drops none.
   static constexpr std::size_t BufferBytes = 128 * 1024;
 
   line_writer(event_loop &Loop, int Descriptor);
@@ -178,9 +183,9 @@
   line_writer(const line_writer &) = delete;
   line_writer &operator=(const line_writer &) = delete;
 
-  /// Queues \p Line and a newline; written when the loop is idle next.
+  /// Queues \p Line and a newline; they are written by a timer shortly after.
   void write(std::string_view Line);
-  /// Writes what the descriptor takes now, before the process ends.
+  /// Writes as much as the descriptor accepts now; for the end of the process.
   void flush();
   std::uint64_t droppedLines() const { return DroppedLines; }
 
@@ -193,8 +198,8 @@
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
 };
 
-/// Counters, gauges and distributions of one process, written in the usual
-/// text format. Distributions are Boost.Accumulators with quantiles.
+/// Counters, gauges and distributions of one process, written in the Prometheus
+/// text format. Distributions use Boost.Accumulators for their quantiles.
 class metrics {
 public:
   metrics();
@@ -202,13 +207,13 @@
   metrics(const metrics &) = delete;
   metrics &operator=(const metrics &) = delete;
 
-  /// A counter that lives as long as this object. \p Labels as in
-  /// `reason="truncated"`, or empty.
+  /// Returns a counter that lives as long as this object. \p Labels has the
+  /// form `reason="truncated"`, or is empty.
   std::uint64_t &counter(const std::string &Name,
                          const std::string &Labels = "");
-  /// A gauge read when the page is.
+  /// Adds a gauge whose value is read for each page().
   void gauge(const std::string &Name, std::function<double()> Read);
-  /// A counter that someone else keeps, read when the page is.
+  /// Adds a counter that is kept elsewhere and read for each page().
   void counterOf(const std::string &Name, std::function<double()> Read);
   /// Adds \p Value to a distribution (count, mean, 0.5, 0.99, max).
   void observe(const std::string &Name, double Value);
@@ -220,18 +225,19 @@
   std::unique_ptr<impl> Impl;
 };
 
-/// What a process's loop spends its time on. While it does one of these, no
-/// packet is forwarded.
+/// The kinds of event-loop callbacks whose duration is measured. While one of
+/// them runs, no packet is forwarded.
 enum class callback_kind {
-  /// A batch of datagrams from callers; from peers and agents; from the target.
+  /// A batch of datagrams from callers, from peers and agents, or from the
+  /// target.
   CallerPackets,
   PeerPackets,
   TargetPackets,
-  /// An answer of the store or of a peer: made into objects, and all that
-  /// follows from them.
+  /// Decoding an answer of the store or of a peer into objects, and applying
+  /// them.
   DecodeAnswer,
   TakeAnswer,
-  /// Copies of objects for a peer.
+  /// Sending copies of objects to a peer.
   ServeCopies,
   DecodeRoutes,
   BuildRules,
@@ -256,32 +262,32 @@
     {callback_kind::AnswerSyncMessage, "answer_greeting"},
 }};
 
-/// A piece of work that was done in one turn of the loop.
+/// The measured duration of one event-loop callback or of a part of it.
 struct callback_timing {
   callback_kind What = callback_kind::CallerPackets;
-  /// How many packets, routes, targets or bytes it was about.
+  /// Number of packets, routes, targets or bytes that were processed.
   std::size_t Items = 0;
   duration Took = duration::zero();
-  /// The thread's processor time: much less than Took on a VM that is out of
-  /// processor time, and equal to it where the work itself is long. Zero for
-  /// packets.
+  /// The thread's processor time. It is much less than Took on a VM that gets
+  /// too little processor time, and equal to Took if the work itself is long.
+  /// Not measured (zero) for packets.
   duration Processor = duration::zero();
 };
 
 using callback_hook = std::function<void(const callback_timing &)>;
 
-/// Measures a piece of work from its construction to its end. Work within work
-/// counts for both.
+/// Measures the time from its construction to its destruction and passes it to
+/// a hook. The time of a nested timer counts for the outer one as well.
 class callback_timer {
 public:
-  /// \p Hook may be empty; then nothing is measured.
+  /// If \p Hook is empty, nothing is measured.
   callback_timer(const callback_hook &Hook, callback_kind What,
                  std::size_t Items = 0);
   ~callback_timer();
   callback_timer(const callback_timer &) = delete;
   callback_timer &operator=(const callback_timer &) = delete;
 
-  /// For a number that is known only at the end.
+  /// Sets the number of items if it is known only after the work.
   void setItems(std::size_t Items) { Done.Items = Items; }
 
 private:
@@ -291,7 +297,7 @@
   duration ProcessorBefore = duration::zero();
 };
 
-/// One request that a page_call hook may serve.
+/// One HTTP request for the hook status_page::hooks::Serve.
 struct page_request {
   bool IsPost = false;
   std::string_view Path;
@@ -304,15 +310,16 @@
   std::string Body;
 };
 
-/// The HTTP page of a daemon: /metrics, /healthz and /readyz, over libevhtp.
+/// The HTTP server of a daemon for /metrics, /healthz, /readyz and further
+/// pages, built on libevhtp.
 class status_page {
 public:
   struct hooks {
     std::function<bool()> Ready;
-    /// Further GET pages, by path; return the body (JSON or text).
+    /// Further pages, by path; the functions return the body (JSON or text).
     std::map<std::string, std::function<std::string()>> Pages;
-    /// Serves what else may be called here, before all pages; nothing if the
-    /// request is none of its own.
+    /// Called for each request before any page. Returns nothing if it does not
+    /// handle the request.
     std::function<std::optional<page_answer>(const page_request &)> Serve;
   };
 
@@ -328,9 +335,9 @@
   std::unique_ptr<impl> Impl;
 };
 
-/// Deeper JSON is refused: the JSON library copies and prints values by
-/// recursion, and one object with a megabyte of brackets would exhaust the
-/// stack of every process that reads it.
+/// JSON that is nested deeper is rejected. The JSON library copies and prints
+/// values recursively, so one object with a megabyte of brackets would exhaust
+/// the stack of every process that reads it.
 inline constexpr int MaxJsonDepth = 32;
 
 /// Parses JSON with comments into \p Into. The failure carries \p Step, \p Peer
@@ -338,10 +345,10 @@
 result<void> parseJson(std::string_view Text, const std::string &Peer,
                        step Step, nlohmann::json &Into);
 
-/// Reads settings, JSON with comments, and refuses what it does not know: a
-/// misspelt key would otherwise leave a default in force on a VM that no one
-/// logs in to. Every error names file, line, field, reason and the range
-/// allowed; a field that is given twice is refused.
+/// Reads settings (JSON with comments) and rejects unknown fields: a misspelt
+/// key would otherwise leave a default in effect on a VM that no one logs in
+/// to. Every error names the file, line, field, reason and allowed range. A
+/// field that is given twice in a settings file is rejected.
 ///
 /// \code
 ///   result<settings_reader> Reader = settings_reader::fromFile(Path);
@@ -352,16 +359,16 @@
 class settings_reader {
 public:
   static result<settings_reader> fromFile(const std::string &Path);
-  /// \p Step is what the errors carry; objects of the resource API are read
-  /// with step::ValidateObject.
+  /// \p Step is the step that errors carry. Objects of the resource API are
+  /// read with step::ValidateObject.
   static result<settings_reader> fromText(std::string_view Text,
                                           std::string File,
                                           step Step = step::ParseSettings);
   settings_reader(settings_reader &&) noexcept;
   ~settings_reader();
 
-  /// A required field has no default. A fault is kept and told by finish(); the
-  /// value returned is then of no meaning.
+  /// A field without a default is required. Errors are collected and reported
+  /// by finish(); the value returned for a faulty field is meaningless.
   std::int64_t number(const std::string &Field,
                       std::optional<std::int64_t> Default, std::int64_t Low,
                       std::int64_t High);
@@ -372,13 +379,13 @@
                    std::optional<endpoint> Default = std::nullopt);
   std::vector<endpoint> addresses(const std::string &Field, bool Required);
   std::vector<std::string> texts(const std::string &Field, bool Required);
-  /// The readers of a list of objects.
+  /// Returns a reader for each object of a list.
   std::vector<settings_reader> objects(const std::string &Field, bool Required);
 
-  /// Keeps a fault that only the caller can find, for finish() to tell.
+  /// Adds an error that the caller has found, to be reported by finish().
   void refuse(const std::string &Field, const std::string &Reason);
 
-  /// Fails with every fault found, unknown fields among them.
+  /// Fails with all errors found, including unknown fields.
   result<void> finish();
 
 private:
@@ -387,14 +394,15 @@
   std::unique_ptr<impl> Impl;
 };
 
-/// Starts glog for a daemon: to standard error, prefix per part by LOG_PART.
+/// Initializes glog for a daemon, with its output on standard error.
 void startLogging(const char *Program);
 
-/// Reads gflags, prints usage on a bad flag; returns the settings' path.
-/// Defines --settings and --check_settings.
+/// Parses the command line with gflags, starts logging and returns the path of
+/// the settings file. Exits if --settings is missing. Handles the flags
+/// --settings and --check_settings.
 std::string startProgram(int &Argc, char **&Argv, const std::string &Usage);
 
-/// True with --check_settings: check, say so and leave.
+/// True with --check_settings: the program only checks its settings and exits.
 bool onlyCheckSettings();
 
 } // namespace marjoramrail
--- a/include/marjoramrail/wire.h
+++ b/include/marjoramrail/wire.h
@@ -1,8 +1,8 @@
 //===- wire.h - Packets between fabric, balancers and agents ----*- C++ -*-===//
 ///
 /// \file
-/// Reads the callers' IPv4/TCP headers and frames packets on their way from a
-/// balancer to the agents that may own the flow.
+/// Parses the IPv4 and TCP headers of callers' packets, and encodes packets
+/// that a balancer forwards to the agents that may own the flow.
 ///
 /// A routed packet is one UDP datagram, integers in network byte order:
 ///
@@ -10,12 +10,12 @@
 ///   u8 position | u8 count | u32 address, u16 port of the balancer |
 ///   count x (u32 address, u16 port) | the caller's IPv4 packet, unchanged
 ///
-/// The balancer's address goes along so that the owner at the end of the way
-/// can name itself to it (owner_notice); it is 0 if the balancer wants no word.
-/// `version` is the view's version at the balancer; `position` is the place in
-/// the list that this datagram was sent to. An agent that does not own the flow
-/// raises it and sends the datagram on, so a packet visits each owner at most
-/// once and cannot loop.
+/// The owner that finally takes the packet may send an owner_notice to the
+/// balancer's address, which is 0 if the balancer wants no notice. `version` is
+/// the version of the balancer's view; `position` is the index in the list of
+/// the agent that this datagram is sent to. An agent that does not own the flow
+/// increments `position` and forwards the datagram, so a packet visits each
+/// listed agent at most once and cannot loop.
 ///
 /// Usage:
 /// \code
@@ -40,7 +40,7 @@
 
 using bytes_view = std::span<const std::uint8_t>;
 
-/// Why a packet was refused; each reason is counted.
+/// Why a packet was rejected. A counter exists for each reason.
 enum class packet_fault {
   None,
   Truncated,
@@ -76,7 +76,8 @@
     {packet_fault::NoTarget, "no_target"},
 }};
 
-/// What a decision about a TCP packet needs; the packet itself stays opaque.
+/// The header fields by which a TCP packet is forwarded. The payload is not
+/// inspected.
 struct tcp_packet {
   flow_key Flow;
   std::uint32_t Sequence = 0;
@@ -85,22 +86,23 @@
   bool Ack = false;
   bool Fin = false;
   bool Rst = false;
-  /// Bytes of payload.
+  /// Size of the payload in bytes.
   std::uint16_t Payload = 0;
 
-  /// The first packet of a flow, as a caller sends it.
+  /// True for the first packet that a caller sends in a flow.
   bool opensFlow() const { return Syn && !Ack; }
 };
 
-/// Reads a packet that a caller sent (Flow.Caller is its source). Does not
-/// allocate: this runs for every packet.
+/// Parses a packet sent by a caller: Flow.Caller is its source. Does not
+/// allocate memory, since it runs for every packet.
 packet_fault parseTcpPacket(bytes_view Bytes, tcp_packet &Packet);
 
-/// Reads a packet on its way back (Flow.Caller is its destination).
+/// Parses a packet sent to a caller: Flow.Caller is its destination.
 packet_fault parseReturnPacket(bytes_view Bytes, tcp_packet &Packet);
 
-/// Twice what owner_list holds: where targets end their flows themselves, a
-/// packet names every target that may hold its flow, as far as the link allows.
+/// Twice the size of owner_list. For services whose targets end their flows
+/// themselves, a packet lists every target that may own the flow, as far as the
+/// link's packet size allows.
 inline constexpr std::size_t MaxRoutedOwners = 64;
 inline constexpr std::size_t MaxPacketBytes = 1500;
 inline constexpr std::size_t RoutedFixedBytes = 24;
@@ -109,28 +111,30 @@
 
 /// Bits of routed_packet::Flags.
 enum class routed_flag : std::uint8_t {
-  /// The sender has not heard of the fleet for longer than its bound.
+  /// The sender has received no fleet update for longer than its time limit.
   Stale = 1,
-  /// An agent over its share handed this SYN on.
+  /// An agent above its share of connections passed this SYN to the next one.
   HandedOn = 2,
-  /// The position is past the list: sent by an agent that knows a newer view.
+  /// The position is past the end of the list: the sender is an agent with a
+  /// newer view.
   Extended = 4,
-  /// All other choices have declined this SYN; whoever can must take it.
+  /// All other choices have declined this SYN; an agent that can take it must.
   LastResort = 8,
-  /// The list names everyone who can hold the flow: what all decline belongs to
-  /// no one.
+  /// The list names every agent that may own the flow. If all of them decline
+  /// the packet, the flow has no owner.
   Complete = 16,
-  /// More can hold the flow than one list names. When all in the list have
-  /// declined, the packet goes back to routed_packet::Balancer, which sends it
-  /// to the next ones; `version` says how far the walk has come.
+  /// More agents may own the flow than fit into one list. When all listed
+  /// agents have declined, the packet returns to routed_packet::Balancer, which
+  /// sends it to the next ones; `version` holds the progress of this owner
+  /// lookup.
   Continues = 32,
-  /// With Continues: nobody was left out up to the end of this list.
+  /// With Continues: no owner candidate was omitted up to the end of this list.
   CompleteSoFar = 64,
 };
 
-/// How many owners fit before a packet of \p PacketBytes into one datagram that
-/// a link of 1,500 bytes carries whole. One that is cut into fragments is lost
-/// with any of them.
+/// How many owners fit in front of a packet of \p PacketBytes into one datagram
+/// that a link with an MTU of 1,500 bytes carries without fragmentation. A
+/// fragmented datagram is lost if any of its fragments is lost.
 constexpr std::size_t ownersThatFit(std::size_t PacketBytes) {
   constexpr std::size_t LinkBytes = 1500;
   constexpr std::size_t Ipv4AndUdpBytes = 28;
@@ -141,14 +145,15 @@
              : std::min((LinkBytes - Taken) / OwnerBytes, MaxRoutedOwners);
 }
 
-/// A caller's packet with its possible owners. Views into the decoded buffer.
+/// A caller's packet and the agents that may own its flow. After decoding,
+/// Packet points into the decoded buffer.
 struct routed_packet {
   service_id Service{};
   std::uint64_t Version = 0;
   std::uint8_t Flags = 0;
   std::uint8_t Position = 0;
   std::uint8_t Count = 0;
-  /// Where the owner may send its notice.
+  /// The address to which the owner may send an owner_notice.
   endpoint Balancer;
   std::array<endpoint, MaxRoutedOwners> Owners{};
   bytes_view Packet;
@@ -162,24 +167,26 @@
 std::size_t encodeRouted(const routed_packet &Routed,
                          std::span<std::uint8_t> Buffer);
 
-/// Reads a datagram. \p Routed points into \p Bytes afterwards.
+/// Decodes a datagram. \p Routed points into \p Bytes afterwards.
 packet_fault decodeRouted(bytes_view Bytes, routed_packet &Routed);
 
 /// True if \p Bytes has the magic number of a routed packet.
 bool isRouted(bytes_view Bytes);
 
-/// An agent's word to a balancer that it owns a flow, so that the flow's next
-/// packets reach it without a detour. The balancer may forget it at any time.
+/// Reports to a balancer that the sending agent owns a flow, so that the
+/// balancer sends the flow's next packets directly to it. The balancer only
+/// caches this and may evict it at any time.
 ///
-/// One UDP datagram from the owner's routed socket to routed_packet::Balancer,
-/// worth sending when a packet came by way of another agent (Position > 0);
-/// integers in network byte order:
+/// One UDP datagram from the owner's routed socket to routed_packet::Balancer.
+/// It is useful if the packet came through another agent (Position > 0).
+/// Integers are in network byte order:
 ///
 ///   u16 magic 0x4d4f | u8 format 1 | u8 zero | u32 service | u64 version |
 ///   3 x (u32 address, u16 port): caller, service, owner
 ///
-/// On the balancer's port it cannot be taken for an IPv4 packet: the length in
-/// the first byte of such a one would exceed the datagram.
+/// The balancer's port receives IPv4 packets too. A notice cannot be mistaken
+/// for one: its first byte, read as an IPv4 header length, exceeds the
+/// datagram.
 struct owner_notice {
   service_id Service{};
   /// The version of the owner's view.
@@ -196,19 +203,19 @@
 std::size_t encodeOwnerNotice(const owner_notice &Notice,
                               std::span<std::uint8_t> Buffer);
 
-/// True if \p Bytes has the size and the magic number of a notice.
+/// True if \p Bytes has the size and the magic number of an owner notice.
 bool isOwnerNotice(bytes_view Bytes);
 
 packet_fault decodeOwnerNotice(bytes_view Bytes, owner_notice &Notice);
 
-/// An agent's word to a balancer that a peer does not answer. Sent as soon as
-/// there is a doubt: the balancer only tries that peer last for a while, so
-/// that packets reach an agent that can find the truth, instead of vanishing
-/// until the fleet has declared the peer down.
+/// Reports to a balancer that another agent does not respond. It is sent on the
+/// first suspicion. For a while the balancer uses that agent only as the last
+/// choice, so that packets reach an agent that can determine the flow's owner.
+/// Otherwise they would be lost until the fleet has declared the agent dead.
 ///
 /// One UDP datagram from the sender's routed socket, integers in network byte
 /// order: u16 magic 0x4d53 | u8 format 1 | u8 zero | u32 service |
-/// u32 address, u16 port of the silent agent
+/// u32 address, u16 port of the unresponsive agent
 struct unresponsive_notice {
   service_id Service{};
   endpoint Agent;
@@ -222,17 +229,17 @@
 std::size_t encodeUnresponsiveNotice(const unresponsive_notice &Notice,
                                      std::span<std::uint8_t> Buffer);
 
-/// True if \p Bytes has the size and the magic number of a silence notice.
+/// True if \p Bytes has the size and the magic number of such a notice.
 bool isUnresponsiveNotice(bytes_view Bytes);
 
 packet_fault decodeUnresponsiveNotice(bytes_view Bytes,
                                       unresponsive_notice &Notice);
 
-/// A reset that answers \p Packet in the service's name, so that a caller whose
-/// flow has no owner any more learns it at once instead of by silence. Returns
-/// the size of the IPv4 packet written to \p Buffer (40 bytes are needed), or 0
-/// if it does not fit or \p Packet is a reset itself, which gets no answer
-/// (RFC 9293, 3.10.7.1).
+/// Writes a TCP reset in response to \p Packet, with the service as its source.
+/// A caller whose flow has no owner any more then fails at once instead of
+/// timing out. Returns the size of the IPv4 packet written to \p Buffer, which
+/// needs 40 bytes. Returns 0 if it does not fit, or if \p Packet is itself a
+/// reset, to which RFC 9293, 3.10.7.1, allows no response.
 std::size_t writeReset(const tcp_packet &Packet,
                        std::span<std::uint8_t> Buffer);
 
