--- a/include/marjoramrail/resource.h
+++ b/include/marjoramrail/resource.h
@@ -70,8 +70,8 @@
   std::uint32_t MaxSharePercent = 105;
   /// Time in which a new target's share of new flows rises to the full share.
   std::uint32_t ColdStartSeconds = 10;
-  /// A flow without any packet for this time is closed, since its end may have
-  /// been missed.
+  /// A flow whose caller has stopped responding without closing it is closed
+  /// after this time.
   std::uint32_t SilentFlowSeconds = 60;
 
   bool operator==(const service_spec &) const = default;
--- a/include/marjoramrail/wire.h
+++ b/include/marjoramrail/wire.h
@@ -239,7 +239,7 @@
 /// A caller whose flow has no owner any more then fails at once instead of
 /// timing out. Returns the size of the IPv4 packet written to \p Buffer, which
 /// needs 40 bytes. Returns 0 if it does not fit, or if \p Packet is itself a
-/// reset, to which RFC 9293, 3.10.7.1, allows no response.
+/// reset, which gets no response (RFC 9293, 3.10.7.1).
 std::size_t writeReset(const tcp_packet &Packet,
                        std::span<std::uint8_t> Buffer);
 
