--- a/src/base/cbor.h
+++ b/src/base/cbor.h
@@ -1,4 +1,9 @@
-//===- cbor.h - Reading CBOR that others sent -------------------*- C++ -*-===//
+//===- cbor.h - Decodes CBOR from untrusted senders -------------*- C++ -*-===//
+///
+/// \file
+/// Decodes received CBOR without throwing exceptions.
+///
+//===----------------------------------------------------------------------===//
 
 #ifndef MARJORAMRAIL_SRC_BASE_CBOR_H
 #define MARJORAMRAIL_SRC_BASE_CBOR_H
@@ -7,11 +12,11 @@
 
 namespace marjoramrail::internal {
 
-/// Returns a discarded value if \p Bytes are no CBOR.
+/// Returns a discarded value if \p Range is not valid CBOR.
 ///
-/// from_cbor() reports most faults without exceptions when asked to, but throws
-/// all the same for an array or object whose length exceeds the memory. One
-/// forged datagram of twelve bytes would then end the process.
+/// Even with allow_exceptions=false, from_cbor() throws for an array or object
+/// whose length exceeds the memory. Uncaught, the exception would let one
+/// forged datagram of twelve bytes end the process.
 template <typename Bytes> nlohmann::json readCbor(const Bytes &Range) {
   using nlohmann::json;
   try {
--- a/src/base/timer_service.cpp
+++ b/src/base/timer_service.cpp
@@ -28,8 +28,8 @@
   while (!Pending.empty() && Pending.begin()->first <= To) {
     const auto First = Pending.begin();
     Now = std::max(Now, First->first);
-    // A callback may cancel its own timer, so it runs from a copy, after the
-    // timer has been taken out or set again.
+    // A callback may cancel its own timer. It is therefore run from a copy,
+    // after the timer has been removed or rescheduled.
     entry Due = First->second;
     Pending.erase(First);
     if (Due.Period > duration::zero())
--- a/src/resource/limits.h
+++ b/src/resource/limits.h
@@ -1,7 +1,7 @@
 //===- limits.h - Ranges allowed in objects ---------------------*- C++ -*-===//
 ///
 /// \file
-/// The ranges that parsing enforces and refusals name.
+/// The ranges that the parsers enforce and that their errors state.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,17 +20,17 @@
 inline constexpr std::int64_t MaxServiceNumber = 0xffffffff;
 inline constexpr std::int64_t MaxZoneNumber = 0xffff;
 
-/// A target that runs more than this at once is no single host.
+/// No single host runs more requests at once.
 inline constexpr std::int64_t MaxSlots = 100'000;
 
-/// Below 100 no agent could keep its mean share; above 1000 the rule would
-/// never hand a flow on.
+/// Below 100, agents could not even take their mean share. Above 1000, no flow
+/// would ever be passed to another agent.
 inline constexpr std::int64_t MinSharePercent = 100;
 inline constexpr std::int64_t MaxSharePercent = 1000;
 
 inline constexpr std::int64_t MaxColdStartSeconds = 3600;
 
-/// A shorter bound would close flows for one lost keepalive.
+/// With a shorter limit, one lost keepalive would close a flow.
 inline constexpr std::int64_t MinSilentFlowSeconds = 5;
 inline constexpr std::int64_t MaxSilentFlowSeconds = 86'400;
 
--- a/src/resource/object_file.cpp
+++ b/src/resource/object_file.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Reads the objects of one file and keeps every fault found.
+/// Reads the objects of one file and collects all errors.
 class file_reader {
 public:
   void add(const json &Item, std::size_t Index);
--- a/src/resource/object_reader.cpp
+++ b/src/resource/object_reader.cpp
@@ -31,7 +31,7 @@
                                    step::ValidateObject);
 }
 
-/// Keeps whether an object could be read and drops the object.
+/// Discards the object and returns only whether it could be read.
 template <typename Object> static result<void> outcomeOf(result<Object> Read) {
   if (!Read)
     return Read.error();
--- a/src/resource/object_reader.h
+++ b/src/resource/object_reader.h
@@ -1,8 +1,8 @@
 //===- object_reader.h - Reads one object's JSON ----------------*- C++ -*-===//
 ///
 /// \file
-/// Opens a settings_reader over an object, so that objects and settings files
-/// are refused in the same words.
+/// Opens a settings_reader for an object, so that the errors in objects and in
+/// settings files have the same texts.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -14,15 +14,15 @@
 
 namespace marjoramrail::internal {
 
-/// Checks the name and parses the text of KIND/NAME.
+/// Checks the object's name and parses its JSON text.
 result<settings_reader> openObject(std::string_view Kind,
                                    const std::string &Name,
                                    std::string_view Json);
 
-/// Returns whether \p Name can name an object or a zone.
+/// Returns whether \p Name is a valid name of an object, a zone or a region.
 bool isName(std::string_view Name);
 
-/// What a name must be, for refusals.
+/// The rule for names, as stated in errors.
 inline constexpr const char *NameRule =
     "expected 1 to 63 of a-z, 0-9 and \"-\", beginning with a letter or digit";
 
--- a/src/resource/service.cpp
+++ b/src/resource/service.cpp
@@ -87,8 +87,8 @@
   const std::string Peer = "service/" + Service.Name;
   for (const service_spec &Other : Existing) {
     if (Other.Name == Service.Name) {
-      // Agents and past generations know a service by its number; a new one
-      // would cut off every flow that is open.
+      // Agents and past generations identify a service by its number. A changed
+      // number would interrupt every open flow.
       if (Other.Number != Service.Number)
         return fail(
             step::ValidateObject, Peer,
--- a/src/runtime/callback_timer.cpp
+++ b/src/runtime/callback_timer.cpp
@@ -12,8 +12,8 @@
       std::chrono::nanoseconds(Time.tv_nsec));
 }
 
-/// Reading the processor's clock is a system call, too dear for each batch of
-/// packets.
+/// Whether the processor time of this kind is measured. Reading the clock is a
+/// system call, which is too expensive for each batch of packets.
 static bool countsProcessor(callback_kind What) {
   return What != callback_kind::CallerPackets &&
          What != callback_kind::PeerPackets &&
--- a/src/runtime/event_loop.cpp
+++ b/src/runtime/event_loop.cpp
@@ -30,7 +30,7 @@
 };
 
 static instant monotonicNow() {
-  // The steady clock stands still while a machine is suspended.
+  // CLOCK_MONOTONIC does not count the time in which the machine is suspended.
   timespec Now{};
   clock_gettime(CLOCK_BOOTTIME, &Now);
   return instant(std::chrono::seconds(Now.tv_sec) +
@@ -46,7 +46,8 @@
 
 event_loop::event_loop()
     : Timers(monotonicNow()), Impl(std::make_unique<impl>()) {
-  // A peer that closes while we write must give an error, not end the process.
+  // Writing to a connection that the peer has closed must return an error
+  // instead of ending the process with SIGPIPE.
   std::signal(SIGPIPE, SIG_IGN);
   Impl->Base.reset(event_base_new());
   Impl->Wakeup.reset(evtimer_new(
@@ -101,7 +102,7 @@
     event_base_loop(Impl->Base.get(), EVLOOP_ONCE);
     Timers.advance(monotonicNow());
   }
-  // It may be run again.
+  // Allows another call of run().
   Impl->Stopped = false;
 }
 
--- a/src/runtime/field_lines.cpp
+++ b/src/runtime/field_lines.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Hands the parser a text byte by byte and counts the lines that it has taken.
+/// Passes a text to the parser byte by byte and counts the lines it has read.
 class counting_iterator {
 public:
   using iterator_category = std::input_iterator_tag;
@@ -43,15 +43,16 @@
   int *Line;
 };
 
-/// An object or list that the parser is in.
+/// An object or list that the parser has not read to its end.
 struct open_value {
   bool IsList = false;
-  /// Of an object, the field that is being read.
+  /// For an object: the field that is being read.
   std::string Field;
-  /// Of a list, how many items were read.
+  /// For a list: the number of items read so far.
   std::size_t Items = 0;
 };
 
+/// Tracks the path of the field that the parser is reading.
 class path_tracker {
 public:
   void begin(bool IsList) { Open.push_back({IsList, "", 0}); }
@@ -63,7 +64,7 @@
     if (!Open.empty() && Open.back().IsList)
       ++Open.back().Items;
   }
-  /// The path of a field that the innermost object names.
+  /// Enters a field of the innermost object and returns its path.
   std::string enter(const std::string &Field) {
     Open.back().Field = Field;
     std::string Path;
@@ -107,7 +108,7 @@
     }
     return true;
   };
-  // Only what the parser says on its way is wanted.
+  // Only the parser's callbacks are needed, not the document.
   [[maybe_unused]] const json Document =
       json::parse(counting_iterator(Text.data(), &Line),
                   counting_iterator(Text.data() + Text.size(), &Line), Note,
--- a/src/runtime/field_lines.h
+++ b/src/runtime/field_lines.h
@@ -1,9 +1,10 @@
-//===- field_lines.h - Where a settings file names its fields ---*- C++ -*-===//
+//===- field_lines.h - Line numbers of settings fields ----------*- C++ -*-===//
 ///
 /// \file
-/// The parsed document knows neither lines nor that a field was given twice:
-/// the last value silently replaces the ones before. An operator who corrects
-/// the first of two would see no change, and nothing would tell why.
+/// Finds the line numbers of the fields in a settings file, and fields that are
+/// given twice. The parsed JSON document has neither: the last value of a field
+/// replaces the earlier ones. An operator who changed the first of two would
+/// see no effect and no error.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -18,7 +19,7 @@
 
 namespace marjoramrail::internal {
 
-/// A field that stands more than once in the same object.
+/// A field that is given more than once in the same object.
 struct repeated_field {
   /// The path from the outermost object, as in "services[1].name".
   std::string Field;
@@ -26,15 +27,16 @@
   int FirstLine = 0;
 };
 
-/// The lines, counted from 1, on which a text of JSON with comments names its
-/// fields.
+/// The line numbers, counted from 1, of the fields in a JSON text with
+/// comments.
 class field_lines {
 public:
   field_lines() = default;
   /// \p Text: valid JSON with comments.
   explicit field_lines(std::string_view Text);
 
-  /// The first line that names \p Field, a path; nothing if none does.
+  /// Returns the first line that contains the field with the path \p Field, if
+  /// there is one.
   std::optional<int> lineOf(const std::string &Field) const;
   const std::vector<repeated_field> &repeated() const { return Repeated; }
 
--- a/src/runtime/line_writer.cpp
+++ b/src/runtime/line_writer.cpp
@@ -5,7 +5,8 @@
 
 namespace marjoramrail {
 
-/// Lines gather for this long, so that a busy process makes few system calls.
+/// Lines are buffered for this time, so that a busy process makes few system
+/// calls.
 static constexpr duration FlushDelay = std::chrono::milliseconds(50);
 
 line_writer::line_writer(event_loop &Loop, int Descriptor)
@@ -37,7 +38,8 @@
   });
 }
 
-/// A descriptor that takes nothing keeps the buffer for the next time.
+/// If the descriptor accepts no bytes, they stay in the buffer until the next
+/// flush.
 void line_writer::flush() {
   if (Buffer.empty())
     return;
--- a/src/runtime/program.cpp
+++ b/src/runtime/program.cpp
@@ -11,7 +11,8 @@
 namespace marjoramrail {
 
 void startLogging(const char *Program) {
-  // The VMs have no disks; whoever starts the process keeps its output.
+  // The VMs have no disks, so the log goes to standard error. The program that
+  // starts this process stores it.
   FLAGS_logtostderr = true;
   google::InitGoogleLogging(Program);
 }
--- a/src/runtime/settings_reader.cpp
+++ b/src/runtime/settings_reader.cpp
@@ -14,14 +14,14 @@
 struct settings_reader::impl {
   std::string File;
   step Step = step::ParseSettings;
-  /// Where in the file this object stands, as in "services[1].".
+  /// The path of this object in the file, such as "services[1].".
   std::string Prefix;
   json Object;
   std::set<std::string> Known;
   /// Shared with the readers of nested objects, so that finish() of the
-  /// outermost one tells every fault of the file.
+  /// outermost one reports every error of the file.
   std::shared_ptr<std::vector<std::string>> Faults;
-  /// Of the whole file, shared likewise.
+  /// The line numbers of the file, also shared with nested readers.
   std::shared_ptr<internal::field_lines> Lines;
 
   void fault(const std::string &Field, const std::string &Reason) const {
@@ -38,7 +38,8 @@
                         std::to_string(Again.FirstLine));
   }
 
-  /// The value of a field, or null with a fault if a required one is missing.
+  /// Returns the value of a field, or null if it is missing. If it is required,
+  /// an error is added.
   const json *find(const std::string &Field, bool Required) {
     Known.insert(Field);
     const auto Found = Object.find(Field);
@@ -82,8 +83,8 @@
   } catch (const json::parse_error &Error) {
     return fail(Step, Peer, "line " + lineAt(Text, Error.byte) + ": not JSON");
   } catch (const json::out_of_range &) {
-    // nlohmann::json reports a number such as 1e999 by another exception than
-    // a syntax error; uncaught, it would end the process.
+    // nlohmann::json throws this for a number such as 1e999, instead of a
+    // parse_error. Uncaught, it would end the process.
     return fail(Step, Peer, "a number is too large for JSON");
   }
   if (TooDeep)
@@ -102,8 +103,9 @@
     return Parsed.error();
   if (!State->Object.is_object())
     return fail(Step, State->File, "expected an object");
-  // People write settings; objects of the store are written by programs, which
-  // repeat nothing, and are read by the thousand.
+  // Only settings files, which are edited by hand, are checked for repeated
+  // fields. Objects of the store are written by programs, which do not repeat
+  // fields, and are read in thousands, so the second parse would cost too much.
   State->Lines = Step == step::ParseSettings
                      ? std::make_shared<internal::field_lines>(Text)
                      : std::make_shared<internal::field_lines>();
@@ -153,7 +155,7 @@
   return Value->get<bool>();
 }
 
-/// Parses one address and keeps what is wrong with it as a fault.
+/// Parses one address. Calls \p Fault with the reason if it is not valid.
 static endpoint addressOf(const json &Value,
                           const std::function<void(std::string)> &Fault) {
   endpoint Parsed;
--- a/src/runtime/socket_error.h
+++ b/src/runtime/socket_error.h
@@ -1,7 +1,7 @@
 //===- socket_error.h - Socket addresses and errno errors -------*- C++ -*-===//
 ///
 /// \file
-/// Turns errno and socket addresses into the project's own types.
+/// Converts errno to failures, and endpoints to and from socket addresses.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -14,13 +14,13 @@
 
 namespace marjoramrail::internal {
 
-/// Starts an error that says what errno says.
+/// Creates an error whose reason is the text for errno.
 boost::leaf::error_id failWithErrno(step Step, const endpoint &Peer);
 
 sockaddr_in toSockaddr(const endpoint &Endpoint);
 endpoint toEndpoint(const sockaddr_in &Address);
 
-/// The local address of a socket.
+/// Returns the local address of \p Socket.
 endpoint localOf(int Socket);
 
 } // namespace marjoramrail::internal
--- a/src/runtime/status_page.cpp
+++ b/src/runtime/status_page.cpp
@@ -25,7 +25,7 @@
   evhtp_send_reply(Request, Code);
 }
 
-/// More than any request of a page's callers.
+/// Longer request bodies are truncated. No valid request is that large.
 static constexpr std::size_t MaxRequestBytes = 1024 * 1024;
 
 static std::string bodyOf(evhtp_request_t *Request) {
--- a/src/runtime/tcp_stream.cpp
+++ b/src/runtime/tcp_stream.cpp
@@ -75,8 +75,8 @@
     return;
   }
   bufferevent_disable(Events, EV_READ | EV_WRITE);
-  // Taken out first, so that a hook which drops its captures by setHooks()
-  // does not destroy the function that is running.
+  // The hook is moved out first. Otherwise a hook that calls setHooks() would
+  // destroy the function that is running, with its captures.
   const auto OnClosed = std::exchange(Hooks.OnClosed, nullptr);
   if (!OnClosed)
     return;
@@ -91,15 +91,16 @@
 tcp_stream::~tcp_stream() = default;
 
 static void sendAtOnce(bufferevent *Events) {
-  // Nagle's algorithm would hold a small answer back for the peer's
-  // acknowledgement, up to 40 ms.
+  // Nagle's algorithm would delay a small answer until the peer's
+  // acknowledgement arrives, which may take up to 40 ms.
   const int On = 1;
   setsockopt(bufferevent_getfd(Events), IPPROTO_TCP, TCP_NODELAY, &On,
              sizeof(On));
 }
 
-/// A socket bound to the address of \p Local with any port; -1, by which
-/// libevent makes an unbound one, if there is none or it cannot be had.
+/// Returns a socket bound to the address of \p Local and any port. Returns -1
+/// if the address is 0 or cannot be bound; libevent then creates an unbound
+/// socket.
 static evutil_socket_t boundSocket(const endpoint &Local) {
   if (Local.Address == 0)
     return -1;
--- a/src/runtime/udp_socket.cpp
+++ b/src/runtime/udp_socket.cpp
@@ -15,13 +15,14 @@
 
 constexpr std::size_t BatchSize = 64;
 constexpr std::size_t SlotBytes = 2048;
-/// Batches taken before other events of the loop get their turn.
+/// Batches received per event, so that other events of the loop are not
+/// delayed for long.
 constexpr int BatchesPerWakeup = 8;
-/// A burst of SYNs that overflows the kernel's default buffer is lost and waits
-/// a second for its retransmission.
+/// With the kernel's default size, a burst of SYNs could overflow the buffer.
+/// The lost SYNs are retransmitted only after a second.
 constexpr int SocketBufferBytes = 8 * 1024 * 1024;
 
-/// Slots of one recvmmsg or sendmmsg call.
+/// The buffers of one recvmmsg or sendmmsg call.
 struct message_batch {
   std::array<mmsghdr, BatchSize> Headers{};
   std::array<iovec, BatchSize> Vectors{};
@@ -54,7 +55,7 @@
   std::size_t Queued = 0;
   std::uint64_t Dropped = 0;
   bool FlushDeferred = false;
-  /// Outlives the socket in a deferred flush.
+  /// False once the socket has been destroyed; checked by a deferred flush.
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
 
   impl(event_loop &Loop, receive_hook OnBatch)
@@ -90,8 +91,9 @@
     const int Count = sendmmsg(Socket, Out.Headers.data() + Sent,
                                static_cast<unsigned>(Queued - Sent), 0);
     if (Count <= 0) {
-      // An error belongs to the first datagram alone (a full buffer, or the
-      // answer to an earlier one that no one took); the others are still sent.
+      // An error concerns only the first datagram: the send buffer is full, or
+      // an earlier datagram was rejected with an ICMP error. The others are
+      // still sent.
       ++Dropped;
       ++Sent;
       continue;
@@ -118,7 +120,8 @@
   if (Socket < 0)
     return failWithErrno(step::OpenSocket, Local);
   Impl->Socket = Socket;
-  // The kernel caps these at its own limits, which is no reason to fail.
+  // The kernel may limit these sizes. The socket still works, so errors are
+  // ignored.
   setsockopt(Socket, SOL_SOCKET, SO_RCVBUF, &SocketBufferBytes,
              sizeof(SocketBufferBytes));
   setsockopt(Socket, SOL_SOCKET, SO_SNDBUF, &SocketBufferBytes,
--- a/src/wire/byte_order.h
+++ b/src/wire/byte_order.h
@@ -1,8 +1,8 @@
 //===- byte_order.h - Integers in network byte order ------------*- C++ -*-===//
 ///
 /// \file
-/// A writer and a reader of big-endian integers over a buffer whose size the
-/// caller has checked.
+/// Writes and reads big-endian integers in a buffer. The caller must have
+/// checked the size of the buffer.
 ///
 //===----------------------------------------------------------------------===//
 
--- a/src/wire/tcp_packet.cpp
+++ b/src/wire/tcp_packet.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// The two headers of a packet, copied out: a datagram's bytes are not aligned.
+/// The two headers of a packet, copied because the bytes of a datagram are not
+/// aligned.
 struct packet_headers {
   ip Ip;
   tcphdr Tcp;
@@ -35,7 +36,8 @@
     return packet_fault::Truncated;
   if (Total < Bytes.size() || Header.ip_hl * WordBytes < sizeof(ip))
     return packet_fault::BadLength;
-  // Only the first fragment holds the ports; the others could not be routed.
+  // Only the first fragment contains the ports, so the others could not be
+  // routed.
   if ((ntohs(Header.ip_off) & (IP_MF | IP_OFFMASK)) != 0)
     return packet_fault::Fragment;
   return Header.ip_p == IPPROTO_TCP ? packet_fault::None : packet_fault::NotTcp;
@@ -90,7 +92,8 @@
 // Resets
 //===----------------------------------------------------------------------===//
 
-/// The ones' complement sum of RFC 1071, not folded.
+/// Returns the sum of 16-bit words for the checksum of RFC 1071, not yet folded
+/// to 16 bits.
 static std::uint32_t sumWords(const void *Data, std::size_t Size) {
   const auto *Bytes = static_cast<const std::uint8_t *>(Data);
   std::uint32_t Sum = 0;
@@ -144,7 +147,8 @@
     return 0;
   const ip Header = resetIpHeader(Packet.Flow);
   tcphdr Tcp = resetHeader(Packet);
-  // The pseudo header of RFC 9293, 3.1: addresses, protocol, TCP length.
+  // The TCP checksum includes the pseudo-header of RFC 9293, 3.1: addresses,
+  // protocol and TCP length.
   const std::uint32_t Pseudo = sumWords(&Header.ip_src, sizeof(in_addr) * 2) +
                                IPPROTO_TCP + sizeof(tcphdr);
   Tcp.th_sum = checksumOf(Pseudo + sumWords(&Tcp, sizeof(Tcp)));
