--- a/src/resource/object_file.cpp
+++ b/src/resource/object_file.cpp
@@ -67,7 +67,7 @@
   const std::string Key =
       std::string(nameOf(ResourceKindNames, Object.Kind)) + "/" + Object.Name;
   if (!Seen.insert(Key).second)
-    Faults.push_back(Key + ": stands twice in the file");
+    Faults.push_back(Key + ": is defined twice in the file");
   const auto Failure = failureOf([&]() -> result<void> {
     if (Object.Kind != resource_kind::Service)
       return checkObject(Object.Kind, Object.Spec, Object.Name);
@@ -104,7 +104,7 @@
     Reader.add(Content, 0);
   Reader.checkTogether();
   if (Reader.Objects.empty() && Reader.Faults.empty())
-    Reader.Faults.emplace_back("holds no object");
+    Reader.Faults.emplace_back("contains no object");
   if (Reader.Faults.empty())
     return std::move(Reader.Objects);
   std::string Reason;
--- a/src/runtime/program.cpp
+++ b/src/runtime/program.cpp
@@ -6,7 +6,7 @@
 #include <iostream>
 
 DEFINE_string(settings, "", "Settings file (JSON with comments).");
-DEFINE_bool(check_settings, false, "Check the settings and leave.");
+DEFINE_bool(check_settings, false, "Check the settings and exit.");
 
 namespace marjoramrail {
 
--- a/src/runtime/status_page.cpp
+++ b/src/runtime/status_page.cpp
@@ -94,7 +94,8 @@
   const std::string Host = Text.substr(0, Text.rfind(':'));
   constexpr int Backlog = 128;
   if (evhtp_bind_socket(Impl->Http, Host.c_str(), Local.Port, Backlog) != 0)
-    return fail(step::OpenSocket, Text, "the status page cannot listen there");
+    return fail(step::OpenSocket, Text,
+                "cannot bind the status page to this address");
   return {};
 }
 
--- a/test/daemons/marjoramctl/apply_test.cpp
+++ b/test/daemons/marjoramctl/apply_test.cpp
@@ -68,7 +68,8 @@
                                   "nowhere");
 
   CHECK(Test.run(runApply, {"more.json"}) == exit_code::Refused);
-  CHECK(Test.told("service/ledger-2: field number: is that of service ledger"));
+  CHECK(Test.told(
+      "service/ledger-2: field number: is already used by service ledger"));
   CHECK(Test.run(runApply, {"zone.json"}) == exit_code::Refused);
   CHECK(Test.told("there is no zone nowhere"));
   CHECK(Test.Store.version() == 3);
--- a/test/resource/object_file_test.cpp
+++ b/test/resource/object_file_test.cpp
@@ -55,15 +55,15 @@
 
 TEST_CASE("parseObjectFile checks the objects of a file against each other") {
   CHECK(reasonOf(withReplaced("\"number\": 2", "\"number\": 1"))
-            .find("is that of service ledger") != std::string::npos);
+            .find("is already used by service ledger") != std::string::npos);
   CHECK(reasonOf(withReplaced("\"archive\"", "\"ledger\""))
-            .find("stands twice") != std::string::npos);
+            .find("is defined twice") != std::string::npos);
 }
 
 TEST_CASE("parseObjectFile names the line of a syntax error and odd objects") {
   CHECK(reasonOf("[\n{,").find("site.json: line 2") != std::string::npos);
   CHECK(reasonOf("[7]").find("object 1: expected") != std::string::npos);
-  CHECK(reasonOf("[]").find("holds no object") != std::string::npos);
+  CHECK(reasonOf("[]").find("contains no object") != std::string::npos);
   CHECK(reasonOf(withReplaced("\"kind\": \"service\"", "\"kind\": \"servis\""))
             .find("object 1: field kind") != std::string::npos);
   CHECK(reasonOf(withReplaced("\"spec\"", "\"specs\"")).find("field specs") !=
