--- a/test/base/address_test.cpp
+++ b/test/base/address_test.cpp
@@ -13,7 +13,7 @@
   CHECK(Read.value() == Written);
 }
 
-TEST_CASE("parseEndpoint names the step and the text it refuses") {
+TEST_CASE("parseEndpoint reports the step and the rejected text") {
   const auto Failure = failureOf([] { return parseEndpoint("127.0.0.1:x"); });
 
   REQUIRE(Failure);
@@ -21,10 +21,11 @@
                             "0 to 65535");
 }
 
-TEST_CASE("hashOf gives the value that other versions of the program give") {
+TEST_CASE("hashOf returns the same value in every version of the program") {
   const flow_key Flow{{0x0a000001, 1234}, {0x0a0000ff, 443}};
 
-  // A change of this value would move every flow of a fleet during an upgrade.
+  // Balancers of two versions run side by side during an upgrade. With
+  // different hashes they would route the same flow to different targets.
   CHECK(hashOf(Flow, 7) == 0x12bcd80a016a5eaaULL);
   CHECK(hashOf(Flow, 7) != hashOf(Flow, 8));
 }
--- a/test/base/timer_service_test.cpp
+++ b/test/base/timer_service_test.cpp
@@ -15,7 +15,7 @@
   CHECK(Fired == 5);
 }
 
-TEST_CASE("timer_service lets a callback cancel its own timer") {
+TEST_CASE("a callback of timer_service can cancel its own timer") {
   timer_service Timers;
   int Fired = 0;
   timer_id Self{};
@@ -29,7 +29,7 @@
   CHECK(Fired == 1);
 }
 
-TEST_CASE("timer_service never moves its clock back") {
+TEST_CASE("timer_service never moves its clock backwards") {
   timer_service Timers;
   Timers.advance(instant(seconds(5)));
 
@@ -38,7 +38,7 @@
   CHECK(Timers.now() == instant(seconds(5)));
 }
 
-TEST_CASE("timer_service fires what observe() passed on the next advance") {
+TEST_CASE("timers passed by observe() fire on the next advance()") {
   timer_service Timers;
   int Fired = 0;
   Timers.after(seconds(1), [&] { ++Fired; });
--- a/test/base/token_bucket_test.cpp
+++ b/test/base/token_bucket_test.cpp
@@ -12,12 +12,12 @@
   return Taken;
 }
 
-TEST_CASE("a bucket that is new admits what fits at once") {
+TEST_CASE("a new token_bucket admits one full burst") {
   token_bucket Bucket(10, 5);
   CHECK(takenAt(Bucket, instant(0s), 20) == 5);
 }
 
-TEST_CASE("a bucket fills again at its pace") {
+TEST_CASE("a token_bucket refills at its rate up to the burst size") {
   token_bucket Bucket(10, 5);
   CHECK(takenAt(Bucket, instant(1s), 20) == 5);
   CHECK(takenAt(Bucket, instant(1200ms), 20) == 2);
--- a/test/mutated_json.h
+++ b/test/mutated_json.h
@@ -1,8 +1,8 @@
-//===- mutated_json.h - Broken texts from a fixed seed ----------*- C++ -*-===//
+//===- mutated_json.h - Mutated JSON texts from a fixed seed ----*- C++ -*-===//
 ///
 /// \file
-/// Makes texts that are almost right, for tests of parsers: bytes changed,
-/// taken out or repeated, values replaced by those that parsers stumble over.
+/// Generates almost valid JSON for tests of parsers: bytes are changed, removed
+/// or repeated, and values are replaced by ones that are difficult to parse.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -15,12 +15,13 @@
 
 namespace marjoramrail {
 
+/// Generates mutations of one valid text.
 class mutated_json {
 public:
   mutated_json(std::string Original, std::uint64_t Seed)
       : Original(std::move(Original)), Random(Seed) {}
 
-  /// The next text: one to four mutations of the right one.
+  /// Returns the next text: the original with one to four mutations.
   std::string next() {
     std::string Text = Original;
     for (std::size_t Count = 1 + below(4); Count > 0; --Count)
@@ -58,7 +59,7 @@
     }
   }
 
-  /// Puts a token in the place of the value after the next colon.
+  /// Replaces the value after the next colon by a token.
   void replaceValue(std::string &Text, std::size_t At) {
     const std::size_t Colon = Text.find(':', At);
     if (Colon == std::string::npos)
--- a/test/resource/mutated_objects_test.cpp
+++ b/test/resource/mutated_objects_test.cpp
@@ -5,9 +5,9 @@
 
 using namespace marjoramrail;
 
-// Objects come from files that people edit and from a platform that others
-// write to as well. A text that crashes the parser would take down every
-// balancer at once, since all read the same object.
+// Objects come from files that are edited by hand, and from a platform to which
+// other programs write too. A text that crashes the parser would stop all
+// balancers at once, since all of them read the same object.
 
 static constexpr int Texts = 4000;
 
@@ -31,18 +31,19 @@
     CHECK(!Failure->Peer.empty());
     CHECK(!Failure->Reason.empty());
   }
-  // Most mutations must have broken something, or this test shows nothing.
+  // If most mutations were valid, the test would prove nothing.
   CHECK(Taken < Texts / 2);
 }
 
-TEST_CASE("mutated services are taken or refused by name") {
+TEST_CASE("mutated services are accepted or rejected with their name") {
   check(R"({"number":1,"address":"10.77.0.1:443","protocol":"http2",
             "zones":["oostende","brugge"],"slots_per_target":4,
             "max_share_percent":105,"cold_start_seconds":10})",
         [](const std::string &Text) { return parseService(Text, "ledger"); });
 }
 
-TEST_CASE("mutated zones, drains and statuses are taken or refused by name") {
+TEST_CASE(
+    "mutated zones, drains and statuses are accepted or rejected by name") {
   check(R"({"number":1,"region":"be-west"})",
         [](const std::string &Text) { return parseZone(Text, "brugge"); });
   check(R"({"reason":"new kernel"})",
@@ -59,7 +60,7 @@
         });
 }
 
-TEST_CASE("mutated files of objects are taken or refused by name") {
+TEST_CASE("mutated object files are accepted or rejected with their name") {
   check(R"([{"kind":"zone","name":"brugge",
              "spec":{"number":1,"region":"be-west"}},
             {"kind":"service","name":"ledger",
@@ -68,10 +69,10 @@
         [](const std::string &Text) { return parseObjectFile(Text, "file"); });
 }
 
-TEST_CASE("a megabyte of brackets is refused and does not exhaust the stack") {
-  // The JSON library prints a value by recursion, as a refusal that shows the
-  // value does. One such object in the platform would end every process that
-  // reads it, each time that it starts.
+TEST_CASE("a megabyte of brackets is rejected without exhausting the stack") {
+  // The JSON library prints values recursively, and an error message contains
+  // the invalid value. One such object in the platform would end every process
+  // that reads it, again after each restart.
   const std::string Deep = std::string(500000, '[') + std::string(500000, ']');
 
   const auto Failure = failureOf([&]() -> result<void> {
--- a/test/resource/object_file_test.cpp
+++ b/test/resource/object_file_test.cpp
@@ -41,7 +41,7 @@
   CHECK(Objects->at(0).Kind == resource_kind::Drain);
 }
 
-TEST_CASE("parseObjectFile tells every fault with file, object and field") {
+TEST_CASE("parseObjectFile reports every error with file, object and field") {
   std::string Text = withReplaced("\"number\": 1", "\"number\": 0");
   Text.replace(Text.find("10.77.0.2:443"), 13, "10.77.0.2");
 
@@ -60,7 +60,8 @@
             .find("is defined twice") != std::string::npos);
 }
 
-TEST_CASE("parseObjectFile names the line of a syntax error and odd objects") {
+TEST_CASE(
+    "parseObjectFile reports the line of a syntax error and invalid objects") {
   CHECK(reasonOf("[\n{,").find("site.json: line 2") != std::string::npos);
   CHECK(reasonOf("[7]").find("object 1: expected") != std::string::npos);
   CHECK(reasonOf("[]").find("contains no object") != std::string::npos);
--- a/test/resource/service_test.cpp
+++ b/test/resource/service_test.cpp
@@ -35,7 +35,7 @@
   CHECK(Spec->MaxSharePercent == 105);
 }
 
-TEST_CASE("a service survives its JSON form") {
+TEST_CASE("a service is unchanged after conversion to JSON and back") {
   const auto Spec = parseService(Ledger, "ledger");
   REQUIRE(Spec);
 
@@ -45,7 +45,7 @@
   CHECK(*Back == *Spec);
 }
 
-TEST_CASE("parseService names object, field, reason and range") {
+TEST_CASE("parseService reports object, field, reason and range") {
   CHECK(reasonOf(withReplaced("\"number\": 1", "\"number\": 0")) ==
         "validate-object service/ledger: field number: 0 is not a whole number "
         "from 1 to 4294967295");
@@ -61,24 +61,24 @@
   CHECK(reasonOf("{\n\n\"number\": }").find("line 3") != std::string::npos);
 }
 
-TEST_CASE("parseService refuses a misspelt field") {
-  // An operator writes "slot_per_target"; were it ignored, the default would
-  // stay in force on VMs that no one logs in to.
+TEST_CASE("parseService rejects a misspelt field") {
+  // An operator writes "slot_per_target". If it were ignored, the default would
+  // stay in effect on VMs that no one logs in to.
   CHECK(reasonOf(withReplaced("slots_per_target", "slot_per_target")) ==
         "validate-object service/ledger: field slot_per_target: is not known "
         "here");
 }
 
-TEST_CASE("parseService refuses a number too large for JSON") {
-  // The JSON library reports 1e999 by another exception than a syntax error;
-  // uncaught, it ended the process that read the object.
+TEST_CASE("parseService rejects a number that is too large for JSON") {
+  // For 1e999 the JSON library throws another exception than for a syntax
+  // error. When it was not caught, it ended the process that read the object.
   CHECK(reasonOf(withReplaced("\"number\": 1", "\"number\": 1e999"))
             .find("too large") != std::string::npos);
 }
 
-TEST_CASE("checkAgainst refuses a number or address that stands elsewhere") {
-  // Two services with one number: a packet for ledger would be taken by an
-  // agent of archive.
+TEST_CASE("checkAgainst rejects a number or address of another service") {
+  // With the same number for two services, an agent of archive would accept
+  // packets for ledger.
   const auto Spec = parseService(Ledger, "ledger");
   REQUIRE(Spec);
   service_spec SameNumber = *Spec;
@@ -96,7 +96,8 @@
   CHECK(!failureOf([&] { return checkAgainst(*Spec, {*Spec}); }));
 }
 
-TEST_CASE("zones, drains and statuses survive their JSON forms") {
+TEST_CASE("zones, drains and statuses are unchanged after conversion to JSON "
+          "and back") {
   const zone_spec Zone{"brugge", zone_id(2), "be-west"};
   const drain_spec Drain{"ledger-3", "new kernel"};
   const drain_status Progress{"ledger-3", 12, 1, false, 1700000000000};
--- a/test/runtime/line_writer_test.cpp
+++ b/test/runtime/line_writer_test.cpp
@@ -6,9 +6,9 @@
 using namespace marjoramrail;
 using namespace std::chrono_literals;
 
-TEST_CASE("a reader that stops neither stops the writer nor grows it") {
-  // Whoever reads the log hangs; the pipe fills. A process that waited for it
-  // would forward no packet any more.
+TEST_CASE("line_writer neither blocks nor grows if its reader stops") {
+  // The process that reads the log hangs, and the pipe fills up. A process that
+  // blocked on writing would stop forwarding packets.
   int Pipe[2];
   REQUIRE(pipe(Pipe) == 0);
   event_loop Loop;
@@ -28,7 +28,7 @@
   close(Pipe[1]);
 }
 
-TEST_CASE("lines come out whole and in order") {
+TEST_CASE("line_writer writes complete lines in order") {
   int Pipe[2];
   REQUIRE(pipe(Pipe) == 0);
   event_loop Loop;
--- a/test/runtime/metrics_test.cpp
+++ b/test/runtime/metrics_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace marjoramrail;
 
-TEST_CASE("the page names each value's type") {
+TEST_CASE("the metrics page states the type of each value") {
   metrics Metrics;
   ++Metrics.counter("answers_total", "class=\"2xx\"");
   Metrics.gauge("flows", [] { return 7.0; });
--- a/test/runtime/mutated_settings_test.cpp
+++ b/test/runtime/mutated_settings_test.cpp
@@ -5,7 +5,7 @@
 
 using namespace marjoramrail;
 
-/// Reads every type of field, nested ones included, as the daemons do.
+/// Reads fields of every type, including nested ones, as the daemons do.
 static result<void> readEverything(const std::string &Text) {
   BOOST_LEAF_AUTO(Reader, settings_reader::fromText(Text, "agent.json"));
   Reader.text("name");
@@ -22,9 +22,10 @@
   return Reader.finish();
 }
 
-TEST_CASE("mutated settings are taken or refused with their file") {
-  // A settings file is cut short by a copy that broke off, or edited by hand.
-  // The daemon must say what is wrong and must not come up with half of it.
+TEST_CASE("mutated settings are accepted or rejected with the file name") {
+  // A settings file is truncated by an interrupted copy, or damaged when edited
+  // by hand. The daemon must report the error and must not start with a part of
+  // the settings.
   mutated_json Mutations(R"({
     // The agent beside ledger-1.
     "name": "ledger-1", "slots": 4, "echo": false,
--- a/test/runtime/settings_reader_test.cpp
+++ b/test/runtime/settings_reader_test.cpp
@@ -15,14 +15,15 @@
   return Failure ? toText(*Failure) : "";
 }
 
-TEST_CASE("settings_reader takes JSON with comments") {
+TEST_CASE("settings_reader accepts JSON with comments") {
   auto Reader = read("{ // how long a drain may take\n \"drain\": 30 }");
 
   CHECK(Reader.number("drain", std::nullopt, 1, 60) == 30);
   CHECK(finish(Reader) == "");
 }
 
-TEST_CASE("settings_reader names file, field and range of a bad number") {
+TEST_CASE(
+    "settings_reader reports file, field and range of an invalid number") {
   auto Reader = read("{\"drain\": 90}");
 
   Reader.number("drain", std::nullopt, 1, 60);
@@ -32,7 +33,7 @@
         "whole number from 1 to 60");
 }
 
-TEST_CASE("settings_reader refuses a field that nothing reads") {
+TEST_CASE("settings_reader rejects an unknown field") {
   auto Reader = read("{\"drian\": 30}");
 
   Reader.number("drain", 30, 1, 60);
@@ -41,7 +42,7 @@
         "parse-settings test.json: line 1: field drian: is not known here");
 }
 
-TEST_CASE("settings_reader tells the faults of nested objects") {
+TEST_CASE("settings_reader reports errors in nested objects") {
   auto Reader = read("{\"peers\": [{\"at\": \"nowhere\"}]}");
 
   for (auto &Peer : Reader.objects("peers", true))
@@ -52,7 +53,7 @@
         "\"nowhere\": expected ADDRESS:PORT");
 }
 
-TEST_CASE("settings_reader names the line where the text is not JSON") {
+TEST_CASE("settings_reader reports the line of a JSON syntax error") {
   const auto Failure = failureOf(
       [] { return settings_reader::fromText("{\n\"a\": ]}", "test.json"); });
 
@@ -60,7 +61,7 @@
   CHECK(toText(*Failure) == "parse-settings test.json: line 2: not JSON");
 }
 
-TEST_CASE("settings_reader names the line of a fault") {
+TEST_CASE("settings_reader reports the line of an invalid field") {
   auto Reader = read("{\n  \"name\": \"a\", // said twice below\n  \"drain\": "
                      "90\n}");
 
@@ -71,10 +72,10 @@
                           "is not a whole number from 1 to 60");
 }
 
-// An operator copies a block of settings and changes the first copy. The last
-// one counts for a parser of JSON, so that the change does nothing and nobody
-// is told.
-TEST_CASE("settings_reader refuses a field that is given twice") {
+// An operator copies a block of settings and changes the first copy. A JSON
+// parser uses the last one, so the change would have no effect and give no
+// error.
+TEST_CASE("settings_reader rejects a field that is given twice") {
   auto Reader = read("{\n\"drain\": 30,\n\"drain\": 40\n}");
 
   Reader.number("drain", std::nullopt, 1, 60);
@@ -83,7 +84,7 @@
                           "given before, on line 2");
 }
 
-TEST_CASE("settings_reader refuses a nested field that is given twice") {
+TEST_CASE("settings_reader rejects a nested field that is given twice") {
   auto Reader = read("{\"peers\": [{\"at\": \"1.2.3.4:5\"},\n{\"at\": "
                      "\"1.2.3.4:6\",\n\"at\": \"1.2.3.4:7\"}]}");
 
@@ -94,7 +95,7 @@
                           "peers[1].at: was given before, on line 2");
 }
 
-TEST_CASE("settings_reader lets equal names stand in different objects") {
+TEST_CASE("settings_reader accepts the same field name in different objects") {
   auto Reader = read("{\"peers\": [{\"at\": \"1.2.3.4:5\"}, {\"at\": "
                      "\"1.2.3.4:6\"}], \"at\": \"1.2.3.4:7\"}");
 
--- a/test/runtime/sockets_test.cpp
+++ b/test/runtime/sockets_test.cpp
@@ -9,7 +9,7 @@
 
 static const endpoint AnyPort{0x7f000001, 0};
 
-TEST_CASE("udp_socket brings a datagram to the socket it was sent to") {
+TEST_CASE("udp_socket delivers a datagram to the socket it was sent to") {
   event_loop Loop;
   std::string Received;
   udp_socket Receiver(Loop, [&](std::span<const datagram> Batch) {
@@ -29,7 +29,7 @@
   CHECK(Received == Text);
 }
 
-TEST_CASE("udp_socket names the address it cannot bind to") {
+TEST_CASE("udp_socket reports the address that it cannot bind to") {
   event_loop Loop;
   udp_socket First(Loop, [](std::span<const datagram>) {});
   udp_socket Second(Loop, [](std::span<const datagram>) {});
@@ -41,7 +41,7 @@
   CHECK(Failure->Peer == toText(First.local()));
 }
 
-TEST_CASE("tcp_stream carries bytes and tells both sides of the end") {
+TEST_CASE("tcp_stream transfers bytes and reports the end to both sides") {
   event_loop Loop;
   std::unique_ptr<tcp_stream> Accepted;
   std::string Received;
@@ -75,10 +75,10 @@
   CHECK(ServerClosed);
 }
 
-TEST_CASE("tcp_stream connects from the address it is told to") {
-  // An agent takes relayed requests only from the addresses of its peers. The
-  // kernel would connect from another address of the VM, the relay would be
-  // turned away and the caller told that the outcome is unknown.
+TEST_CASE("tcp_stream connects from the given local address") {
+  // An agent accepts relayed requests only from the addresses of its peers. If
+  // the kernel chose another address of the VM, the relayed request would be
+  // rejected, and the caller would get an answer that the outcome is unknown.
   event_loop Loop;
   endpoint Seen;
   std::unique_ptr<tcp_stream> Accepted;
@@ -97,10 +97,10 @@
   CHECK(Seen.Address == 0x7f040506);
 }
 
-TEST_CASE("a hook sees the time at which its datagram came") {
-  // A loop without timers sleeps until a packet comes. With the clock still at
-  // the time when it fell asleep, a deadline counted in the hook would pass too
-  // early and callers would be refused for nothing.
+TEST_CASE("the timers' clock is current in a receive hook") {
+  // A loop without timers sleeps until a packet arrives. If the clock still
+  // showed the time before the sleep, a deadline set in the hook would expire
+  // too early, and callers would be refused without cause.
   event_loop Loop;
   instant Seen;
   udp_socket Receiver(Loop, [&](std::span<const datagram>) {
--- a/test/wire/owner_notice_test.cpp
+++ b/test/wire/owner_notice_test.cpp
@@ -29,9 +29,10 @@
   CHECK(Back == Notice);
 }
 
-TEST_CASE("no caller's packet is taken for a notice") {
-  // Both come in on one port. The first byte of a notice reads as an IPv4
-  // header of 52 bytes, so a packet that begins alike is longer than a notice.
+TEST_CASE("packets of callers are not mistaken for owner notices") {
+  // Both arrive on the same port. The first byte of a notice, read as IPv4,
+  // means a header of 52 bytes, so an IPv4 packet with this first byte is
+  // longer than a notice.
   byte_string Packet = samplePacket(Notice.Flow, AckBit, 32);
   Packet[0] = 0x4d;
   Packet[1] = 0x4f;
@@ -42,8 +43,8 @@
   CHECK(parseTcpPacket(encoded(), Parsed) != packet_fault::None);
 }
 
-TEST_CASE("decodeOwnerNotice tells by reason what it refuses") {
-  // A forged or damaged notice would send a flow's packets astray.
+TEST_CASE("decodeOwnerNotice reports why it rejects a notice") {
+  // A forged or damaged notice would direct a flow's packets to a wrong agent.
   byte_string Bytes = encoded();
 
   SUBCASE("too short") {
--- a/test/wire/routed_packet_test.cpp
+++ b/test/wire/routed_packet_test.cpp
@@ -50,7 +50,7 @@
   CHECK(byte_string(Back.Packet.begin(), Back.Packet.end()) == Inner);
 }
 
-TEST_CASE("encodeRouted writes nothing that decodeRouted would refuse") {
+TEST_CASE("encodeRouted writes nothing that decodeRouted would reject") {
   routed_packet Routed = sampleRouted();
   byte_string Small(20);
 
@@ -63,9 +63,9 @@
   CHECK(encoded(Routed).empty());
 }
 
-TEST_CASE("decodeRouted tells by reason what it refuses") {
-  // Datagrams that no balancer of ours sent, or that were damaged. An agent
-  // that believed them could send packets in circles or to other hosts.
+TEST_CASE("decodeRouted reports why it rejects a datagram") {
+  // Forged or damaged datagrams. An agent that accepted them could forward
+  // packets in a loop or to foreign hosts.
   byte_string Bytes = encoded(sampleRouted());
 
   SUBCASE("every truncation down to an empty inner packet") {
@@ -95,7 +95,7 @@
   }
 }
 
-TEST_CASE("decodeRouted takes a position past the list from an agent") {
+TEST_CASE("decodeRouted accepts a position past the list if Extended is set") {
   routed_packet Routed = sampleRouted();
   Routed.Position = 2;
   Routed.Flags = static_cast<std::uint8_t>(routed_flag::Extended);
--- a/test/wire/sample_packet.h
+++ b/test/wire/sample_packet.h
@@ -1,7 +1,7 @@
 //===- sample_packet.h - Callers' packets for tests -------------*- C++ -*-===//
 ///
 /// \file
-/// Builds IPv4/TCP packets byte by byte, without the code under test.
+/// Builds IPv4/TCP packets byte by byte, independently of the code under test.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -29,7 +29,7 @@
   put16(Bytes, At + 2, Value & 0xffff);
 }
 
-/// A packet of \p Flow from its caller; checksums are zero.
+/// Returns a packet that the caller of \p Flow sends. Its checksums are zero.
 inline byte_string samplePacket(const flow_key &Flow, std::uint8_t Flags,
                                 std::size_t Payload = 0,
                                 std::uint32_t Sequence = 1000,
--- a/test/wire/tcp_packet_test.cpp
+++ b/test/wire/tcp_packet_test.cpp
@@ -12,7 +12,8 @@
   return parseTcpPacket(Bytes, Packet);
 }
 
-TEST_CASE("parseTcpPacket reads flow, numbers, flags and payload") {
+TEST_CASE(
+    "parseTcpPacket reads flow, sequence numbers, flags and payload size") {
   tcp_packet Packet;
 
   const auto Fault =
@@ -29,12 +30,12 @@
   CHECK(Packet.Payload == 7);
 }
 
-TEST_CASE("parseTcpPacket counts the options of both headers as no payload") {
+TEST_CASE("parseTcpPacket does not count header options as payload") {
   byte_string Bytes = samplePacket(Flow, SynBit, 11);
-  Bytes.insert(Bytes.begin() + 20, 8, 0); // options of IPv4
+  Bytes.insert(Bytes.begin() + 20, 8, 0); // IPv4 options
   Bytes[0] = 0x47;
   put16(Bytes, 2, static_cast<std::uint32_t>(Bytes.size()));
-  Bytes[40] = 0x60; // four of the payload's bytes become options of TCP
+  Bytes[40] = 0x60; // 4 bytes of the payload become TCP options
   tcp_packet Packet;
 
   const auto Fault = parseTcpPacket(Bytes, Packet);
@@ -57,25 +58,26 @@
   CHECK_FALSE(Packet.opensFlow());
 }
 
-TEST_CASE("parseTcpPacket refuses every truncation of a packet") {
-  // A datagram cut short on the way. Read past its end, it would route by
-  // whatever the buffer held before: another flow's ports.
+TEST_CASE("parseTcpPacket rejects every truncation of a packet") {
+  // A datagram was truncated on the network. A parser that reads past its end
+  // would use the ports of another flow that are still in the buffer, and the
+  // packet would be routed to a wrong target.
   const byte_string FullPacket = samplePacket(Flow, AckBit, 5);
   for (std::size_t Size = 0; Size < FullPacket.size(); ++Size)
     CHECK(faultOf({FullPacket.begin(), FullPacket.begin() + Size}) ==
           packet_fault::Truncated);
 }
 
-TEST_CASE("parseTcpPacket tells by reason what it refuses") {
-  // Packets that a broken or hostile sender makes. Users notice nothing; the
-  // operator sees the counter of the reason grow.
+TEST_CASE("parseTcpPacket reports why it rejects a packet") {
+  // Packets of a faulty or hostile sender. Other users are not affected; the
+  // operator sees the counter of the reason increase.
   byte_string Bytes = samplePacket(Flow, AckBit);
 
   SUBCASE("another IP version") {
     Bytes[0] = 0x65;
     CHECK(faultOf(Bytes) == packet_fault::NotIpv4);
   }
-  SUBCASE("an IPv4 header shorter than the least") {
+  SUBCASE("an IPv4 header shorter than the minimum") {
     Bytes[0] = 0x44;
     CHECK(faultOf(Bytes) == packet_fault::BadLength);
   }
@@ -87,7 +89,7 @@
     CHECK(faultOf(samplePacket(Flow, AckBit, MaxPacketBytes - 39)) ==
           packet_fault::BadLength);
   }
-  SUBCASE("a TCP header shorter than the least") {
+  SUBCASE("a TCP header shorter than the minimum") {
     Bytes[32] = 0x40;
     CHECK(faultOf(Bytes) == packet_fault::BadLength);
   }
--- a/test/wire/unresponsive_notice_test.cpp
+++ b/test/wire/unresponsive_notice_test.cpp
@@ -29,7 +29,8 @@
 }
 
 TEST_CASE("decodeSilenceNotice tells by reason what it refuses") {
-  // A forged or damaged notice would send packets by a detour.
+  // Because of a forged or damaged notice, a balancer would avoid an agent that
+  // responds, and packets would take a longer path.
   byte_string Bytes = encoded();
 
   SUBCASE("too short") {
--- a/test/wire/write_reset_test.cpp
+++ b/test/wire/write_reset_test.cpp
@@ -19,7 +19,7 @@
   return Buffer;
 }
 
-/// The sum that a receiver checks: 0xffff over data with a right checksum.
+/// Returns the sum that a receiver verifies: 0xffff if the checksum is correct.
 static std::uint32_t receivedSum(const byte_string &Bytes, std::uint32_t Sum) {
   for (std::size_t I = 0; I + 1 < Bytes.size(); I += 2)
     Sum += std::uint32_t(Bytes[I]) << 8 | Bytes[I + 1];
@@ -28,8 +28,8 @@
   return Sum;
 }
 
-TEST_CASE("writeReset takes its sequence from an acknowledgement") {
-  // RFC 9293, 3.10.7.1: the caller's stack takes the reset only if its
+TEST_CASE("writeReset takes its sequence number from an acknowledgement") {
+  // RFC 9293, 3.10.7.1: the caller's TCP stack accepts the reset only if its
   // sequence number is the one that the caller expects next.
   tcp_packet Reset;
 
@@ -42,7 +42,7 @@
   CHECK(Reset.Sequence == 5000);
 }
 
-TEST_CASE("writeReset acknowledges a packet that acknowledges nothing") {
+TEST_CASE("writeReset acknowledges a packet without an acknowledgement") {
   tcp_packet Reset;
 
   const byte_string Bytes = resetFor(samplePacket(Flow, SynBit | FinBit, 10));
@@ -54,7 +54,7 @@
   CHECK(Reset.Acknowledged == 1000 + 10 + 2);
 }
 
-TEST_CASE("writeReset's checksums are those that a receiver expects") {
+TEST_CASE("writeReset writes correct checksums") {
   const byte_string Bytes = resetFor(samplePacket(Flow, AckBit));
 
   const byte_string Ip(Bytes.begin(), Bytes.begin() + 20);
@@ -64,12 +64,12 @@
   CHECK(receivedSum(Tcp, receivedSum(Addresses, 6 + 20)) == 0xffff);
 }
 
-TEST_CASE("writeReset answers no reset") {
-  // Two ends that answer resets with resets would do so for ever.
+TEST_CASE("writeReset does not respond to a reset") {
+  // Two hosts that respond to resets with resets would do so endlessly.
   CHECK(resetFor(samplePacket(Flow, RstBit)).empty());
 }
 
-TEST_CASE("writeReset leaves a buffer that is too small alone") {
+TEST_CASE("writeReset does not change a buffer that is too small") {
   byte_string Buffer(39, 0xaa);
 
   CHECK(writeReset(parsed(samplePacket(Flow, AckBit)), Buffer) == 0);
