--- a/test/resource/mutated_objects_test.cpp
+++ b/test/resource/mutated_objects_test.cpp
@@ -11,7 +11,8 @@
 
 static constexpr int Texts = 4000;
 
-/// Feeds mutations of \p Right to a parser: each is taken or refused by name.
+/// Passes mutations of \p Original to a parser. Each must be accepted, or
+/// rejected with the object's name.
 template <typename Parser>
 static void check(const std::string &Original, Parser Parse) {
   mutated_json Mutations(Original, 1);
--- a/test/wire/tcp_packet_test.cpp
+++ b/test/wire/tcp_packet_test.cpp
@@ -46,7 +46,7 @@
   CHECK(Packet.Payload == 7);
 }
 
-TEST_CASE("parseAnswer names the caller by the destination") {
+TEST_CASE("parseReturnPacket takes the destination as the caller") {
   const flow_key Reversed{Flow.Service, Flow.Caller};
   tcp_packet Packet;
 
--- a/test/wire/unresponsive_notice_test.cpp
+++ b/test/wire/unresponsive_notice_test.cpp
@@ -18,7 +18,8 @@
   return decodeUnresponsiveNotice(Bytes, Back);
 }
 
-TEST_CASE("decodeSilenceNotice reads what encodeSilenceNotice wrote") {
+TEST_CASE(
+    "decodeUnresponsiveNotice reads what encodeUnresponsiveNotice wrote") {
   unresponsive_notice Back;
 
   REQUIRE(decodeUnresponsiveNotice(encoded(), Back) == packet_fault::None);
@@ -28,7 +29,7 @@
   CHECK_FALSE(isOwnerNotice(encoded()));
 }
 
-TEST_CASE("decodeSilenceNotice tells by reason what it refuses") {
+TEST_CASE("decodeUnresponsiveNotice reports why it rejects a notice") {
   // Because of a forged or damaged notice, a balancer would avoid an agent that
   // responds, and packets would take a longer path.
   byte_string Bytes = encoded();
