--- a/src/platform/platform_client.cpp
+++ b/src/platform/platform_client.cpp
@@ -180,7 +180,7 @@
 /// the log shows this as failed calls of which most bytes have arrived.
 /// Therefore the time-out restarts with each part received.
 void platform_client::impl::onPart(const call_ptr &Call) {
-  Loop.wake();
+  Loop.updateClock();
   const duration Left =
       Call->StartedAt + Call->Wait + MaxAnswerTime - Loop.timers().now();
   Loop.timers().cancel(Call->Timer);
@@ -223,8 +223,8 @@
 
 platform_reply platform_client::impl::decode(const call &Call,
                                              const http_answer &Answer) {
-  const measured_turn Turn(Settings.OnTurn, turn_kind::DecodeAnswer,
-                           Answer.Body.size());
+  const callback_timer Turn(Settings.OnTurn, callback_kind::DecodeAnswer,
+                            Answer.Body.size());
   return Settings.Dialect.Reply(Call, Answer);
 }
 
@@ -303,7 +303,8 @@
     return;
   const platform_reply Reply = std::move(Found->second);
   Finished.erase(Found);
-  const measured_turn Turn(Settings.OnTurn, turn_kind::TakeAnswer, Call->Bytes);
+  const callback_timer Turn(Settings.OnTurn, callback_kind::TakeAnswer,
+                            Call->Bytes);
   if (const platform_callback Done = std::exchange(Call->Done, nullptr))
     Done(Reply);
 }
--- a/src/runtime/line_writer.cpp
+++ b/src/runtime/line_writer.cpp
@@ -5,8 +5,9 @@
 
 namespace marjoramrail {
 
-/// Lines gather for this long, so that a busy process makes few system calls.
-static constexpr duration GatherTime = std::chrono::milliseconds(50);
+/// Lines are buffered for this time, so that a busy process makes few system
+/// calls.
+static constexpr duration FlushDelay = std::chrono::milliseconds(50);
 
 line_writer::line_writer(event_loop &Loop, int Descriptor)
     : Loop(Loop), Descriptor(Descriptor) {
@@ -22,14 +23,14 @@
 
 void line_writer::write(std::string_view Line) {
   if (Buffer.size() + Line.size() + 1 > BufferBytes) {
-    ++LeftOut;
+    ++DroppedLines;
     return;
   }
   Buffer += Line;
   Buffer += '\n';
   if (std::exchange(FlushScheduled, true))
     return;
-  Loop.timers().after(GatherTime, [this, Alive = Alive] {
+  Loop.timers().after(FlushDelay, [this, Alive = Alive] {
     if (!*Alive)
       return;
     FlushScheduled = false;
@@ -37,7 +38,8 @@
   });
 }
 
-/// A descriptor that takes nothing keeps the buffer for the next time.
+/// If the descriptor accepts no bytes, they stay in the buffer until the next
+/// flush.
 void line_writer::flush() {
   if (Buffer.empty())
     return;
--- a/src/runtime/program.cpp
+++ b/src/runtime/program.cpp
@@ -6,12 +6,13 @@
 #include <iostream>
 
 DEFINE_string(settings, "", "Settings file (JSON with comments).");
-DEFINE_bool(check_settings, false, "Check the settings and leave.");
+DEFINE_bool(check_settings, false, "Check the settings and exit.");
 
 namespace marjoramrail {
 
 void startLogging(const char *Program) {
-  // The VMs have no disks; whoever starts the process keeps its output.
+  // The VMs have no disks, so the log goes to standard error. The program that
+  // starts this process stores it.
   FLAGS_logtostderr = true;
   google::InitGoogleLogging(Program);
 }
--- a/src/runtime/loop_error.h
+++ b/src/runtime/socket_error.h
@@ -1,12 +1,12 @@
-//===- loop_error.h - Errors of the operating system ------------*- C++ -*-===//
+//===- socket_error.h - Socket addresses and errno errors -------*- C++ -*-===//
 ///
 /// \file
-/// Turns errno and socket addresses into the project's own types.
+/// Converts errno to failures, and endpoints to and from socket addresses.
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef MARJORAMRAIL_RUNTIME_LOOP_ERROR_H
-#define MARJORAMRAIL_RUNTIME_LOOP_ERROR_H
+#ifndef MARJORAMRAIL_RUNTIME_SOCKET_ERROR_H
+#define MARJORAMRAIL_RUNTIME_SOCKET_ERROR_H
 
 #include "marjoramrail/base.h"
 
@@ -14,15 +14,15 @@
 
 namespace marjoramrail::internal {
 
-/// Starts an error that says what errno says.
+/// Creates an error whose reason is the text for errno.
 boost::leaf::error_id failWithErrno(step Step, const endpoint &Peer);
 
 sockaddr_in toSockaddr(const endpoint &Endpoint);
 endpoint toEndpoint(const sockaddr_in &Address);
 
-/// The local address of a socket.
+/// Returns the local address of \p Socket.
 endpoint localOf(int Socket);
 
 } // namespace marjoramrail::internal
 
-#endif // MARJORAMRAIL_RUNTIME_LOOP_ERROR_H
+#endif // MARJORAMRAIL_RUNTIME_SOCKET_ERROR_H
--- a/src/runtime/status_page.cpp
+++ b/src/runtime/status_page.cpp
@@ -25,7 +25,7 @@
   evhtp_send_reply(Request, Code);
 }
 
-/// More than any request of a page's callers.
+/// Longer request bodies are truncated. No valid request is that large.
 static constexpr std::size_t MaxRequestBytes = 1024 * 1024;
 
 static std::string bodyOf(evhtp_request_t *Request) {
@@ -53,7 +53,7 @@
 }
 
 void status_page::impl::answer(evhtp_request_t *Request) const {
-  Loop.wake();
+  Loop.updateClock();
   const std::string Path = Request->uri->path->full;
   if (serve(Request, Path))
     return;
@@ -94,7 +94,8 @@
   const std::string Host = Text.substr(0, Text.rfind(':'));
   constexpr int Backlog = 128;
   if (evhtp_bind_socket(Impl->Http, Host.c_str(), Local.Port, Backlog) != 0)
-    return fail(step::OpenSocket, Text, "the status page cannot listen there");
+    return fail(step::OpenSocket, Text,
+                "cannot bind the status page to this address");
   return {};
 }
 
--- a/src/runtime/tcp_stream.cpp
+++ b/src/runtime/tcp_stream.cpp
@@ -1,5 +1,5 @@
 #include "marjoramrail/runtime.h"
-#include "runtime/loop_error.h"
+#include "runtime/socket_error.h"
 
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
@@ -45,7 +45,7 @@
 }
 
 void tcp_stream::impl::read() {
-  Loop->wake();
+  Loop->updateClock();
   evbuffer *Input = bufferevent_get_input(Events);
   const std::size_t Size = evbuffer_get_length(Input);
   const auto *Bytes =
@@ -57,7 +57,7 @@
 }
 
 void tcp_stream::impl::drained() {
-  Loop->wake();
+  Loop->updateClock();
   if (Closing)
     return event(BEV_EVENT_EOF);
   if (std::exchange(Finishing, false))
@@ -67,7 +67,7 @@
 }
 
 void tcp_stream::impl::event(short What) {
-  Loop->wake();
+  Loop->updateClock();
   if ((What & BEV_EVENT_CONNECTED) != 0) {
     Connected = true;
     if (Hooks.OnConnected)
@@ -75,8 +75,8 @@
     return;
   }
   bufferevent_disable(Events, EV_READ | EV_WRITE);
-  // Taken out first, so that a hook which drops its captures by setHooks()
-  // does not destroy the function that is running.
+  // The hook is moved out first. Otherwise a hook that calls setHooks() would
+  // destroy the function that is running, with its captures.
   const auto OnClosed = std::exchange(Hooks.OnClosed, nullptr);
   if (!OnClosed)
     return;
@@ -91,15 +91,16 @@
 tcp_stream::~tcp_stream() = default;
 
 static void sendAtOnce(bufferevent *Events) {
-  // Nagle's algorithm would hold a small answer back for the peer's
-  // acknowledgement, up to 40 ms.
+  // Nagle's algorithm would delay a small answer until the peer's
+  // acknowledgement arrives, which may take up to 40 ms.
   const int On = 1;
   setsockopt(bufferevent_getfd(Events), IPPROTO_TCP, TCP_NODELAY, &On,
              sizeof(On));
 }
 
-/// A socket bound to the address of \p Local with any port; -1, by which
-/// libevent makes an unbound one, if there is none or it cannot be had.
+/// Returns a socket bound to the address of \p Local and any port. Returns -1
+/// if the address is 0 or cannot be bound; libevent then creates an unbound
+/// socket.
 static evutil_socket_t boundSocket(const endpoint &Local) {
   if (Local.Address == 0)
     return -1;
@@ -187,7 +188,7 @@
 void tcp_listener::impl::accept(evconnlistener *, evutil_socket_t Socket,
                                 sockaddr *Address, int, void *User) {
   auto &Self = *static_cast<impl *>(User);
-  Self.Loop.wake();
+  Self.Loop.updateClock();
   auto State = std::make_unique<tcp_stream::impl>();
   State->Loop = &Self.Loop;
   State->Peer = toEndpoint(*reinterpret_cast<sockaddr_in *>(Address));
--- a/test/mutated_json.h
+++ b/test/mutated_json.h
@@ -1,8 +1,8 @@
-//===- mutated_json.h - Broken texts from a fixed seed ----------*- C++ -*-===//
+//===- mutated_json.h - Mutated JSON texts from a fixed seed ----*- C++ -*-===//
 ///
 /// \file
-/// Makes texts that are almost right, for tests of parsers: bytes changed,
-/// taken out or repeated, values replaced by those that parsers stumble over.
+/// Generates almost valid JSON for tests of parsers: bytes are changed, removed
+/// or repeated, and values are replaced by ones that are difficult to parse.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -15,14 +15,15 @@
 
 namespace marjoramrail {
 
+/// Generates mutations of one valid text.
 class mutated_json {
 public:
-  mutated_json(std::string Right, std::uint64_t Seed)
-      : Right(std::move(Right)), Random(Seed) {}
+  mutated_json(std::string Original, std::uint64_t Seed)
+      : Original(std::move(Original)), Random(Seed) {}
 
-  /// The next text: one to four mutations of the right one.
+  /// Returns the next text: the original with one to four mutations.
   std::string next() {
-    std::string Text = Right;
+    std::string Text = Original;
     for (std::size_t Count = 1 + below(4); Count > 0; --Count)
       mutate(Text);
     return Text;
@@ -33,7 +34,7 @@
 
   void mutate(std::string &Text) {
     if (Text.empty())
-      Text = Right;
+      Text = Original;
     const std::size_t At = below(Text.size());
     const std::size_t Length = 1 + below(12);
     switch (below(6)) {
@@ -58,7 +59,7 @@
     }
   }
 
-  /// Puts a token in the place of the value after the next colon.
+  /// Replaces the value after the next colon by a token.
   void replaceValue(std::string &Text, std::size_t At) {
     const std::size_t Colon = Text.find(':', At);
     if (Colon == std::string::npos)
@@ -90,7 +91,7 @@
     return Chosen == Tokens.size() ? std::string(5000, '[') : Tokens[Chosen];
   }
 
-  std::string Right;
+  std::string Original;
   std::mt19937_64 Random;
 };
 
--- a/test/resource/service_test.cpp
+++ b/test/resource/service_test.cpp
@@ -18,7 +18,8 @@
   return Failure ? toText(*Failure) : "";
 }
 
-static std::string with(const std::string &From, const std::string &To) {
+static std::string withReplaced(const std::string &From,
+                                const std::string &To) {
   std::string Text = Ledger;
   return Text.replace(Text.find(From), From.size(), To);
 }
@@ -34,7 +35,7 @@
   CHECK(Spec->MaxSharePercent == 105);
 }
 
-TEST_CASE("a service survives its JSON form") {
+TEST_CASE("a service is unchanged after conversion to JSON and back") {
   const auto Spec = parseService(Ledger, "ledger");
   REQUIRE(Spec);
 
@@ -44,40 +45,40 @@
   CHECK(*Back == *Spec);
 }
 
-TEST_CASE("parseService names object, field, reason and range") {
-  CHECK(reasonOf(with("\"number\": 1", "\"number\": 0")) ==
+TEST_CASE("parseService reports object, field, reason and range") {
+  CHECK(reasonOf(withReplaced("\"number\": 1", "\"number\": 0")) ==
         "validate-object service/ledger: field number: 0 is not a whole number "
         "from 1 to 4294967295");
-  CHECK(reasonOf(with("\"protocol\": \"http2\"", "\"protocol\": \"udp\"")) ==
+  CHECK(reasonOf(
+            withReplaced("\"protocol\": \"http2\"", "\"protocol\": \"udp\"")) ==
         "validate-object service/ledger: field protocol: expected \"tcp\" or "
         "\"http2\"");
-  CHECK(reasonOf(with(":443", ":0")).find("a port from 1 to 65535") !=
-        std::string::npos);
-  CHECK(reasonOf(with("\"brugge\"", "\"oostende\"")).find("oostende twice") !=
+  CHECK(reasonOf(withReplaced(":443", ":0")).find("a port from 1 to 65535") !=
         std::string::npos);
+  CHECK(reasonOf(withReplaced("\"brugge\"", "\"oostende\""))
+            .find("oostende twice") != std::string::npos);
   CHECK(reasonOf(Ledger, "Ledger!").find("field name") != std::string::npos);
   CHECK(reasonOf("{\n\n\"number\": }").find("line 3") != std::string::npos);
 }
 
-TEST_CASE("parseService refuses a misspelt field") {
-  // An operator writes "slot_per_target"; were it ignored, the default would
-  // stay in force on VMs that no one logs in to.
-  CHECK(reasonOf(with("slots_per_target", "slot_per_target")) ==
+TEST_CASE("parseService rejects a misspelt field") {
+  // An operator writes "slot_per_target". If it were ignored, the default would
+  // stay in effect on VMs that no one logs in to.
+  CHECK(reasonOf(withReplaced("slots_per_target", "slot_per_target")) ==
         "validate-object service/ledger: field slot_per_target: is not known "
         "here");
 }
 
-TEST_CASE("parseService refuses a number too large for JSON") {
-  // The JSON library reports 1e999 by another exception than a syntax error;
-  // uncaught, it ended the process that read the object.
-  CHECK(
-      reasonOf(with("\"number\": 1", "\"number\": 1e999")).find("too large") !=
-      std::string::npos);
+TEST_CASE("parseService rejects a number that is too large for JSON") {
+  // For 1e999 the JSON library throws another exception than for a syntax
+  // error. When it was not caught, it ended the process that read the object.
+  CHECK(reasonOf(withReplaced("\"number\": 1", "\"number\": 1e999"))
+            .find("too large") != std::string::npos);
 }
 
-TEST_CASE("checkAgainst refuses a number or address that stands elsewhere") {
-  // Two services with one number: a packet for ledger would be taken by an
-  // agent of archive.
+TEST_CASE("checkAgainst rejects a number or address of another service") {
+  // With the same number for two services, an agent of archive would accept
+  // packets for ledger.
   const auto Spec = parseService(Ledger, "ledger");
   REQUIRE(Spec);
   service_spec SameNumber = *Spec;
@@ -95,13 +96,14 @@
   CHECK(!failureOf([&] { return checkAgainst(*Spec, {*Spec}); }));
 }
 
-TEST_CASE("zones, drains and statuses survive their JSON forms") {
+TEST_CASE("zones, drains and statuses are unchanged after conversion to JSON "
+          "and back") {
   const zone_spec Zone{"brugge", zone_id(2), "be-west"};
   const drain_spec Drain{"ledger-3", "new kernel"};
   const drain_status Progress{"ledger-3", 12, 1, false, 1700000000000};
   service_status Status;
   Status.Name = "ledger";
-  Status.InForceOn = 2;
+  Status.AppliedOn = 2;
   Status.Nodes = 3;
   Status.Lagging = {"balancer-3"};
   Status.Conditions = {{"ready", true, "7 targets", 1700000000000}};
--- a/test/runtime/line_writer_test.cpp
+++ b/test/runtime/line_writer_test.cpp
@@ -6,9 +6,9 @@
 using namespace marjoramrail;
 using namespace std::chrono_literals;
 
-TEST_CASE("a reader that stops neither stops the writer nor grows it") {
-  // Whoever reads the log hangs; the pipe fills. A process that waited for it
-  // would forward no packet any more.
+TEST_CASE("line_writer neither blocks nor grows if its reader stops") {
+  // The process that reads the log hangs, and the pipe fills up. A process that
+  // blocked on writing would stop forwarding packets.
   int Pipe[2];
   REQUIRE(pipe(Pipe) == 0);
   event_loop Loop;
@@ -21,14 +21,14 @@
       if (I % 100 == 0)
         Writer.flush();
     }
-    CHECK(Writer.leftOut() > 90'000);
+    CHECK(Writer.droppedLines() > 90'000);
   }
   CHECK(std::chrono::steady_clock::now() - Start < 5s);
   close(Pipe[0]);
   close(Pipe[1]);
 }
 
-TEST_CASE("lines come out whole and in order") {
+TEST_CASE("line_writer writes complete lines in order") {
   int Pipe[2];
   REQUIRE(pipe(Pipe) == 0);
   event_loop Loop;
--- a/test/wire/silence_notice_test.cpp
+++ b/test/wire/unresponsive_notice_test.cpp
@@ -5,37 +5,39 @@
 using namespace marjoramrail;
 using namespace marjoramrail::test;
 
-static const silence_notice Notice{service_id(3), {0x0a000009, 7000}};
+static const unresponsive_notice Notice{service_id(3), {0x0a000009, 7000}};
 
 static byte_string encoded() {
-  byte_string Buffer(SilenceNoticeBytes);
-  REQUIRE(encodeSilenceNotice(Notice, Buffer) == SilenceNoticeBytes);
+  byte_string Buffer(UnresponsiveNoticeBytes);
+  REQUIRE(encodeUnresponsiveNotice(Notice, Buffer) == UnresponsiveNoticeBytes);
   return Buffer;
 }
 
 static packet_fault faultOf(const byte_string &Bytes) {
-  silence_notice Back;
-  return decodeSilenceNotice(Bytes, Back);
+  unresponsive_notice Back;
+  return decodeUnresponsiveNotice(Bytes, Back);
 }
 
-TEST_CASE("decodeSilenceNotice reads what encodeSilenceNotice wrote") {
-  silence_notice Back;
+TEST_CASE(
+    "decodeUnresponsiveNotice reads what encodeUnresponsiveNotice wrote") {
+  unresponsive_notice Back;
 
-  REQUIRE(decodeSilenceNotice(encoded(), Back) == packet_fault::None);
+  REQUIRE(decodeUnresponsiveNotice(encoded(), Back) == packet_fault::None);
 
   CHECK(Back == Notice);
-  CHECK(isSilenceNotice(encoded()));
+  CHECK(isUnresponsiveNotice(encoded()));
   CHECK_FALSE(isOwnerNotice(encoded()));
 }
 
-TEST_CASE("decodeSilenceNotice tells by reason what it refuses") {
-  // A forged or damaged notice would send packets by a detour.
+TEST_CASE("decodeUnresponsiveNotice reports why it rejects a notice") {
+  // Because of a forged or damaged notice, a balancer would avoid an agent that
+  // responds, and packets would take a longer path.
   byte_string Bytes = encoded();
 
   SUBCASE("too short") {
     Bytes.pop_back();
     CHECK(faultOf(Bytes) == packet_fault::Truncated);
-    CHECK_FALSE(isSilenceNotice(Bytes));
+    CHECK_FALSE(isUnresponsiveNotice(Bytes));
   }
   SUBCASE("too long") {
     Bytes.push_back(0);
