--- a/bench/forward/main.cpp
+++ b/bench/forward/main.cpp
@@ -2,7 +2,7 @@
 // and how placement distributes flows, on simulated targets.
 
 #include "forward/failure_watch.h"
-#include "packet_head.h"
+#include "packet_header.h"
 
 #include <algorithm>
 #include <cstdio>
