--- a/daemons/agent/agent_packets.cpp
+++ b/daemons/agent/agent_packets.cpp
@@ -7,7 +7,7 @@
     if (isPeerMessage(Datagram.Bytes))
       takePeerMessage(Datagram);
     else if (isFleetMessage(Datagram.Bytes))
-      Announcer.input(Datagram.From, Datagram.Bytes);
+      HeartbeatSender.input(Datagram.From, Datagram.Bytes);
     else
       takeRouted(Datagram);
   }
@@ -58,14 +58,14 @@
 }
 
 /// How a flow's first packet came here, for the time line.
-static std::string wayOf(const routed_packet &Came) {
-  std::string Way = "by balancer " + toText(Came.Balancer) + ", view " +
-                    std::to_string(Came.Version) + ", choice " +
-                    std::to_string(Came.Position + 1) + " of " +
-                    std::to_string(Came.Count);
+static std::string traceOf(const routed_packet &Came) {
+  std::string Trace = "by balancer " + toText(Came.Balancer) + ", view " +
+                      std::to_string(Came.Version) + ", choice " +
+                      std::to_string(Came.Position + 1) + " of " +
+                      std::to_string(Came.Count);
   if (Came.has(routed_flag::HandedOn))
-    Way += ", handed on";
-  return Way;
+    Trace += ", handed on";
+  return Trace;
 }
 
 void agent_process::act(const packet_decision &Decision,
@@ -75,7 +75,7 @@
   switch (Decision.Action) {
   case packet_action::Deliver:
     if (Packet.opensFlow())
-      record(event_kind::FlowRouted, toText(Packet.Flow), wayOf(Came));
+      record(event_kind::FlowRouted, toText(Packet.Flow), traceOf(Came));
     Stack.input(Came.Packet);
     return sendNotice(Came, Packet.Flow);
   case packet_action::PassOn: {
--- a/daemons/agent/agent_process.cpp
+++ b/daemons/agent/agent_process.cpp
@@ -36,7 +36,7 @@
       Socket(Loop, [this](auto Batch) { takeBatch(Batch); }),
       Stack(Loop.timers(), {.Seed = Seed},
             [this](auto Packet) { sendAnswer(Packet); }),
-      Announcer(Loop.timers(), announcerSettings(), announcerHooks()),
+      HeartbeatSender(Loop.timers(), heartbeatSettings(), heartbeatHooks()),
       RelayListener(Loop, [this](std::unique_ptr<tcp_stream> Stream) {
         acceptPeer(std::move(Stream));
       }) {
@@ -71,16 +71,16 @@
   Flow->keepAlive(Settings.SilentFlow / 2,
                   Settings.SilentFlow / 2 / SilentProbes, SilentProbes);
   record(event_kind::FlowAccepted, toText(Key), "");
-  auto OnOver = [this, Key](side_end End) { flowOver(Key, End); };
+  auto OnFlowEnd = [this, Key](side_end End) { onFlowEnded(Key, End); };
   if (Settings.Protocol == service_protocol::Tcp)
     Flows[Key] = std::make_unique<tcp_splice>(
-        Loop, std::move(Flow), Settings.Target, std::move(OnOver));
+        Loop, std::move(Flow), Settings.Target, std::move(OnFlowEnd));
   else
-    Flows[Key] =
-        std::make_unique<h2_side>(std::move(Flow), *Proxy, std::move(OnOver));
+    Flows[Key] = std::make_unique<h2_side>(std::move(Flow), *Proxy,
+                                           std::move(OnFlowEnd));
 }
 
-void agent_process::flowOver(const flow_key &Flow, side_end End) {
+void agent_process::onFlowEnded(const flow_key &Flow, side_end End) {
   record(event_kind::FlowClosed, toText(Flow), "");
   if (End == side_end::Closed)
     Owner->flowClosing(Flow, Loop.timers().now());
@@ -108,7 +108,7 @@
     Owner->drain();
     Proxy->drain();
   }
-  Announcer.sendNow();
+  HeartbeatSender.sendNow();
   for (auto &[Flow, Side] : Flows)
     Side->drain();
 }
--- a/daemons/agent/agent_process.h
+++ b/daemons/agent/agent_process.h
@@ -57,14 +57,14 @@
   void drain(const std::string &Why);
   void resume();
   void accept(std::unique_ptr<stack_flow> Flow);
-  void flowOver(const flow_key &Flow, side_end End);
-  void declaredDown(std::uint32_t Incarnation);
+  void onFlowEnded(const flow_key &Flow, side_end End);
+  void onDeclaredDead(std::uint32_t Incarnation);
   void tick();
   void finishIfIdle();
   agent_report describe() const;
   std::optional<drain_status> describeDrain() const;
-  heartbeat_hooks announcerHooks();
-  heartbeat_settings announcerSettings() const;
+  heartbeat_hooks heartbeatHooks();
+  heartbeat_settings heartbeatSettings() const;
   status_page::hooks pages();
   void registerMetrics();
   void registerProxyMetrics();
@@ -80,7 +80,7 @@
   status_page Page;
   udp_socket Socket;
   tcp_stack Stack;
-  heartbeat_sender Announcer;
+  heartbeat_sender HeartbeatSender;
   tcp_listener RelayListener;
   std::optional<platform_client> Platform;
   std::optional<drain_reporter> DrainReporter;
--- a/daemons/agent/agent_view.cpp
+++ b/daemons/agent/agent_view.cpp
@@ -6,7 +6,7 @@
 
 namespace marjoramrail {
 
-heartbeat_settings agent_process::announcerSettings() const {
+heartbeat_settings agent_process::heartbeatSettings() const {
   heartbeat_settings Announced;
   Announced.Host = Settings.Name;
   Announced.Service = Settings.Service;
@@ -19,14 +19,14 @@
   return Announced;
 }
 
-heartbeat_hooks agent_process::announcerHooks() {
+heartbeat_hooks agent_process::heartbeatHooks() {
   heartbeat_hooks Hooks;
   Hooks.Send = [this](const endpoint &To, fleet_bytes Bytes) {
     sendControl(To, Bytes);
   };
   Hooks.Describe = [this] { return describe(); };
   Hooks.OnView = [this](const membership &Members) { takeView(Members); };
-  Hooks.OnDeclaredDead = [this](std::uint32_t Next) { declaredDown(Next); };
+  Hooks.OnDeclaredDead = [this](std::uint32_t Next) { onDeclaredDead(Next); };
   return Hooks;
 }
 
@@ -278,7 +278,7 @@
       [this, Number] { PeerConnections.erase(Number); });
 }
 
-void agent_process::declaredDown(std::uint32_t Next) {
+void agent_process::onDeclaredDead(std::uint32_t Next) {
   LOG(WARNING) << "agent: the fleet held this agent for dead; its "
                << Flows.size() << " flows are given up";
   Incarnation = Next;
@@ -295,7 +295,7 @@
   const instant Now = Loop.timers().now();
   if (!Owner)
     return;
-  if (const auto Heard = Announcer.lastReceived();
+  if (const auto Heard = HeartbeatSender.lastReceived();
       Heard && *Heard > LastConfirmed) {
     LastConfirmed = *Heard;
     Owner->confirmView(*Heard);
--- a/daemons/agent/flow_side.h
+++ b/daemons/agent/flow_side.h
@@ -20,7 +20,7 @@
 public:
   /// Called once; the side may be destroyed when the hook has returned to the
   /// loop.
-  using over_hook = std::function<void(side_end)>;
+  using flow_end_hook = std::function<void(side_end)>;
 
   virtual ~flow_side() = default;
 
--- a/daemons/agent/h2_side.cpp
+++ b/daemons/agent/h2_side.cpp
@@ -8,12 +8,13 @@
 }
 
 h2_side::h2_side(std::unique_ptr<stack_flow> Flow, request_proxy &Proxy,
-                 over_hook OnOver)
-    : Caller(std::move(Flow)), Output(*Caller), OnOver(std::move(OnOver)) {
+                 flow_end_hook OnFlowEnd)
+    : Caller(std::move(Flow)), Output(*Caller),
+      OnFlowEnd(std::move(OnFlowEnd)) {
   listenToCaller();
   proxy_flow::hooks Hooks;
   Hooks.Output = [this](std::string_view Bytes) { Output.write(Bytes); };
-  Hooks.OnEnded = [this](proxy_flow_end Why) { sessionOver(Why); };
+  Hooks.OnEnded = [this](proxy_flow_end Why) { onSessionEnded(Why); };
   Session = Proxy.open({callerHash(Caller->key()), false}, std::move(Hooks));
 }
 
@@ -25,18 +26,18 @@
     Caller->consumed(Bytes.size());
     Session->input(Bytes);
   };
-  Hooks.OnEnd = [this] { sessionOver(proxy_flow_end::Finished); };
+  Hooks.OnEnd = [this] { onSessionEnded(proxy_flow_end::Finished); };
   Hooks.OnWritable = [this] { pump(); };
   Hooks.OnClosed = [this](flow_end End) {
-    over(End == flow_end::Finished ? side_end::Closed : side_end::Gone);
+    endFlow(End == flow_end::Finished ? side_end::Closed : side_end::Gone);
   };
   Caller->setHooks(std::move(Hooks));
 }
 
-void h2_side::sessionOver(proxy_flow_end Why) {
+void h2_side::onSessionEnded(proxy_flow_end Why) {
   if (Why == proxy_flow_end::Unresponsive) {
     Caller->abort();
-    return over(side_end::Gone);
+    return endFlow(side_end::Gone);
   }
   Ending = true;
   pump();
@@ -47,11 +48,11 @@
   if (!Ending || Output.size() > 0)
     return;
   Caller->close();
-  over(side_end::Closed);
+  endFlow(side_end::Closed);
 }
 
-void h2_side::over(side_end End) {
-  if (const auto Hook = std::exchange(OnOver, nullptr))
+void h2_side::endFlow(side_end End) {
+  if (const auto Hook = std::exchange(OnFlowEnd, nullptr))
     Hook(End);
 }
 
--- a/daemons/agent/h2_side.h
+++ b/daemons/agent/h2_side.h
@@ -14,7 +14,7 @@
 class h2_side : public flow_side {
 public:
   h2_side(std::unique_ptr<stack_flow> Caller, request_proxy &Proxy,
-          over_hook OnOver);
+          flow_end_hook OnFlowEnd);
   ~h2_side() override;
 
   /// The proxy says goodbye to all its flows itself.
@@ -22,13 +22,13 @@
 
 private:
   void listenToCaller();
-  void sessionOver(proxy_flow_end Why);
+  void onSessionEnded(proxy_flow_end Why);
   void pump();
-  void over(side_end End);
+  void endFlow(side_end End);
 
   std::unique_ptr<stack_flow> Caller;
   flow_output Output;
-  over_hook OnOver;
+  flow_end_hook OnFlowEnd;
   bool Ending = false;
   std::unique_ptr<proxy_flow> Session;
 };
--- a/daemons/agent/kernel_stream.cpp
+++ b/daemons/agent/kernel_stream.cpp
@@ -34,9 +34,11 @@
 peer_connection::peer_connection(event_loop &Loop,
                                  std::unique_ptr<tcp_stream> Taken,
                                  request_proxy &Proxy,
-                                 std::function<void()> OnOver)
+                                 std::function<void()> OnFlowEnd)
     : Stream(std::move(Taken)) {
-  const auto Over = [&Loop, OnOver = std::move(OnOver)] { Loop.defer(OnOver); };
+  const auto Over = [&Loop, OnFlowEnd = std::move(OnFlowEnd)] {
+    Loop.defer(OnFlowEnd);
+  };
   proxy_flow::hooks Hooks;
   Hooks.Output = [this](std::string_view Bytes) { Stream->write(Bytes); };
   Hooks.OnEnded = [Over](proxy_flow_end) { Over(); };
--- a/daemons/agent/kernel_stream.h
+++ b/daemons/agent/kernel_stream.h
@@ -18,9 +18,9 @@
 /// A peer agent's connection that relays requests here.
 class peer_connection {
 public:
-  /// \p OnOver may destroy this object once it has returned to the loop.
+  /// \p OnFlowEnd may destroy this object once it has returned to the loop.
   peer_connection(event_loop &Loop, std::unique_ptr<tcp_stream> Stream,
-                  request_proxy &Proxy, std::function<void()> OnOver);
+                  request_proxy &Proxy, std::function<void()> OnFlowEnd);
 
 private:
   std::unique_ptr<tcp_stream> Stream;
--- a/daemons/agent/tcp_splice.cpp
+++ b/daemons/agent/tcp_splice.cpp
@@ -3,8 +3,9 @@
 namespace marjoramrail {
 
 tcp_splice::tcp_splice(event_loop &Loop, std::unique_ptr<stack_flow> Flow,
-                       const endpoint &Address, over_hook OnOver)
-    : Caller(std::move(Flow)), Output(*Caller), OnOver(std::move(OnOver)) {
+                       const endpoint &Address, flow_end_hook OnFlowEnd)
+    : Caller(std::move(Flow)), Output(*Caller),
+      OnFlowEnd(std::move(OnFlowEnd)) {
   Target = tcp_stream::connect(Loop, Address, targetHooks());
   listenToCaller();
 }
@@ -17,7 +18,7 @@
   Hooks.OnEnd = [this] { Target->finishWriting(); };
   Hooks.OnWritable = [this] { pump(); };
   Hooks.OnClosed = [this](flow_end End) {
-    over(End == flow_end::Finished ? side_end::Closed : side_end::Gone);
+    endFlow(End == flow_end::Finished ? side_end::Closed : side_end::Gone);
   };
   Caller->setHooks(std::move(Hooks));
 }
@@ -64,11 +65,11 @@
     return pump();
   // Half a message must not look like a whole one.
   Caller->abort();
-  over(side_end::Gone);
+  endFlow(side_end::Gone);
 }
 
-void tcp_splice::over(side_end End) {
-  if (const auto Hook = std::exchange(OnOver, nullptr))
+void tcp_splice::endFlow(side_end End) {
+  if (const auto Hook = std::exchange(OnFlowEnd, nullptr))
     Hook(End);
 }
 
--- a/daemons/agent/tcp_splice.h
+++ b/daemons/agent/tcp_splice.h
@@ -22,7 +22,7 @@
   static constexpr std::size_t MaxQueued = 256 * 1024;
 
   tcp_splice(event_loop &Loop, std::unique_ptr<stack_flow> Caller,
-             const endpoint &Target, over_hook OnOver);
+             const endpoint &Target, flow_end_hook OnFlowEnd);
   ~tcp_splice() override;
 
   /// Opaque bytes have no end to wait for but the flow's own.
@@ -36,12 +36,12 @@
   void pump();
   void targetDrained();
   void targetClosed(const std::string &Reason);
-  void over(side_end End);
+  void endFlow(side_end End);
 
   std::unique_ptr<stack_flow> Caller;
   flow_output Output;
   std::unique_ptr<tcp_stream> Target;
-  over_hook OnOver;
+  flow_end_hook OnFlowEnd;
   std::size_t Unconsumed = 0;
   bool Paused = false;
   bool TargetEnded = false;
--- a/daemons/balancer/balancer_process.cpp
+++ b/daemons/balancer/balancer_process.cpp
@@ -39,7 +39,7 @@
     return Opened.error();
   if (auto Opened = Status.open(Settings.StatusListen); !Opened)
     return Opened.error();
-  Loop.timers().every(HearingPeriod, [this] { passOnHearing(); });
+  Loop.timers().every(HearingPeriod, [this] { reportFleetContact(); });
   record(event_kind::ProcessStarted, "", "settings are in force");
   LOG(INFO) << "balancer: " << Settings.Name << " takes packets on "
             << toText(Settings.FabricListen);
@@ -63,7 +63,7 @@
   record(event_kind::ViewTaken, View.Name, "view " + Version);
 }
 
-void balancer_process::passOnHearing() {
+void balancer_process::reportFleetContact() {
   if (const std::optional<instant> Heard = Fleet.node().lastReceived())
     Port.core().heardOfFleet(*Heard);
 }
--- a/daemons/balancer/balancer_process.h
+++ b/daemons/balancer/balancer_process.h
@@ -29,7 +29,7 @@
 private:
   status_page::hooks pages();
   void takeView(const membership &Members);
-  void passOnHearing();
+  void reportFleetContact();
   void record(event_kind What, const std::string &Service, std::string Why);
 
   event_loop &Loop;
--- a/daemons/forwarder/agent_target.cpp
+++ b/daemons/forwarder/agent_target.cpp
@@ -11,12 +11,12 @@
 namespace {
 
 /// A target that does not answer is looked at this often.
-constexpr duration LookPeriod = std::chrono::milliseconds(500);
+constexpr duration ProbePeriod = std::chrono::milliseconds(500);
 /// The longest time between two packets of a target whose flow is not over: the
 /// end of its back-off, and some room.
 constexpr duration LongestRetransmission = std::chrono::milliseconds(1800);
 /// On the same VM a connection comes about, or is refused, within this time.
-constexpr duration LookTime = std::chrono::milliseconds(300);
+constexpr duration ProbeTimeout = std::chrono::milliseconds(300);
 
 } // namespace
 
@@ -58,12 +58,12 @@
     Log.record(event_kind::ReportTaken, Report.Draining ? "draining" : "ready",
                Report.Id);
   if (Core.targetStopped())
-    onTargetBack("it reported");
+    onTargetRecovered("it reported");
   if (Flows)
     Flows->onRun({Report.Id, Report.Born});
   Core.setTarget(Report.Slots, Report.WarmupLeft, Now);
-  review("the target reported");
-  announce();
+  updateAdmission("the target reported");
+  registerTarget();
   return {200, "{}"};
 }
 
@@ -73,8 +73,8 @@
                                                  : event_kind::ReportRefused,
              "leaves", Id);
   if (Verdict == report_verdict::Accepted) {
-    review("the target left");
-    withdrawWhenGone();
+    updateAdmission("the target left");
+    withdrawWhenStopped();
   }
   return {200, "{}"};
 }
@@ -85,25 +85,25 @@
 ///
 /// A leaving target refuses connections before its flows have ended: as long as
 /// it sends their last packets again, a refusal proves nothing.
-void forward_agent_process::withdrawWhenGone() {
+void forward_agent_process::withdrawWhenStopped() {
   if (!Reports.hasLeft() || Stopping)
     return;
   if (Core.targetStopped())
     return withdraw();
   if (Loop.timers().now() - LastFromTarget > LongestRetransmission)
-    lookAtTarget();
-  Loop.timers().after(LookPeriod, [this] { withdrawWhenGone(); });
+    probeTarget();
+  Loop.timers().after(ProbePeriod, [this] { withdrawWhenStopped(); });
 }
 
 /// The entry is gone although the target is there. Its next flows wait until
 /// all know it again.
-void forward_agent_process::announceAgain() {
+void forward_agent_process::registerAgain() {
   if (Stopping || Reports.hasLeft() || !Registrar.settled())
     return;
   Registrar.recheck();
 }
 
-void forward_agent_process::announce() {
+void forward_agent_process::registerTarget() {
   target_entry Entry;
   Entry.Name = Settings.entryName();
   Entry.Service = Settings.Service;
@@ -115,7 +115,7 @@
   Registrar.set(Entry);
 }
 
-void forward_agent_process::review(const char *Why) {
+void forward_agent_process::updateAdmission(const char *Why) {
   const instant Now = Loop.timers().now();
   const bool Admits = Admission.admits(Reports, Now) && !Stopping;
   if (Admits != Core.admitting()) {
@@ -127,32 +127,34 @@
   }
   const auto Settled = Admission.settledAt();
   if (!Admits && Settled && *Settled > Now)
-    Loop.timers().after(*Settled - Now, [this] { review("settled"); });
+    Loop.timers().after(*Settled - Now, [this] { updateAdmission("settled"); });
 }
 
 /// A target that does not answer is frozen, cut off or gone. Only the last
 /// means that its flows are lost; a refused connection is the proof, since on
 /// one VM nothing but a missing process refuses.
-void forward_agent_process::lookAtTarget() {
-  if (Look)
+void forward_agent_process::probeTarget() {
+  if (TargetProbe)
     return;
   tcp_stream::hooks Hooks;
-  Hooks.OnConnected = [this] { endLook(); };
+  Hooks.OnConnected = [this] { endProbe(); };
   Hooks.OnClosed = [this](const std::string &Reason) {
-    onTargetLooked(Reason);
-    endLook();
+    onProbeClosed(Reason);
+    endProbe();
   };
-  Look = tcp_stream::connect(Loop, Settings.Target, std::move(Hooks));
-  LookTimer = Loop.timers().after(LookTime, [this] { Look.reset(); });
+  TargetProbe = tcp_stream::connect(Loop, Settings.Target, std::move(Hooks));
+  ProbeTimer =
+      Loop.timers().after(ProbeTimeout, [this] { TargetProbe.reset(); });
 }
 
 /// Not at once: the stream must not go from within its own hook.
-void forward_agent_process::endLook() {
-  Loop.timers().cancel(LookTimer);
-  LookTimer = Loop.timers().after(duration::zero(), [this] { Look.reset(); });
+void forward_agent_process::endProbe() {
+  Loop.timers().cancel(ProbeTimer);
+  ProbeTimer =
+      Loop.timers().after(duration::zero(), [this] { TargetProbe.reset(); });
 }
 
-void forward_agent_process::onTargetLooked(const std::string &Reason) {
+void forward_agent_process::onProbeClosed(const std::string &Reason) {
   if (Reason != std::strerror(ECONNREFUSED) || Core.targetStopped())
     return;
   Log.record(event_kind::TargetGone, Reason, toText(Settings.Target));
--- a/daemons/forwarder/turn_log.cpp
+++ b/daemons/forwarder/callback_log.cpp
@@ -1,4 +1,4 @@
-#include "turn_log.h"
+#include "callback_log.h"
 
 namespace marjoramrail::daemons {
 
@@ -16,15 +16,15 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(Time).count();
 }
 
-turn_log::turn_log(event_log &Log, metrics &Metrics)
+callback_log::callback_log(event_log &Log, metrics &Metrics)
     : Log(Log), Metrics(Metrics) {
   for (const auto &[What, Name] : TurnKindNames)
-    TurnNames[static_cast<std::size_t>(What)] =
+    HistogramNames[static_cast<std::size_t>(What)] =
         "marjoramrail_turn_seconds_" + std::string(Name);
 }
 
-void turn_log::take(const turn_done &Turn) {
-  Metrics.observe(TurnNames[static_cast<std::size_t>(Turn.What)],
+void callback_log::take(const turn_done &Turn) {
+  Metrics.observe(HistogramNames[static_cast<std::size_t>(Turn.What)],
                   seconds(Turn.Took));
   if (Turn.Took < LongTurn || !Log.wants(event_kind::LongTurn))
     return;
@@ -37,7 +37,7 @@
   Log.record(std::move(Event));
 }
 
-void turn_log::take(const platform_call_end &End) {
+void callback_log::take(const platform_call_end &End) {
   const bool Failed = End.Outcome == platform_outcome::Unavailable ||
                       End.Outcome == platform_outcome::Unknown;
   const bool IsSlow = End.Took >= End.Wait + SlowCall;
@@ -57,16 +57,16 @@
   Log.record(std::move(Event));
 }
 
-turn_hook turn_log::onTurn() {
+turn_hook callback_log::onTurn() {
   return [this](const turn_done &Turn) { take(Turn); };
 }
 
-std::function<void(const platform_call_end &)> turn_log::onCallEnd() {
+std::function<void(const platform_call_end &)> callback_log::onCallEnd() {
   return [this](const platform_call_end &End) { take(End); };
 }
 
 platform_client_settings watched(platform_client_settings Settings,
-                                 turn_log &Log) {
+                                 callback_log &Log) {
   Settings.OnTurn = Log.onTurn();
   Settings.OnCallEnd = Log.onCallEnd();
   return Settings;
--- a/daemons/forwarder/turn_log.h
+++ b/daemons/forwarder/callback_log.h
@@ -1,4 +1,4 @@
-//===- turn_log.h - What a process's loop was held up by --------*- C++ -*-===//
+//===- callback_log.h - Times of event-loop callbacks -----------*- C++ -*-===//
 ///
 /// \file
 /// Distributions of the loop's turns by kind of work, and a line for each turn
@@ -8,17 +8,17 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef MARJORAMRAIL_DAEMONS_FORWARDER_TURN_LOG_H
-#define MARJORAMRAIL_DAEMONS_FORWARDER_TURN_LOG_H
+#ifndef MARJORAMRAIL_DAEMONS_FORWARDER_CALLBACK_LOG_H
+#define MARJORAMRAIL_DAEMONS_FORWARDER_CALLBACK_LOG_H
 
 #include "event_log.h"
 #include "marjoramrail/platform.h"
 
 namespace marjoramrail::daemons {
 
-class turn_log {
+class callback_log {
 public:
-  turn_log(event_log &Log, metrics &Metrics);
+  callback_log(event_log &Log, metrics &Metrics);
 
   void take(const turn_done &Turn);
   void take(const platform_call_end &End);
@@ -31,13 +31,13 @@
   event_log &Log;
   metrics &Metrics;
   /// The names of the distributions, by kind of work.
-  std::array<std::string, TurnKindNames.size()> TurnNames;
+  std::array<std::string, TurnKindNames.size()> HistogramNames;
 };
 
 /// \p Settings of a client whose calls \p Log shows.
 platform_client_settings watched(platform_client_settings Settings,
-                                 turn_log &Log);
+                                 callback_log &Log);
 
 } // namespace marjoramrail::daemons
 
-#endif // MARJORAMRAIL_DAEMONS_FORWARDER_TURN_LOG_H
+#endif // MARJORAMRAIL_DAEMONS_FORWARDER_CALLBACK_LOG_H
--- a/daemons/forwarder/forward_agent_process.cpp
+++ b/daemons/forwarder/forward_agent_process.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 /// For the last reports to leave before the process ends.
-constexpr duration FarewellTime = std::chrono::milliseconds(20);
+constexpr duration FinalReportTime = std::chrono::milliseconds(20);
 /// For the store to drop the entry before the process ends; half of the usual
 /// grace period.
 constexpr duration WithdrawTime = std::chrono::seconds(3);
@@ -17,17 +17,19 @@
     event_loop &Loop, const agent_program_settings &Settings,
     const site_adapter &Adapter)
     : Loop(Loop), Settings(Settings), Adapter(Adapter),
-      Log(Loop, Settings.Name), Turns(Log, Metrics), Calls(Loop, Log, Metrics),
-      OnTurn(Turns.onTurn()), Requests(Log, Metrics, this->Adapter),
+      Log(Loop, Settings.Name), Callbacks(Log, Metrics),
+      Calls(Loop, Log, Metrics), OnTurn(Callbacks.onTurn()),
+      Requests(Log, Metrics, this->Adapter),
       Routed(Loop, [this](auto Batch) { onRouted(Batch); }),
       TargetPackets(Loop, [this](auto Batch) { onTargetPackets(Batch); }),
-      Store(Loop, counted(watched(storeSettings(Settings.Name, Settings.Store,
-                                                Adapter, Settings.Without),
-                                  Turns),
-                          Calls)),
+      Store(Loop,
+            counted(watched(storeSettings(Settings.Name, Settings.Store,
+                                          Adapter, Settings.DisabledMechanisms),
+                            Callbacks),
+                    Calls)),
       Core({.Service = serviceNumber(Settings.Service),
             .Self = Settings.RoutedListen,
-            .DisabledMechanisms = Settings.Without},
+            .DisabledMechanisms = Settings.DisabledMechanisms},
            Adapter.Codec, coreHooks()),
       Reports(Settings.Service),
       Registrar(Loop.timers(), Store.api(), directory_settings().SiteKind,
@@ -59,20 +61,20 @@
   // A balancer without the store's news may name an entry that is gone.
   Hooks.Registered = [this] {
     if (Registrar.knownMissing() ||
-        this->Settings.Without.has(mechanism::RegisteredNotices))
+        this->Settings.DisabledMechanisms.has(mechanism::RegisteredNotices))
       return;
-    Admission.onListed(Loop.timers().now());
-    review("a balancer has known this target for long");
+    Admission.onRegistered(Loop.timers().now());
+    updateAdmission("a balancer has known this target for long");
   };
   Hooks.RegistrationFound = [this] {
     // An entry that this process has written may have been new to all.
     if (Registrar.hasWritten() || Registrar.knownMissing() ||
-        this->Settings.Without.has(mechanism::FoundRegistrations))
+        this->Settings.DisabledMechanisms.has(mechanism::FoundRegistrations))
       return;
-    Admission.onListed(Loop.timers().now());
-    review("a balancer that started found this target in the store");
+    Admission.onRegistered(Loop.timers().now());
+    updateAdmission("a balancer that started found this target in the store");
   };
-  Hooks.TargetUnresponsive = [this] { lookAtTarget(); };
+  Hooks.TargetUnresponsive = [this] { probeTarget(); };
   Hooks.OnRequest = [this](const flow_key &Flow, bytes_view Packet) {
     Requests.seen(Flow, Packet, Core.report(Loop.timers().now()).Active);
   };
@@ -84,8 +86,8 @@
     Requests.answered(Flow, Status, Took, Core.report(Now).Latency);
   };
   Hooks.OnEvent = [this](const flow_event &Event) { recordFlow(Event); };
-  Hooks.Unregistered = [this] { announceAgain(); };
-  Hooks.NoBalancerContact = [this] { announceAgain(); };
+  Hooks.Unregistered = [this] { registerAgain(); };
+  Hooks.NoBalancerContact = [this] { registerAgain(); };
   Hooks.ObserveClock = [this](std::uint64_t Clock) { Log.observeClock(Clock); };
   return Hooks;
 }
@@ -107,7 +109,7 @@
     Admission.onStored(/*Existed=*/true, Now);
     Reports.restore(Entry.Draining, Entry.Slots, Now);
     Core.setTarget(Entry.Slots, duration::zero(), Now);
-    review("the store holds this target");
+    updateAdmission("the store holds this target");
   };
   Hooks.OnFirstRead = [this](bool Existed) {
     if (Flows)
@@ -115,20 +117,20 @@
   };
   // What follows is as for a new target: its flows wait until all know it.
   Hooks.OnMissing = [this] {
-    Admission.onUnlisted();
-    review("not in the store");
+    Admission.onUnregistered();
+    updateAdmission("not in the store");
   };
   Hooks.OnStored = [this](bool Existed) {
     const bool IsKnown =
-        Existed || this->Settings.Without.has(mechanism::SettleTime);
+        Existed || this->Settings.DisabledMechanisms.has(mechanism::SettleTime);
     Admission.onStored(IsKnown, Loop.timers().now());
-    review("the store holds this target");
+    updateAdmission("the store holds this target");
   };
   Hooks.OnFailure = [this](const std::string &Reason) {
     Log.record(event_kind::StoreLost, Reason);
   };
   Hooks.RequestPeerRegistration = [this](const target_entry &Entry) {
-    if (this->Settings.Without.has(mechanism::PeerAnnouncements))
+    if (this->Settings.DisabledMechanisms.has(mechanism::PeerAnnouncements))
       return;
     const std::vector<std::uint8_t> Bytes = encodeRegistrationRequest(Entry);
     for (const endpoint &Balancer : this->Settings.Balancers)
@@ -139,7 +141,8 @@
 }
 
 std::unique_ptr<flow_reporter> forward_agent_process::makeReporter() {
-  if (!Settings.KeepFlows || Settings.Without.has(mechanism::FlowCheckpoints))
+  if (!Settings.KeepFlows ||
+      Settings.DisabledMechanisms.has(mechanism::FlowCheckpoints))
     return nullptr;
   flow_reporter::hooks Hooks;
   Hooks.OpenFlows = [this](instant Moment) { return Core.openFlows(Moment); };
@@ -177,8 +180,8 @@
 
 status_page::hooks forward_agent_process::readyPage() {
   status_page::hooks Hooks = readyHooks(Adapter, [this] { return !Stopping; });
-  addInsight(Hooks, Log,
-             [this] { return Core.statusJson(Loop.timers().now()); });
+  addStatusPages(Hooks, Log,
+                 [this] { return Core.statusJson(Loop.timers().now()); });
   return Hooks;
 }
 
@@ -223,7 +226,8 @@
     Core.tick(Loop.timers().now());
     Routed.flush();
   });
-  Log.record(event_kind::ProcessStarted, startReason(Settings.Without));
+  Log.record(event_kind::ProcessStarted,
+             startReason(Settings.DisabledMechanisms));
   Registrar.readExisting(Settings.entryName());
   return {};
 }
@@ -237,9 +241,9 @@
   // With a target that lives the agent will be back; the shorter it is away,
   // the better. A VM that goes away ends its target first: then the flows are
   // over, and nothing else takes the entry out of the store.
-  lookAtTarget();
+  probeTarget();
   StopBy = Loop.timers().now() + WithdrawTime;
-  Loop.timers().every(FarewellTime, [this] { endWhenDone(); });
+  Loop.timers().every(FinalReportTime, [this] { endWhenDone(); });
 }
 
 void forward_agent_process::endWhenDone() {
@@ -247,7 +251,7 @@
   const bool IsOver = Reports.hasLeft() || Core.targetStopped();
   if (IsOver)
     withdraw();
-  const bool IsDone = IsOver ? Withdrawn && Registrar.settled() : !Look;
+  const bool IsDone = IsOver ? Withdrawn && Registrar.settled() : !TargetProbe;
   if (IsDone || Now >= StopBy)
     Loop.stop();
 }
@@ -270,11 +274,11 @@
   for (const datagram &Datagram : Batch)
     if (Core.onTargetPacket(Datagram.Bytes, Now) == agent_outcome::Answered &&
         Core.targetStopped())
-      onTargetBack("it wrote a packet");
+      onTargetRecovered("it wrote a packet");
   Routed.flush();
 }
 
-void forward_agent_process::onTargetBack(const char *Why) {
+void forward_agent_process::onTargetRecovered(const char *Why) {
   Log.record(event_kind::TargetRecovered, Why, toText(Settings.Target));
   Core.setTargetStopped(false, Loop.timers().now());
 }
--- a/daemons/forwarder/forward_agent_process.h
+++ b/daemons/forwarder/forward_agent_process.h
@@ -9,13 +9,13 @@
 #ifndef MARJORAMRAIL_DAEMONS_FORWARDER_FORWARD_AGENT_PROCESS_H
 #define MARJORAMRAIL_DAEMONS_FORWARDER_FORWARD_AGENT_PROCESS_H
 
+#include "callback_log.h"
 #include "event_log.h"
 #include "forwarder_settings.h"
 #include "request_log.h"
 #include "site_adapter.h"
 #include "store_calls.h"
 #include "target_admission.h"
-#include "turn_log.h"
 
 namespace marjoramrail::daemons {
 
@@ -40,18 +40,18 @@
   std::optional<page_answer> onTargetCall(const page_request &Request);
   page_answer onReport(const target_report &Report);
   page_answer onLeave(const std::string &Id);
-  void onTargetBack(const char *Why);
-  void announce();
+  void onTargetRecovered(const char *Why);
+  void registerTarget();
   void withdraw();
   std::unique_ptr<flow_reporter> makeReporter();
-  void announceAgain();
-  void withdrawWhenGone();
-  void review(const char *Why);
+  void registerAgain();
+  void withdrawWhenStopped();
+  void updateAdmission(const char *Why);
   void armExpiry(std::optional<instant> Due);
   void endWhenDone();
-  void lookAtTarget();
-  void endLook();
-  void onTargetLooked(const std::string &Reason);
+  void probeTarget();
+  void endProbe();
+  void onProbeClosed(const std::string &Reason);
   status_page::hooks callsPage();
   status_page::hooks readyPage();
   forward_agent_hooks coreHooks();
@@ -64,7 +64,7 @@
   site_adapter Adapter;
   event_log Log;
   metrics Metrics;
-  turn_log Turns;
+  callback_log Callbacks;
   store_calls Calls;
   turn_hook OnTurn;
   request_log Requests;
@@ -80,9 +80,9 @@
   status_page CallsPage;
   status_page ReadyPage;
   status_page MetricsPage;
-  std::unique_ptr<tcp_stream> Look;
+  std::unique_ptr<tcp_stream> TargetProbe;
   bool ExpiryArmed = false;
-  timer_id LookTimer{};
+  timer_id ProbeTimer{};
   instant LastFromTarget;
   bool Stopping = false;
   /// The target has left, and its entry goes.
--- a/daemons/forwarder/forward_balancer_process.cpp
+++ b/daemons/forwarder/forward_balancer_process.cpp
@@ -50,7 +50,7 @@
   Directory.Self = Settings.PeersListen;
   Directory.Seeds = peersOf(Settings);
   Directory.FlowLife = Settings.FlowLife;
-  Directory.DisabledMechanisms = Settings.Without;
+  Directory.DisabledMechanisms = Settings.DisabledMechanisms;
   return Directory;
 }
 
@@ -65,18 +65,19 @@
     event_loop &Loop, const balancer_program_settings &Settings,
     const site_adapter &Adapter)
     : Loop(Loop), Settings(Settings), Adapter(Adapter),
-      Log(Loop, Settings.Name), Turns(Log, Metrics), Calls(Loop, Log, Metrics),
-      OnTurn(Turns.onTurn()),
+      Log(Loop, Settings.Name), Callbacks(Log, Metrics),
+      Calls(Loop, Log, Metrics), OnTurn(Callbacks.onTurn()),
       Callers(Loop, [this](auto Batch) { onCallers(Batch); }),
       Peers(Loop, [this](auto Batch) { onPeers(Batch); }),
-      Store(Loop, counted(watched(storeSettings(Settings.Name, Settings.Store,
-                                                Adapter, Settings.Without),
-                                  Turns),
-                          Calls)),
+      Store(Loop,
+            counted(watched(storeSettings(Settings.Name, Settings.Store,
+                                          Adapter, Settings.DisabledMechanisms),
+                            Callbacks),
+                    Calls)),
       Core({.Self = Settings.PeersListen,
             .Zone = Settings.Zone,
             .FlowLife = Settings.FlowLife,
-            .DisabledMechanisms = Settings.Without},
+            .DisabledMechanisms = Settings.DisabledMechanisms},
            Adapter.Codec, coreHooks()),
       Directory(Loop.timers(), storeApis(Store), directorySettings(Settings),
                 directoryHooks()),
@@ -139,7 +140,7 @@
   flow_collector::hooks Hooks;
   Hooks.Agents = [this] {
     std::map<std::string, endpoint> Agents;
-    if (this->Settings.Without.has(mechanism::FlowCheckpoints))
+    if (this->Settings.DisabledMechanisms.has(mechanism::FlowCheckpoints))
       return Agents;
     for (const target_entry &Target : Directory.supervisedTargets())
       Agents[Target.Name] = Target.Agent;
@@ -164,7 +165,8 @@
   Client.Writer = Settings.Name;
   Client.Timeout = PeerTimeout;
   Client.Dialect = peerDialect();
-  PeerClient = std::make_unique<platform_client>(Loop, watched(Client, Turns));
+  PeerClient =
+      std::make_unique<platform_client>(Loop, watched(Client, Callbacks));
   PeerClient->api().List(Kind, std::move(Done));
 }
 
@@ -184,8 +186,8 @@
       return page_answer{503, ""};
     return page_answer{200, *List};
   };
-  addInsight(Hooks, Log,
-             [this] { return Core.statusJson(Loop.timers().now()); });
+  addStatusPages(Hooks, Log,
+                 [this] { return Core.statusJson(Loop.timers().now()); });
   return Hooks;
 }
 
@@ -233,7 +235,8 @@
     return Opened.error();
   Loop.timers().every(forward_balancer::TickPeriod,
                       [this] { Core.tick(Loop.timers().now()); });
-  Log.record(event_kind::ProcessStarted, startReason(Settings.Without));
+  Log.record(event_kind::ProcessStarted,
+             startReason(Settings.DisabledMechanisms));
   Directory.start();
   Flows.start();
   return {};
--- a/daemons/forwarder/forward_balancer_process.h
+++ b/daemons/forwarder/forward_balancer_process.h
@@ -8,11 +8,11 @@
 #ifndef MARJORAMRAIL_DAEMONS_FORWARDER_FORWARD_BALANCER_PROCESS_H
 #define MARJORAMRAIL_DAEMONS_FORWARDER_FORWARD_BALANCER_PROCESS_H
 
+#include "callback_log.h"
 #include "event_log.h"
 #include "forwarder_settings.h"
 #include "site_adapter.h"
 #include "store_calls.h"
-#include "turn_log.h"
 
 namespace marjoramrail::daemons {
 
@@ -48,7 +48,7 @@
   site_adapter Adapter;
   event_log Log;
   metrics Metrics;
-  turn_log Turns;
+  callback_log Callbacks;
   store_calls Calls;
   turn_hook OnTurn;
   udp_socket Callers;
--- a/daemons/forwarder/forwarder_settings.cpp
+++ b/daemons/forwarder/forwarder_settings.cpp
@@ -11,15 +11,15 @@
 }
 
 /// Mechanisms that an experiment switches off, by name.
-static mechanism_set readWithout(settings_reader &Reader) {
-  mechanism_set Without;
+static mechanism_set readDisabledMechanisms(settings_reader &Reader) {
+  mechanism_set DisabledMechanisms;
   for (const std::string &Name : Reader.texts("without", /*Required=*/false)) {
     if (const auto Mechanism = valueNamed(MechanismNames, Name))
-      Without.add(*Mechanism);
+      DisabledMechanisms.add(*Mechanism);
     else
       Reader.refuse("without", "no mechanism is called \"" + Name + "\"");
   }
-  return Without;
+  return DisabledMechanisms;
 }
 
 result<balancer_program_settings>
@@ -36,7 +36,7 @@
   Settings.Seeds = Reader.addresses("seeds", /*Required=*/false);
   Settings.FlowLife = seconds(Reader, "flow_life_seconds", 60);
   Settings.Grace = seconds(Reader, "grace_seconds", 6);
-  Settings.Without = readWithout(Reader);
+  Settings.DisabledMechanisms = readDisabledMechanisms(Reader);
   if (auto Finished = Reader.finish(); !Finished)
     return Finished.error();
   return Settings;
@@ -61,7 +61,7 @@
   for (const endpoint &Seed : Reader.addresses("seeds", /*Required=*/false))
     Settings.Balancers.push_back({Seed.Address, PeersPort});
   Settings.KeepFlows = Reader.flag("keep_flows", false);
-  Settings.Without = readWithout(Reader);
+  Settings.DisabledMechanisms = readDisabledMechanisms(Reader);
   if (auto Finished = Reader.finish(); !Finished)
     return Finished.error();
   return Settings;
--- a/daemons/forwarder/forwarder_settings.h
+++ b/daemons/forwarder/forwarder_settings.h
@@ -34,7 +34,7 @@
   duration FlowLife;
   /// From the signal to stop to the forced end.
   duration Grace;
-  mechanism_set Without;
+  mechanism_set DisabledMechanisms;
 };
 
 struct agent_program_settings {
@@ -58,7 +58,7 @@
   std::vector<endpoint> Balancers;
   /// Open flows are kept in the store for the case that the VM loses power.
   bool KeepFlows = false;
-  mechanism_set Without;
+  mechanism_set DisabledMechanisms;
 
   /// The name of the target's objects in the store.
   std::string entryName() const { return "target." + Name; }
--- a/daemons/forwarder/process_pages.cpp
+++ b/daemons/forwarder/process_pages.cpp
@@ -5,7 +5,7 @@
 status_page::hooks readyHooks(const site_adapter &Adapter,
                               std::function<bool()> Ready) {
   status_page::hooks Hooks;
-  Hooks.Serve = [Asks = Adapter.AsksWhetherReady, Ready = std::move(Ready)](
+  Hooks.Serve = [Asks = Adapter.IsReadinessRequest, Ready = std::move(Ready)](
                     const page_request &Request) -> std::optional<page_answer> {
     if (!Asks(Request))
       return std::nullopt;
@@ -14,8 +14,8 @@
   return Hooks;
 }
 
-void addInsight(status_page::hooks &Hooks, const event_log &Log,
-                std::function<std::string()> StatusJson) {
+void addStatusPages(status_page::hooks &Hooks, const event_log &Log,
+                    std::function<std::string()> StatusJson) {
   Hooks.Pages["/timeline"] = [&Log] { return Log.recent(); };
   Hooks.Pages["/status"] = std::move(StatusJson);
 }
--- a/daemons/forwarder/process_pages.h
+++ b/daemons/forwarder/process_pages.h
@@ -19,8 +19,8 @@
                               std::function<bool()> Ready);
 
 /// The pages /timeline and /status.
-void addInsight(status_page::hooks &Hooks, const event_log &Log,
-                std::function<std::string()> StatusJson);
+void addStatusPages(status_page::hooks &Hooks, const event_log &Log,
+                    std::function<std::string()> StatusJson);
 
 /// Calls to the store and the state of the log.
 void showProcess(metrics &Metrics, const platform_client &Store,
--- a/daemons/forwarder/request_log.cpp
+++ b/daemons/forwarder/request_log.cpp
@@ -4,7 +4,7 @@
 
 void request_log::seen(const flow_key &Flow, bytes_view Packet,
                        std::uint16_t Active) {
-  if (Waiting.size() >= MostWaiting)
+  if (Waiting.size() >= MaxWaiting)
     Waiting.erase(Waiting.begin());
   timeline_event Event;
   Event.What = event_kind::RequestSeen;
@@ -26,7 +26,7 @@
   timeline_event Event;
   Event.Request = lost(Flow);
   Event.What = event_kind::RequestAnswered;
-  if (Took > Usual * SlowFactor && Took > NeverSlow)
+  if (Took > Usual * SlowFactor && Took > SlowThreshold)
     Event.What = event_kind::RequestSlow;
   if (isFailure(Status))
     Event.What = event_kind::RequestFailed;
--- a/daemons/forwarder/request_log.h
+++ b/daemons/forwarder/request_log.h
@@ -41,12 +41,12 @@
 
 private:
   /// Requests that wait for their answer; far above what a target queues.
-  static constexpr std::size_t MostWaiting = 4096;
+  static constexpr std::size_t MaxWaiting = 4096;
   /// An answer that took so many times the usual is logged among the failures,
   /// which a flood of plain answers cannot push out,
   static constexpr int SlowFactor = 3;
   /// unless it was quick all the same.
-  static constexpr duration NeverSlow = std::chrono::milliseconds(100);
+  static constexpr duration SlowThreshold = std::chrono::milliseconds(100);
 
   event_log &Log;
   metrics &Metrics;
--- a/daemons/forwarder/settings_watch.h
+++ b/daemons/forwarder/settings_watch.h
@@ -23,14 +23,14 @@
   settings_watch(event_loop &Loop, std::string Path,
                  std::function<void()> OnChange)
       : Path(std::move(Path)), OnChange(std::move(OnChange)), Seen(stamp()) {
-    Loop.onReload([this] { look(/*Always=*/true); });
-    Loop.timers().every(Period, [this] { look(/*Always=*/false); });
+    Loop.onReload([this] { check(/*Always=*/true); });
+    Loop.timers().every(Period, [this] { check(/*Always=*/false); });
   }
   settings_watch(const settings_watch &) = delete;
   settings_watch &operator=(const settings_watch &) = delete;
 
 private:
-  void look(bool Always) {
+  void check(bool Always) {
     const auto Now = stamp();
     if (std::exchange(Seen, Now) != Now || Always)
       OnChange();
--- a/daemons/forwarder/site_adapter.h
+++ b/daemons/forwarder/site_adapter.h
@@ -33,7 +33,7 @@
   std::function<std::optional<target_call>(const page_request &)>
       DecodeTargetCall;
   /// Whether the request asks if this process may get traffic.
-  std::function<bool(const page_request &)> AsksWhetherReady;
+  std::function<bool(const page_request &)> IsReadinessRequest;
   /// The id of the request that a packet begins, or "".
   std::function<std::string(bytes_view Packet)> RequestIdOf;
   /// The status code of the answer that a packet begins, or 0.
@@ -41,23 +41,25 @@
 };
 
 /// What a process says at its start.
-inline std::string startReason(const mechanism_set &Without) {
+inline std::string startReason(const mechanism_set &DisabledMechanisms) {
   const std::string Reason = "settings are in force";
-  return Without.empty() ? Reason : Reason + "; without " + toText(Without);
+  return DisabledMechanisms.empty()
+             ? Reason
+             : Reason + "; without " + toText(DisabledMechanisms);
 }
 
 /// How a process called \p Name reaches the site's store.
-inline platform_client_settings storeSettings(const std::string &Name,
-                                              const endpoint &Store,
-                                              const site_adapter &Adapter,
-                                              const mechanism_set &Without) {
+inline platform_client_settings
+storeSettings(const std::string &Name, const endpoint &Store,
+              const site_adapter &Adapter,
+              const mechanism_set &DisabledMechanisms) {
   /// The store answers in milliseconds, 100 times slower on a bad day.
   constexpr duration Timeout = std::chrono::milliseconds(1500);
   /// After a loss of all processes while the store is silent, callers wait this
   /// much less for the first one that serves them.
   constexpr duration FirstTimeout = std::chrono::milliseconds(500);
   platform_client_settings Client;
-  if (!Without.has(mechanism::EarlyStoreRetry))
+  if (!DisabledMechanisms.has(mechanism::EarlyStoreRetry))
     Client.FirstTimeout = FirstTimeout;
   Client.Servers = {Store};
   Client.Writer = Name;
--- a/daemons/forwarder/store_calls.cpp
+++ b/daemons/forwarder/store_calls.cpp
@@ -10,7 +10,7 @@
 
 store_calls::store_calls(event_loop &Loop, event_log &Log, metrics &Metrics)
     : Log(Log), Metrics(Metrics) {
-  Loop.timers().every(Period, [this] { tell(); });
+  Loop.timers().every(Period, [this] { logCounts(); });
 }
 
 void store_calls::take(const platform_call_end &End) {
@@ -18,7 +18,7 @@
   ++Counts[Purpose];
   ++Metrics.counter("marjoramrail_store_calls_total",
                     "purpose=\"" + Purpose + "\"");
-  IsTold = false;
+  IsLogged = false;
 }
 
 std::string store_calls::text() const {
@@ -31,8 +31,8 @@
   return Text;
 }
 
-void store_calls::tell() {
-  if (!std::exchange(IsTold, true))
+void store_calls::logCounts() {
+  if (!std::exchange(IsLogged, true))
     Log.record(event_kind::StoreCalls, text());
 }
 
--- a/daemons/forwarder/store_calls.h
+++ b/daemons/forwarder/store_calls.h
@@ -37,12 +37,12 @@
   std::string text() const;
 
 private:
-  void tell();
+  void logCounts();
 
   event_log &Log;
   metrics &Metrics;
   std::map<std::string, std::uint64_t> Counts;
-  bool IsTold = true;
+  bool IsLogged = true;
 };
 
 /// \p Settings of a client whose calls \p Calls counts.
--- a/daemons/forwarder/target_admission.h
+++ b/daemons/forwarder/target_admission.h
@@ -28,11 +28,11 @@
   }
 
   /// The entry was taken out of the store: what follows is as for a new target.
-  void onUnlisted() { KnownSince.reset(); }
+  void onUnregistered() { KnownSince.reset(); }
 
   /// A balancer has known the entry for SettleTime: so has everyone, although
   /// the store cannot be asked now.
-  void onListed(instant Now) {
+  void onRegistered(instant Now) {
     if (!KnownSince)
       KnownSince = Now - SettleTime;
   }
--- a/daemons/marjoramctl/apply.cpp
+++ b/daemons/marjoramctl/apply.cpp
@@ -1,4 +1,4 @@
-#include "certain_change.h"
+#include "confirmed_change.h"
 #include "object_files.h"
 
 #include <map>
@@ -44,8 +44,8 @@
   Context.Platform.List(Name, [Self = shared_from_this(), Kind,
                                Name](const platform_reply &Reply) {
     if (Reply.Outcome != platform_outcome::Ok)
-      return Self->Done(
-          tellReply(Self->Context, step::ReadPlatform, {Name, "*"}, Reply));
+      return Self->Done(printReplyFailure(Self->Context, step::ReadPlatform,
+                                          {Name, "*"}, Reply));
     Self->ByKind[Name] = Reply.Objects;
     for (const platform_object &Object : Reply.Objects)
       Self->Standing[Object.Key] = Object;
@@ -75,7 +75,7 @@
     ++Next;
     return writeNext();
   }
-  writeCertainly(Context, Key, Objects[Next].Spec, Expected,
+  writeConfirmed(Context, Key, Objects[Next].Spec, Expected,
                  [Self = shared_from_this()](const platform_reply &Reply) {
                    Self->onWritten(Reply);
                  });
@@ -84,7 +84,8 @@
 void apply_run::onWritten(const platform_reply &Reply) {
   const object_key Key = keyOf(Objects[Next]);
   if (Reply.Outcome != platform_outcome::Ok) {
-    const exit_code Code = tellReply(Context, step::WritePlatform, Key, Reply);
+    const exit_code Code =
+        printReplyFailure(Context, step::WritePlatform, Key, Reply);
     tellRest();
     return Done(Code);
   }
--- a/daemons/marjoramctl/certain_change.cpp
+++ b/daemons/marjoramctl/confirmed_change.cpp
@@ -1,4 +1,4 @@
-#include "certain_change.h"
+#include "confirmed_change.h"
 
 namespace marjoramrail::ctl {
 
@@ -123,7 +123,7 @@
   Done(Reply);
 }
 
-void writeCertainly(ctl_context &Context, const object_key &Key,
+void writeConfirmed(ctl_context &Context, const object_key &Key,
                     const std::string &Body, std::uint64_t Expected,
                     change_callback Done) {
   platform_write Write;
@@ -137,7 +137,7 @@
       ->start();
 }
 
-void removeCertainly(ctl_context &Context, const object_key &Key,
+void removeConfirmed(ctl_context &Context, const object_key &Key,
                      std::uint64_t Expected, change_callback Done) {
   platform_write Write;
   Write.Object.Key = Key;
--- a/daemons/marjoramctl/certain_change.h
+++ b/daemons/marjoramctl/confirmed_change.h
@@ -1,4 +1,5 @@
-//===- certain_change.h - Changes whose outcome gets known ------*- C++ -*-===//
+//===- confirmed_change.h - Changes whose outcome gets known ------*- C++
+//-*-===//
 ///
 /// \file
 /// The answer to a write can be lost although the write took effect. Told
@@ -10,8 +11,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef MARJORAMRAIL_DAEMONS_MARJORAMCTL_CERTAIN_CHANGE_H
-#define MARJORAMRAIL_DAEMONS_MARJORAMCTL_CERTAIN_CHANGE_H
+#ifndef MARJORAMRAIL_DAEMONS_MARJORAMCTL_CONFIRMED_CHANGE_H
+#define MARJORAMRAIL_DAEMONS_MARJORAMCTL_CONFIRMED_CHANGE_H
 
 #include "verb.h"
 
@@ -21,14 +22,14 @@
 using change_callback = std::function<void(const platform_reply &)>;
 
 /// Writes \p Body if version \p Expected stands.
-void writeCertainly(ctl_context &Context, const object_key &Key,
+void writeConfirmed(ctl_context &Context, const object_key &Key,
                     const std::string &Body, std::uint64_t Expected,
                     change_callback Done);
 
 /// Deletes if version \p Expected stands.
-void removeCertainly(ctl_context &Context, const object_key &Key,
+void removeConfirmed(ctl_context &Context, const object_key &Key,
                      std::uint64_t Expected, change_callback Done);
 
 } // namespace marjoramrail::ctl
 
-#endif // MARJORAMRAIL_DAEMONS_MARJORAMCTL_CERTAIN_CHANGE_H
+#endif // MARJORAMRAIL_DAEMONS_MARJORAMCTL_CONFIRMED_CHANGE_H
--- a/daemons/marjoramctl/delete.cpp
+++ b/daemons/marjoramctl/delete.cpp
@@ -1,15 +1,16 @@
-#include "certain_change.h"
+#include "confirmed_change.h"
 
 namespace marjoramrail::ctl {
 
 static void remove(ctl_context &Context, const object_key &Key,
                    std::uint64_t Version, const finish &Done) {
-  removeCertainly(Context, Key, Version,
-                  [&Context, Key, Done](const platform_reply &Reply) {
-                    if (Reply.Outcome == platform_outcome::Ok)
-                      Context.Out(toText(Key) + " deleted");
-                    Done(tellReply(Context, step::WritePlatform, Key, Reply));
-                  });
+  removeConfirmed(
+      Context, Key, Version,
+      [&Context, Key, Done](const platform_reply &Reply) {
+        if (Reply.Outcome == platform_outcome::Ok)
+          Context.Out(toText(Key) + " deleted");
+        Done(printReplyFailure(Context, step::WritePlatform, Key, Reply));
+      });
 }
 
 void runDelete(ctl_context &Context, const ctl_options &Options,
@@ -22,18 +23,18 @@
   // Statuses are the system's; without one an operator would be blind until
   // it is written again.
   if (!valueNamed(ResourceKindNames, Key.Kind)) {
-    tell(Context, {step::ValidateObject, toText(Key),
-                   "expected the kind service, zone or drain"});
+    printFailure(Context, {step::ValidateObject, toText(Key),
+                           "expected the kind service, zone or drain"});
     return Done(exit_code::Refused);
   }
   if (Options.IfVersion)
     return remove(Context, Key, *Options.IfVersion, Done);
-  Context.Platform.Read(
-      Key, [&Context, Key, Done](const platform_reply &Reply) {
-        if (Reply.Outcome != platform_outcome::Ok)
-          return Done(tellReply(Context, step::ReadPlatform, Key, Reply));
-        remove(Context, Key, Reply.Object.Version, Done);
-      });
+  Context.Platform.Read(Key, [&Context, Key,
+                              Done](const platform_reply &Reply) {
+    if (Reply.Outcome != platform_outcome::Ok)
+      return Done(printReplyFailure(Context, step::ReadPlatform, Key, Reply));
+    remove(Context, Key, Reply.Object.Version, Done);
+  });
 }
 
 } // namespace marjoramrail::ctl
--- a/daemons/marjoramctl/drain.cpp
+++ b/daemons/marjoramctl/drain.cpp
@@ -1,4 +1,4 @@
-#include "certain_change.h"
+#include "confirmed_change.h"
 
 namespace marjoramrail::ctl {
 
@@ -49,13 +49,13 @@
     return poll();
   }
   if (Reply.Outcome != platform_outcome::NotFound)
-    return Done(tellReply(Context, step::ReadPlatform, Key, Reply));
-  writeCertainly(Context, Key, toJson(Spec), 0,
+    return Done(printReplyFailure(Context, step::ReadPlatform, Key, Reply));
+  writeConfirmed(Context, Key, toJson(Spec), 0,
                  [Self = shared_from_this()](const platform_reply &Written) {
                    if (Written.Outcome != platform_outcome::Ok)
-                     return Self->Done(tellReply(Self->Context,
-                                                 step::WritePlatform, Self->Key,
-                                                 Written));
+                     return Self->Done(printReplyFailure(Self->Context,
+                                                         step::WritePlatform,
+                                                         Self->Key, Written));
                    Self->Context.Out(toText(Self->Key) + " written, version " +
                                      std::to_string(Written.Object.Version));
                    Self->poll();
@@ -80,8 +80,8 @@
   }
   if (Reply.Outcome != platform_outcome::Ok) {
     const exit_code Code =
-        tellReply(Context, step::ReadPlatform,
-                  {std::string(DrainStatusKind), Spec.Host}, Reply);
+        printReplyFailure(Context, step::ReadPlatform,
+                          {std::string(DrainStatusKind), Spec.Host}, Reply);
     return Wait ? again() : Done(Code);
   }
   const auto Failure = failureOf([&]() -> result<void> {
@@ -90,7 +90,7 @@
     return {};
   });
   if (Failure) {
-    tell(Context, *Failure);
+    printFailure(Context, *Failure);
     return Done(exit_code::Refused);
   }
   show(Status);
@@ -112,8 +112,9 @@
   if (!Wait)
     return Done(exit_code::Ok);
   if (End && Context.Timers.now() >= *End) {
-    tell(Context, {step::ReadPlatform, Spec.Host,
-                   "not safe to stop within the time given; the drain stands"});
+    printFailure(Context,
+                 {step::ReadPlatform, Spec.Host,
+                  "not safe to stop within the time given; the drain stands"});
     return Done(exit_code::Refused);
   }
   Context.Timers.after(PollPeriod,
@@ -131,7 +132,7 @@
   const auto Failure = failureOf(
       [&] { return checkObject(resource_kind::Drain, toJson(Spec), Host); });
   if (Failure) {
-    tell(Context, *Failure);
+    printFailure(Context, *Failure);
     return Done(exit_code::Refused);
   }
   if (Options.Undo) {
--- a/daemons/marjoramctl/flow_story.cpp
+++ b/daemons/marjoramctl/flow_trace.cpp
@@ -1,4 +1,4 @@
-#include "flow_story.h"
+#include "flow_trace.h"
 #include "printing.h"
 
 #include <algorithm>
@@ -40,7 +40,7 @@
 
 /// Events of a process itself, or of the target beside it, that explain what
 /// became of its flows.
-static bool tellsOfProcess(event_kind What) {
+static bool isProcessEvent(event_kind What) {
   switch (What) {
   case event_kind::ProcessStarted:
   case event_kind::ProcessStopping:
@@ -62,7 +62,7 @@
 /// What happened to a flow's processes this long before its first event and
 /// after its last one belongs to its story: a restart is told seconds after the
 /// flow has fallen silent.
-static constexpr std::int64_t AroundMs = 4000;
+static constexpr std::int64_t ContextMs = 4000;
 
 /// Events that change where flows of a service go.
 static bool changesRouting(event_kind What) {
@@ -91,8 +91,8 @@
 struct flow_summary {
   std::string Service;
   std::string Owner;
-  std::string Way;
-  int HandedOn = 0;
+  std::string RoutingReason;
+  int PassedOn = 0;
   int Relayed = 0;
   int Refused = 0;
   int Unknown = 0;
@@ -110,13 +110,13 @@
   const std::string Why = Event.Why.empty() ? "" : " (" + Event.Why + ")";
   switch (Event.What) {
   case event_kind::FlowRouted:
-    Way = Event.Why;
+    RoutingReason = Event.Why;
     break;
   case event_kind::FlowAccepted:
     Owner = Event.Host.empty() ? Event.Process : Event.Host;
     break;
   case event_kind::FlowHandedOn:
-    ++HandedOn;
+    ++PassedOn;
     break;
   case event_kind::RequestRelayed:
     ++Relayed;
@@ -157,8 +157,8 @@
 std::string flow_summary::text(const std::string &Flow) const {
   return "flow " + Flow + " of " + Service + ": " +
          (Owner.empty() ? "no owner recorded" : "owner " + Owner) +
-         (Way.empty() ? "" : ", routed " + Way) + ", handed on " +
-         std::to_string(HandedOn) + " times, requests " +
+         (RoutingReason.empty() ? "" : ", routed " + RoutingReason) +
+         ", handed on " + std::to_string(PassedOn) + " times, requests " +
          std::to_string(Relayed) + " relayed, " + std::to_string(Refused) +
          " refused, " + std::to_string(Unknown) + " unknown; end: " + End;
 }
@@ -192,17 +192,17 @@
   for (auto It = First; It != End; ++It)
     if (IsOwn(*It))
       Processes.insert(It->Process);
-  const std::int64_t From = First->WallMs - AroundMs;
-  const std::int64_t To = std::prev(End)->WallMs + AroundMs;
+  const std::int64_t From = First->WallMs - ContextMs;
+  const std::int64_t To = std::prev(End)->WallMs + ContextMs;
   for (auto It = Events.begin(); It != Events.end(); ++It) {
     const bool IsWithin = It >= First && It < End;
-    const bool IsAround = It->WallMs >= From && It->WallMs <= To;
+    const bool IsInContext = It->WallMs >= From && It->WallMs <= To;
     if (IsOwn(*It))
       Lines.push_back("  flow    " + toText(*It));
     else if (IsWithin && Routes(*It))
       Lines.push_back("  change  " + toText(*It));
-    else if (IsAround && Processes.contains(It->Process) &&
-             tellsOfProcess(It->What))
+    else if (IsInContext && Processes.contains(It->Process) &&
+             isProcessEvent(It->What))
       Lines.push_back("  process " + toText(*It));
   }
   return Lines;
--- a/daemons/marjoramctl/flow_story.h
+++ b/daemons/marjoramctl/flow_trace.h
@@ -1,4 +1,4 @@
-//===- flow_story.h - Which events matter, and why a flow went --*- C++ -*-===//
+//===- flow_trace.h - Which events matter, and why a flow went --*- C++ -*-===//
 ///
 /// \file
 /// Filters merged events and tells one flow's life: who routed it, when, why.
@@ -6,8 +6,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef MARJORAMRAIL_DAEMONS_MARJORAMCTL_FLOW_STORY_H
-#define MARJORAMRAIL_DAEMONS_MARJORAMCTL_FLOW_STORY_H
+#ifndef MARJORAMRAIL_DAEMONS_MARJORAMCTL_FLOW_TRACE_H
+#define MARJORAMRAIL_DAEMONS_MARJORAMCTL_FLOW_TRACE_H
 
 #include "marjoramrail/timeline.h"
 
@@ -39,4 +39,4 @@
 
 } // namespace marjoramrail::ctl
 
-#endif // MARJORAMRAIL_DAEMONS_MARJORAMCTL_FLOW_STORY_H
+#endif // MARJORAMRAIL_DAEMONS_MARJORAMCTL_FLOW_TRACE_H
--- a/daemons/marjoramctl/object_files.cpp
+++ b/daemons/marjoramctl/object_files.cpp
@@ -30,8 +30,8 @@
   for (const resource_object &Object : Objects) {
     if (Seen.insert(keyOf(Object)).second)
       continue;
-    tell(Context, {step::ValidateObject, toText(keyOf(Object)),
-                   "stands in more than one file"});
+    printFailure(Context, {step::ValidateObject, toText(keyOf(Object)),
+                           "stands in more than one file"});
     Repeats = true;
   }
   return Repeats;
@@ -49,7 +49,7 @@
       return {};
     });
     if (Failure)
-      tell(Context, *Failure);
+      printFailure(Context, *Failure);
     Faulty |= Failure.has_value();
   }
   if (tellRepeats(Context, All) || Faulty)
@@ -118,7 +118,7 @@
     const auto Failure =
         failureOf([&] { return checkService(Object, Standing); });
     if (Failure)
-      tell(Context, *Failure);
+      printFailure(Context, *Failure);
     Right &= !Failure;
   }
   return Right;
--- a/daemons/marjoramctl/read_verbs.cpp
+++ b/daemons/marjoramctl/read_verbs.cpp
@@ -13,7 +13,7 @@
       Key, [&Context, Key, Done](const platform_reply &Reply) {
         if (Reply.Outcome == platform_outcome::Ok)
           Context.Out(toPage(Reply.Object));
-        Done(tellReply(Context, step::ReadPlatform, Key, Reply));
+        Done(printReplyFailure(Context, step::ReadPlatform, Key, Reply));
       });
 }
 
@@ -24,18 +24,19 @@
     return Done(exit_code::Usage);
   }
   const std::string Kind = Options.Arguments[0];
-  Context.Platform.List(Kind, [&Context, Kind,
-                               Done](const platform_reply &Reply) {
-    if (Reply.Outcome != platform_outcome::Ok)
-      return Done(tellReply(Context, step::ReadPlatform, {Kind, "*"}, Reply));
-    text_table Table({"NAME", "VERSION", "WRITER"});
-    for (const platform_object &Object : Reply.Objects)
-      Table.add(
-          {Object.Key.Name, std::to_string(Object.Version), Object.Writer});
-    for (const std::string &Line : Table.lines())
-      Context.Out(Line);
-    Done(exit_code::Ok);
-  });
+  Context.Platform.List(
+      Kind, [&Context, Kind, Done](const platform_reply &Reply) {
+        if (Reply.Outcome != platform_outcome::Ok)
+          return Done(printReplyFailure(Context, step::ReadPlatform,
+                                        {Kind, "*"}, Reply));
+        text_table Table({"NAME", "VERSION", "WRITER"});
+        for (const platform_object &Object : Reply.Objects)
+          Table.add(
+              {Object.Key.Name, std::to_string(Object.Version), Object.Writer});
+        for (const std::string &Line : Table.lines())
+          Context.Out(Line);
+        Done(exit_code::Ok);
+      });
 }
 
 } // namespace marjoramrail::ctl
--- a/daemons/marjoramctl/status.cpp
+++ b/daemons/marjoramctl/status.cpp
@@ -39,8 +39,8 @@
   Context.Platform.List(Kinds[Kind], [Self = shared_from_this(),
                                       Kind](const platform_reply &Reply) {
     if (Reply.Outcome != platform_outcome::Ok)
-      return Self->Done(tellReply(Self->Context, step::ReadPlatform,
-                                  {Kinds[Kind], "*"}, Reply));
+      return Self->Done(printReplyFailure(Self->Context, step::ReadPlatform,
+                                          {Kinds[Kind], "*"}, Reply));
     for (const platform_object &Object : Reply.Objects)
       Self->Objects[Kinds[Kind]][Object.Key.Name] = Object;
     Self->list(Kind + 1);
@@ -87,7 +87,7 @@
     return {};
   });
   if (Failure)
-    tell(Context, *Failure);
+    printFailure(Context, *Failure);
   return Row;
 }
 
@@ -123,7 +123,7 @@
       return {};
     });
     if (Failure)
-      tell(Context, *Failure);
+      printFailure(Context, *Failure);
   }
   Context.Out("");
   for (const std::string &Line : Table.lines())
@@ -132,8 +132,8 @@
 
 void status_run::print() {
   if (!Only.empty() && Objects["service"].count(Only) == 0) {
-    tell(Context,
-         {step::ReadPlatform, "service/" + Only, "there is no such service"});
+    printFailure(Context, {step::ReadPlatform, "service/" + Only,
+                           "there is no such service"});
     return Done(exit_code::Refused);
   }
   printServices();
--- a/daemons/marjoramctl/timeline_verb.cpp
+++ b/daemons/marjoramctl/timeline_verb.cpp
@@ -1,4 +1,4 @@
-#include "flow_story.h"
+#include "flow_trace.h"
 #include "verb.h"
 
 namespace marjoramrail::ctl {
@@ -43,7 +43,7 @@
     });
     if (!Failure)
       continue;
-    tell(Context, *Failure);
+    printFailure(Context, *Failure);
     return false;
   }
   return true;
@@ -72,9 +72,9 @@
       FirstReason = Failure->Reason;
   }
   if (Unreadable > 0)
-    tell(Context, {step::DecodeMessage, Source,
-                   std::to_string(Unreadable) +
-                       " lines left out, first: " + FirstReason});
+    printFailure(Context, {step::DecodeMessage, Source,
+                           std::to_string(Unreadable) +
+                               " lines left out, first: " + FirstReason});
 }
 
 void timeline_run::fetch(std::size_t Process) {
@@ -89,7 +89,7 @@
                         Self->addLines(marjoramrail::toText(Address), *Body);
                       else {
                         // The others still tell their part.
-                        tell(Self->Context, Failure);
+                        printFailure(Self->Context, Failure);
                         Self->Code = exit_code::Unavailable;
                       }
                       Self->fetch(Process + 1);
@@ -101,8 +101,8 @@
   if (!Options.Request.empty()) {
     const auto Flow = flowOfRequest(Events, Options.Request);
     if (!Flow) {
-      tell(Context, {step::DecodeMessage, Options.Request,
-                     "no event names this request"});
+      printFailure(Context, {step::DecodeMessage, Options.Request,
+                             "no event names this request"});
       return Done(Code == exit_code::Ok ? exit_code::Refused : Code);
     }
     Options.Explain = *Flow;
@@ -112,8 +112,8 @@
     for (const std::string &Line : Lines)
       Context.Out(Line);
     if (Lines.empty()) {
-      tell(Context,
-           {step::DecodeMessage, Options.Explain, "no event names this flow"});
+      printFailure(Context, {step::DecodeMessage, Options.Explain,
+                             "no event names this flow"});
       return Done(Code == exit_code::Ok ? exit_code::Refused : Code);
     }
     return Done(Code);
--- a/daemons/marjoramctl/verb.cpp
+++ b/daemons/marjoramctl/verb.cpp
@@ -4,7 +4,7 @@
 
 std::string toText(const object_key &Key) { return Key.Kind + "/" + Key.Name; }
 
-void tell(ctl_context &Context, const failure &Failure) {
+void printFailure(ctl_context &Context, const failure &Failure) {
   Context.Err("marjoramctl: " + marjoramrail::toText(Failure));
 }
 
@@ -36,11 +36,12 @@
   return Reason;
 }
 
-exit_code tellReply(ctl_context &Context, step Step, const object_key &Key,
-                    const platform_reply &Reply) {
+exit_code printReplyFailure(ctl_context &Context, step Step,
+                            const object_key &Key,
+                            const platform_reply &Reply) {
   const exit_code Code = codeOf(Reply.Outcome);
   if (Code != exit_code::Ok)
-    tell(Context, {Step, toText(Key), reasonOf(Reply)});
+    printFailure(Context, {Step, toText(Key), reasonOf(Reply)});
   return Code;
 }
 
--- a/daemons/marjoramctl/verb.h
+++ b/daemons/marjoramctl/verb.h
@@ -94,11 +94,11 @@
 std::string toText(const object_key &Key);
 
 /// Writes the line "marjoramctl: STEP PEER: REASON".
-void tell(ctl_context &Context, const failure &Failure);
+void printFailure(ctl_context &Context, const failure &Failure);
 
 /// The exit code for a reply that is not Ok, told in one line.
-exit_code tellReply(ctl_context &Context, step Step, const object_key &Key,
-                    const platform_reply &Reply);
+exit_code printReplyFailure(ctl_context &Context, step Step,
+                            const object_key &Key, const platform_reply &Reply);
 
 } // namespace marjoramrail::ctl
 
--- a/daemons/marjoramctl/watch.cpp
+++ b/daemons/marjoramctl/watch.cpp
@@ -60,8 +60,8 @@
 /// The platform no longer holds the changes asked for. The watch goes on from
 /// the present, and says so: what happened in between is not shown.
 void watch_run::skipToPresent(const platform_reply &Gone) {
-  tellReply(Context, step::WatchPlatform, {Kind.empty() ? "*" : Kind, "*"},
-            Gone);
+  printReplyFailure(Context, step::WatchPlatform,
+                    {Kind.empty() ? "*" : Kind, "*"}, Gone);
   Context.Platform.List(
       Kind, [Self = shared_from_this()](const platform_reply &Present) {
         if (Present.Outcome != platform_outcome::Ok)
@@ -76,8 +76,8 @@
     return skipToPresent(Reply);
   if (Reply.Outcome != platform_outcome::Ok) {
     // An outage does not end a watch; the line tells why nothing comes.
-    tellReply(Context, step::WatchPlatform, {Kind.empty() ? "*" : Kind, "*"},
-              Reply);
+    printReplyFailure(Context, step::WatchPlatform,
+                      {Kind.empty() ? "*" : Kind, "*"}, Reply);
     const duration Pause =
         std::max<duration>(Reply.RetryAfter, std::chrono::milliseconds(200));
     Context.Timers.after(Pause, [Self = shared_from_this()] { Self->next(); });
--- a/test/daemons/turn_log_test.cpp
+++ b/test/daemons/callback_log_test.cpp
@@ -1,4 +1,4 @@
-#include "turn_log.h"
+#include "callback_log.h"
 
 #include <doctest/doctest.h>
 
@@ -8,13 +8,13 @@
 
 namespace {
 
-struct turn_fixture {
+struct callback_fixture {
   event_loop Loop;
   event_log Log{Loop, "balancer-1"};
   metrics Metrics;
-  turn_log Turns{Log, Metrics};
+  callback_log Turns{Log, Metrics};
 
-  bool tells(const std::string &Text) const {
+  bool logged(const std::string &Text) const {
     return Log.recent().find(Text) != std::string::npos;
   }
 };
@@ -33,16 +33,17 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(turn_fixture, "a turn that holds packets up gets a line") {
+TEST_CASE_FIXTURE(callback_fixture,
+                  "a turn that holds packets up gets a line") {
   Turns.take(
       {turn_kind::DecodeRoutes, 4200, milliseconds(300), milliseconds(12)});
 
-  CHECK(tells("\"long-turn\""));
-  CHECK(tells("decode_routes of 4200, processor 12000 us"));
-  CHECK(tells("\"took_ms\":300"));
+  CHECK(logged("\"long-turn\""));
+  CHECK(logged("decode_routes of 4200, processor 12000 us"));
+  CHECK(logged("\"took_ms\":300"));
 }
 
-TEST_CASE_FIXTURE(turn_fixture, "a short turn is only counted") {
+TEST_CASE_FIXTURE(callback_fixture, "a short turn is only counted") {
   Turns.take({turn_kind::CallerPackets, 3, milliseconds(1), {}});
 
   CHECK(Log.recent().empty());
@@ -51,18 +52,19 @@
       std::string::npos);
 }
 
-TEST_CASE_FIXTURE(turn_fixture, "a transfer that was given up gets a line") {
+TEST_CASE_FIXTURE(callback_fixture,
+                  "a transfer that was given up gets a line") {
   // A large answer comes in part and is asked for anew, again and again.
   // Without a line a balancer that never gets the newest configuration looks
   // well.
   Turns.take(callOf(966580, milliseconds(2400), platform_outcome::Unavailable));
 
-  CHECK(tells("\"call-ended\""));
-  CHECK(tells("watch config : unavailable"));
-  CHECK(tells("966580"));
+  CHECK(logged("\"call-ended\""));
+  CHECK(logged("watch config : unavailable"));
+  CHECK(logged("966580"));
 }
 
-TEST_CASE_FIXTURE(turn_fixture, "a usual call gets no line") {
+TEST_CASE_FIXTURE(callback_fixture, "a usual call gets no line") {
   Turns.take(callOf(300, milliseconds(4), platform_outcome::Ok));
 
   CHECK(Log.recent().empty());
--- a/test/daemons/marjoramctl/apply_test.cpp
+++ b/test/daemons/marjoramctl/apply_test.cpp
@@ -52,10 +52,10 @@
   CHECK(Test.run(runApply, {"site.json"}) == exit_code::Refused);
 
   CHECK(Test.Store.version() == 0);
-  CHECK(
-      Test.told("validate-object site.json: service/archive: field "
-                "slots_per_target: 0 is not a whole number from 1 to 100000"));
-  CHECK(Test.told("nothing was applied"));
+  CHECK(Test.printedError(
+      "validate-object site.json: service/archive: field "
+      "slots_per_target: 0 is not a whole number from 1 to 100000"));
+  CHECK(Test.printedError("nothing was applied"));
 }
 
 TEST_CASE("apply checks objects against those that stand") {
@@ -68,9 +68,10 @@
                                   "nowhere");
 
   CHECK(Test.run(runApply, {"more.json"}) == exit_code::Refused);
-  CHECK(Test.told("service/ledger-2: field number: is that of service ledger"));
+  CHECK(Test.printedError(
+      "service/ledger-2: field number: is that of service ledger"));
   CHECK(Test.run(runApply, {"zone.json"}) == exit_code::Refused);
-  CHECK(Test.told("there is no zone nowhere"));
+  CHECK(Test.printedError("there is no zone nowhere"));
   CHECK(Test.Store.version() == 3);
 }
 
@@ -88,8 +89,8 @@
   CHECK(Test.run(runApply, {"mine.json"}) == exit_code::Conflict);
 
   CHECK(Test.body("service", "ledger") == R"({"theirs":1})");
-  CHECK(Test.told("write-platform service/ledger: conflict"));
-  CHECK(Test.told(R"({"theirs":1})"));
+  CHECK(Test.printedError("write-platform service/ledger: conflict"));
+  CHECK(Test.printedError(R"({"theirs":1})"));
 }
 
 TEST_CASE("apply with --if-version refuses a version that has gone") {
@@ -116,7 +117,7 @@
   CHECK(Test.run(runApply, {"zone.json"}) == exit_code::Ok);
 
   CHECK(Test.printed("zone/brugge applied, version 1"));
-  CHECK(Test.told("the answer was lost; reading back"));
+  CHECK(Test.printedError("the answer was lost; reading back"));
   CHECK(Test.Changes == 1);
 }
 
@@ -139,7 +140,7 @@
   Test.BeforeChange = [&] { Test.Down = true; };
 
   CHECK(Test.run(runApply, {"zone.json"}) == exit_code::Unknown);
-  CHECK(Test.told("write-platform zone/brugge: unknown"));
+  CHECK(Test.printedError("write-platform zone/brugge: unknown"));
 }
 
 TEST_CASE("apply tells which objects stand when a later write fails") {
@@ -151,8 +152,9 @@
 
   CHECK(Test.run(runApply, {"site.json"}) == exit_code::Unavailable);
 
-  CHECK(Test.told("1 of 3 objects stand as in the files; left: service/ledger "
-                  "service/archive"));
+  CHECK(Test.printedError(
+      "1 of 3 objects stand as in the files; left: service/ledger "
+      "service/archive"));
 }
 
 TEST_CASE("apply refuses an object that stands in two files") {
@@ -175,5 +177,5 @@
   CHECK(Test.run(runValidate, {"site.json"}) == exit_code::Ok);
   CHECK(Test.printed("3 objects are right"));
   CHECK(Test.run(runValidate, {"bad.json"}) == exit_code::Refused);
-  CHECK(Test.told("bad.json: line 2"));
+  CHECK(Test.printedError("bad.json: line 2"));
 }
--- a/test/daemons/marjoramctl/fake_site.h
+++ b/test/daemons/marjoramctl/fake_site.h
@@ -62,7 +62,7 @@
   bool printed(const std::string &Part) const {
     return Output.find(Part) != std::string::npos;
   }
-  bool told(const std::string &Part) const {
+  bool printedError(const std::string &Part) const {
     return Errors.find(Part) != std::string::npos;
   }
 
--- a/test/daemons/marjoramctl/read_verbs_test.cpp
+++ b/test/daemons/marjoramctl/read_verbs_test.cpp
@@ -24,7 +24,7 @@
   fake_site Test;
 
   CHECK(Test.run(runGet, {"service", "ledger"}) == exit_code::Refused);
-  CHECK(Test.told("read-platform service/ledger: not found"));
+  CHECK(Test.printedError("read-platform service/ledger: not found"));
   CHECK(Test.run(runDelete, {"service", "ledger"}) == exit_code::Refused);
   CHECK(Test.run(runDelete, {"service-status", "x"}) == exit_code::Refused);
 }
@@ -35,7 +35,7 @@
 
   CHECK(Test.run(runList, {"service"}) == exit_code::Unavailable);
   CHECK(Test.run(runStatus) == exit_code::Unavailable);
-  CHECK(Test.told("the platform is down"));
+  CHECK(Test.printedError("the platform is down"));
 }
 
 TEST_CASE("list prints a table") {
@@ -76,7 +76,7 @@
   CHECK(Test.printed(R"("version":2)"));
   CHECK(Test.printed(R"("version":3)"));
   CHECK(!Test.printed("brugge\",\"spec"));
-  CHECK(Test.told("watch-platform service/*: unavailable"));
+  CHECK(Test.printedError("watch-platform service/*: unavailable"));
 }
 
 TEST_CASE("watch does not go back when the platform answers with old state") {
@@ -126,7 +126,7 @@
 
   CHECK(Test.run(runDrain, Options) == exit_code::Refused);
 
-  CHECK(Test.told("not safe to stop within the time given"));
+  CHECK(Test.printedError("not safe to stop within the time given"));
   CHECK(!Test.body("drain", "ledger-3").empty());
   Options.Undo = true;
   CHECK(Test.run(runDrain, Options) == exit_code::Ok);
@@ -182,7 +182,7 @@
 
   CHECK(Test.run(runWatch, Options) == exit_code::Ok);
 
-  CHECK(Test.told("history gone"));
+  CHECK(Test.printedError("history gone"));
   CHECK(Test.printed("late"));
   CHECK_FALSE(Test.printed("archive"));
 }
--- a/test/daemons/marjoramctl/timeline_test.cpp
+++ b/test/daemons/marjoramctl/timeline_test.cpp
@@ -2,7 +2,7 @@
 #include <numeric>
 
 #include "fake_site.h"
-#include "flow_story.h"
+#include "flow_trace.h"
 
 using namespace marjoramrail;
 using namespace marjoramrail::ctl;
@@ -52,7 +52,7 @@
   CHECK(Test.Output.find("version 7") < Test.Output.find("first choice"));
   CHECK(Test.Output.find("first choice") < Test.Output.find("second choice"));
   CHECK(Test.Output.find("second choice") < Test.Output.find("is silent"));
-  CHECK(Test.told("agent-1.log: 1 lines left out"));
+  CHECK(Test.printedError("agent-1.log: 1 lines left out"));
 }
 
 TEST_CASE("timeline filters by host, flow and service") {
@@ -94,7 +94,7 @@
   CHECK(Test.run(runTimeline, Options) == exit_code::Unavailable);
 
   CHECK(Test.printed("first choice"));
-  CHECK(Test.told("receive 127.0.0.1:9001: no answer"));
+  CHECK(Test.printedError("receive 127.0.0.1:9001: no answer"));
   Options.From = {};
   Options.Explain = "10.9.9.9:1>10.77.0.1:443";
   CHECK(Test.run(runTimeline, Options) == exit_code::Refused);
--- a/test/daemons/target_admission_test.cpp
+++ b/test/daemons/target_admission_test.cpp
@@ -49,7 +49,7 @@
 
 TEST_CASE_FIXTURE(admission_fixture,
                   "a balancer's word stands for the store's") {
-  Admission.onListed(Start);
+  Admission.onRegistered(Start);
   CHECK(admitsAfter(0s));
 }
 
@@ -57,7 +57,7 @@
                   "an entry that was taken out waits again") {
   // The VM was cut off for so long that it counted as dead.
   Admission.onStored(/*Existed=*/true, Start);
-  Admission.onUnlisted();
+  Admission.onUnregistered();
   CHECK_FALSE(admitsAfter(10s));
   Admission.onStored(/*Existed=*/false, Start + 10s);
   CHECK_FALSE(admitsAfter(10s));
