--- a/daemons/forwarder/agent_target.cpp
+++ b/daemons/forwarder/agent_target.cpp
@@ -1,5 +1,5 @@
-// What the agent's process hears from its own target, and how it looks whether
-// the target's process is there.
+// Handles the reports of the agent's own target and probes whether the target's
+// process is running.
 
 #include "forward_agent_process.h"
 
@@ -10,12 +10,12 @@
 
 namespace {
 
-/// A target that does not answer is looked at this often.
+/// Interval of the checks whether a target that has left has stopped.
 constexpr duration ProbePeriod = std::chrono::milliseconds(500);
-/// The longest time between two packets of a target whose flow is not over: the
-/// end of its back-off, and some room.
+/// The longest time between two packets of a target with an open flow: its
+/// maximum retransmission back-off and some margin.
 constexpr duration LongestRetransmission = std::chrono::milliseconds(1800);
-/// On the same VM a connection comes about, or is refused, within this time.
+/// On the same VM a connection is established or refused within this time.
 constexpr duration ProbeTimeout = std::chrono::milliseconds(300);
 
 } // namespace
@@ -38,8 +38,8 @@
   return std::nullopt;
 }
 
-/// The answer is the promise that a leaving target gets no new flows; it is
-/// true when it is given, because this agent alone gives them.
+/// The answer guarantees to a draining target that it gets no new flows. This
+/// holds when the answer is sent, because only this agent admits flows.
 page_answer forward_agent_process::onReport(const target_report &Report) {
   const instant Now = Loop.timers().now();
   const bool WasDraining = Reports.last().Draining;
@@ -79,12 +79,14 @@
   return {200, "{}"};
 }
 
-/// A target says that it leaves before its process has ended, and still holds
-/// flows. Without its entry a balancer would find that nobody can hold them and
-/// have them reset.
+/// A target reports that it leaves while its process still owns flows. If its
+/// entry were removed at once, a balancer would find no owner candidate for
+/// them and have them reset. So the entry stays until the target's process has
+/// stopped.
 ///
-/// A leaving target refuses connections before its flows have ended: as long as
-/// it sends their last packets again, a refusal proves nothing.
+/// A leaving target refuses connections before its flows have ended. As long as
+/// it retransmits their last packets, a refused connection does not prove that
+/// the process has stopped.
 void forward_agent_process::withdrawWhenStopped() {
   if (!Reports.hasLeft() || Stopping)
     return;
@@ -95,8 +97,8 @@
   Loop.timers().after(ProbePeriod, [this] { withdrawWhenStopped(); });
 }
 
-/// The entry is gone although the target is there. Its next flows wait until
-/// all know it again.
+/// The entry may be missing although the target is running. If so, new flows
+/// wait until all balancers and agents know the target again.
 void forward_agent_process::registerAgain() {
   if (Stopping || Reports.hasLeft() || !Registrar.settled())
     return;
@@ -130,9 +132,9 @@
     Loop.timers().after(*Settled - Now, [this] { updateAdmission("settled"); });
 }
 
-/// A target that does not answer is frozen, cut off or gone. Only the last
-/// means that its flows are lost; a refused connection is the proof, since on
-/// one VM nothing but a missing process refuses.
+/// A target that does not respond is frozen, unreachable or stopped. Its flows
+/// are lost only if it has stopped. A refused connection proves that: on the
+/// same VM a connection is refused only if no process listens.
 void forward_agent_process::probeTarget() {
   if (TargetProbe)
     return;
@@ -147,7 +149,7 @@
       Loop.timers().after(ProbeTimeout, [this] { TargetProbe.reset(); });
 }
 
-/// Not at once: the stream must not go from within its own hook.
+/// Deferred, because a stream must not be destroyed inside its own hook.
 void forward_agent_process::endProbe() {
   Loop.timers().cancel(ProbeTimer);
   ProbeTimer =
--- a/daemons/forwarder/callback_log.cpp
+++ b/daemons/forwarder/callback_log.cpp
@@ -2,9 +2,9 @@
 
 namespace marjoramrail::daemons {
 
-/// Callers' packets are late by as much.
+/// Callers' packets are delayed by the duration of a callback.
 static constexpr duration LongTurn = std::chrono::milliseconds(20);
-/// An answer later than this is out of the usual also on a slow store.
+/// An answer later than this is unusual even for a slow store.
 static constexpr duration SlowCall = std::chrono::milliseconds(500);
 static constexpr std::size_t LargeAnswerBytes = 64 * 1024;
 
--- a/daemons/forwarder/callback_log.h
+++ b/daemons/forwarder/callback_log.h
@@ -1,10 +1,11 @@
 //===- callback_log.h - Times of event-loop callbacks -----------*- C++ -*-===//
 ///
 /// \file
-/// Distributions of the loop's turns by kind of work, and a line for each turn
-/// that was long and each call that failed, was slow or brought much. Callers'
-/// packets wait while a turn lasts; without this a balancer that is out of
-/// processor time, or copies the same megabyte again and again, looks idle.
+/// Records the duration of event-loop callbacks by kind of work, and logs each
+/// long callback and each store call that failed, was slow or returned a large
+/// answer. Callers' packets wait while a callback runs. Without these records,
+/// a balancer that is short of processor time, or downloads the same megabyte
+/// repeatedly, looks idle.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,18 +24,20 @@
   void take(const turn_done &Turn);
   void take(const platform_call_end &End);
 
-  /// Hooks for the parts that do the work; they refer to this object.
+  /// Hooks for the parts that report callbacks and calls. They refer to this
+  /// object, which must outlive them.
   turn_hook onTurn();
   std::function<void(const platform_call_end &)> onCallEnd();
 
 private:
   event_log &Log;
   metrics &Metrics;
-  /// The names of the distributions, by kind of work.
+  /// Metric names, indexed by kind of work.
   std::array<std::string, TurnKindNames.size()> HistogramNames;
 };
 
-/// \p Settings of a client whose calls \p Log shows.
+/// Returns \p Settings with hooks that report the client's calls and callbacks
+/// to \p Log.
 platform_client_settings watched(platform_client_settings Settings,
                                  callback_log &Log);
 
--- a/daemons/forwarder/event_log.h
+++ b/daemons/forwarder/event_log.h
@@ -1,8 +1,9 @@
-//===- event_log.h - The decisions of one process, as lines -----*- C++ -*-===//
+//===- event_log.h - Event log of one process -------------------*- C++ -*-===//
 ///
 /// \file
-/// Joins the time line, its budget and standard output: what a process decided
-/// and believed, one JSON object a line, bounded and never waiting.
+/// Writes the events of a process to standard output, one JSON object a line.
+/// Combines the timeline, its event budget and a line writer, so the output is
+/// bounded in volume and never blocks the loop.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,18 +20,19 @@
 public:
   event_log(event_loop &Loop, const std::string &Process);
 
-  /// Whether an event of this kind is recorded now. One that is not counts as
-  /// left out, and costs nothing more.
+  /// Whether the budget allows an event of this kind now. If not, the event is
+  /// counted as dropped and the caller need not build it.
   bool wants(event_kind What);
-  /// Records an event that was asked for with wants().
+  /// Records an event for which wants() has returned true.
   void record(timeline_event Event);
   void record(event_kind What, std::string Why, std::string Host = "");
-  /// A decision about a flow of \p Service.
+  /// Records a decision about a flow of \p Service.
   void record(const flow_event &Event, const std::string &Service,
               const std::string &Request = "");
 
   std::uint64_t clock() const { return Events.clock(); }
-  /// Puts what is recorded from now on behind what another process recorded.
+  /// Advances the logical clock, so that later events are ordered after those
+  /// that another process recorded up to \p Clock.
   void observeClock(std::uint64_t Clock) { Events.observeClock(Clock); }
 
   std::string recent() const { return Events.recent(); }
@@ -40,7 +42,7 @@
   std::uint64_t leftOut() const { return LeftOut + Lines.leftOut(); }
 
 private:
-  /// Lines kept for the page /timeline.
+  /// Recent lines that the page /timeline shows.
   static constexpr std::size_t KeptLines = 256;
 
   event_loop &Loop;
--- a/daemons/forwarder/forward_agent_process.cpp
+++ b/daemons/forwarder/forward_agent_process.cpp
@@ -5,10 +5,10 @@
 
 namespace {
 
-/// For the last reports to leave before the process ends.
+/// Lets the final reports be sent before the process ends.
 constexpr duration FinalReportTime = std::chrono::milliseconds(20);
-/// For the store to drop the entry before the process ends; half of the usual
-/// grace period.
+/// Longest wait for the store to remove the entry before the process ends: half
+/// of the usual grace period.
 constexpr duration WithdrawTime = std::chrono::seconds(3);
 
 } // namespace
@@ -54,11 +54,12 @@
   Hooks.SendToPeer = [this](const endpoint &To, bytes_view Bytes) {
     Routed.send(To, Bytes);
   };
-  // Callers take answers at the port at which routed packets come in here.
+  // Callers receive answers on the port number of RoutedListen.
   Hooks.SendToCaller = [this](const endpoint &Caller, bytes_view Bytes) {
     Routed.send({Caller.Address, Settings.RoutedListen.Port}, Bytes);
   };
-  // A balancer without the store's news may name an entry that is gone.
+  // A balancer with outdated replicated state may report an entry that has been
+  // removed.
   Hooks.Registered = [this] {
     if (Registrar.knownMissing() ||
         this->Settings.DisabledMechanisms.has(mechanism::RegisteredNotices))
@@ -67,7 +68,7 @@
     updateAdmission("a balancer has known this target for long");
   };
   Hooks.RegistrationFound = [this] {
-    // An entry that this process has written may have been new to all.
+    // If this process wrote the entry, it may be too new for all to know it.
     if (Registrar.hasWritten() || Registrar.knownMissing() ||
         this->Settings.DisabledMechanisms.has(mechanism::FoundRegistrations))
       return;
@@ -92,7 +93,8 @@
   return Hooks;
 }
 
-/// A flow that is lost takes the request with it that waits on it.
+/// A reset flow also loses the request that waits for an answer on it; the
+/// event then names that request.
 void forward_agent_process::recordFlow(const flow_event &Event) {
   const std::string Request =
       Event.What == event_kind::FlowReset ? Requests.lost(Event.Flow) : "";
@@ -115,7 +117,7 @@
     if (Flows)
       Flows->start(/*HasPrevious=*/Existed);
   };
-  // What follows is as for a new target: its flows wait until all know it.
+  // As for a new target, new flows wait until all balancers and agents know it.
   Hooks.OnMissing = [this] {
     Admission.onUnregistered();
     updateAdmission("not in the store");
@@ -238,9 +240,9 @@
   Core.reportNow(Loop.timers().now());
   Routed.flush();
   Log.record(event_kind::ProcessStopping, "asked to stop");
-  // With a target that lives the agent will be back; the shorter it is away,
-  // the better. A VM that goes away ends its target first: then the flows are
-  // over, and nothing else takes the entry out of the store.
+  // If the target is running, the agent will be restarted, and a short
+  // interruption is best. If the VM is shut down, the target stops first: its
+  // flows have ended, and only this process removes the entry from the store.
   probeTarget();
   StopBy = Loop.timers().now() + WithdrawTime;
   Loop.timers().every(FinalReportTime, [this] { endWhenDone(); });
--- a/daemons/forwarder/forward_agent_process.h
+++ b/daemons/forwarder/forward_agent_process.h
@@ -1,8 +1,9 @@
 //===- forward_agent_process.h - An agent beside its target -----*- C++ -*-===//
 ///
 /// \file
-/// Joins the forwarding core to the loop, beside a target that ends its flows
-/// itself: hears the target, announces it, decides when it gets new flows.
+/// Connects the forwarding core to the event loop and to a target that
+/// terminates its flows itself. Receives the target's reports, registers the
+/// target in the store and decides when it gets new flows.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -26,12 +27,13 @@
                         const site_adapter &Adapter);
 
   result<void> open();
-  /// Nothing in an agent's settings can change while its target lives.
+  /// An agent's settings cannot change while its target is running.
   void reload() {
     Log.record(event_kind::SettingsReloaded, "nothing is taken over");
   }
-  /// Tells balancers to send no more and ends: the target's flows go on, and
-  /// the shorter the agent is away, the sooner they do.
+  /// Reports to the balancers that the target takes no new flows, then stops
+  /// the process. The target's flows survive and continue once an agent runs
+  /// again, so the process ends as soon as it can.
   void shutDown();
 
 private:
@@ -75,7 +77,7 @@
   target_reports Reports;
   target_admission Admission;
   target_registrar Registrar;
-  /// Empty if the settings keep no flows.
+  /// Null if flow checkpoints are off in the settings.
   std::unique_ptr<flow_reporter> Flows;
   status_page CallsPage;
   status_page ReadyPage;
@@ -85,7 +87,7 @@
   timer_id ProbeTimer{};
   instant LastFromTarget;
   bool Stopping = false;
-  /// The target has left, and its entry goes.
+  /// The target has stopped, and its entry is being removed from the store.
   bool Withdrawn = false;
   instant StopBy;
   std::uint64_t &Malformed;
--- a/daemons/forwarder/forward_balancer_process.cpp
+++ b/daemons/forwarder/forward_balancer_process.cpp
@@ -5,25 +5,27 @@
 
 namespace {
 
-/// The site takes a balancer out of rotation after two probes, half a second
-/// apart, that were not answered; until then it sends callers' packets.
+/// The site takes a balancer out of rotation after two failed readiness probes,
+/// half a second apart. Until then callers' packets still arrive.
 constexpr duration LeaveRotation = std::chrono::milliseconds(1600);
-/// No packet for so long: the rotation has moved on.
+/// If no packet arrives for this long, the balancer is out of rotation.
 constexpr duration QuietTime = std::chrono::milliseconds(400);
 constexpr duration QuietCheck = std::chrono::milliseconds(100);
-/// Kept back from the grace period for the process's own end.
+/// Part of the grace period that is reserved for ending the process.
 constexpr duration EndMargin = std::chrono::milliseconds(500);
-/// Peers are a few milliseconds away; a silent one must not hold up the next.
+/// Peers answer within a few milliseconds. One that does not respond must not
+/// delay the attempt with the next peer.
 constexpr duration PeerTimeout = std::chrono::seconds(1);
 
-/// Where balancers copy objects from each other. Not the path of the object
-/// API: an older program asks there and cannot read the short form of a
-/// configuration. It would take the copy for known and stay with its old routes
-/// while a fleet is updated, seen by `routes-refused`; so it finds nothing and
-/// asks the store.
+/// The path at which balancers copy objects from each other. It differs from
+/// the path of the object API, which older versions of the program request from
+/// their peers. They cannot read the short form of a configuration: they would
+/// consider the copy as loaded and keep their old routes during a rolling
+/// update (event `routes-refused`). With a different path they get no copy and
+/// read from the store.
 const std::string CopiesPath = "/v1/copies/";
 
-/// The object API under CopiesPath.
+/// The dialect of the object API, with paths under CopiesPath.
 platform_dialect peerDialect() {
   platform_dialect Dialect = objectDialect();
   Dialect.Request = [Plain = Dialect.Request](const platform_call &Call) {
@@ -34,7 +36,7 @@
   return Dialect;
 }
 
-/// Every balancer of a site listens for its peers on the same port.
+/// The seeds' peer endpoints. All balancers of a site use the same peer port.
 std::vector<endpoint> peersOf(const balancer_program_settings &Settings) {
   std::vector<endpoint> Peers;
   for (const endpoint &Seed : Settings.Seeds)
@@ -98,7 +100,7 @@
   Hooks.SendToAgent = [this](const endpoint &Agent, bytes_view Bytes) {
     Peers.send(Agent, Bytes);
   };
-  // Answers to callers go to the port at which their packets come in here.
+  // Callers receive answers on the port number of CallersListen.
   Hooks.SendToCaller = [this](const endpoint &Caller, bytes_view Bytes) {
     Callers.send({Caller.Address, Settings.CallersListen.Port}, Bytes);
   };
@@ -155,8 +157,8 @@
   return Hooks;
 }
 
-/// Peers serve their copies in the product's own form of the object API, so one
-/// client reads both the store and them.
+/// Peers serve their copies through marjoramrail's own object API, so the
+/// client for the store can read them too.
 void forward_balancer_process::listFromPeer(const endpoint &Peer,
                                             const std::string &Kind,
                                             platform_callback Done) {
--- a/daemons/forwarder/forward_balancer_process.h
+++ b/daemons/forwarder/forward_balancer_process.h
@@ -1,7 +1,8 @@
-//===- forward_balancer_process.h - A balancer's sockets --------*- C++ -*-===//
+//===- forward_balancer_process.h - A forwarding balancer -------*- C++ -*-===//
 ///
 /// \file
-/// Joins the forwarding core and the directory to the loop, on an entry VM.
+/// Connects the forwarding core and the directory to the event loop and the
+/// sockets of an entry VM.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,11 +23,12 @@
                            const balancer_program_settings &Settings,
                            const site_adapter &Adapter);
 
-  /// Opens the sockets and starts to learn routes and targets.
+  /// Opens the sockets and starts to load routes and targets.
   result<void> open();
-  /// Leaves the rotation, forwards until packets have stopped coming, ends.
+  /// Reports not ready so that the site takes this balancer out of rotation,
+  /// forwards until no more packets arrive, then stops the loop.
   void shutDown();
-  /// Says what a changed settings file changes while the process runs.
+  /// Applies those settings that may change while the process runs.
   void reload(const balancer_program_settings &Settings);
 
 private:
--- a/daemons/forwarder/forwarder_settings.cpp
+++ b/daemons/forwarder/forwarder_settings.cpp
@@ -10,7 +10,8 @@
   return std::chrono::seconds(Reader.number(Field, Default, 1, MostSeconds));
 }
 
-/// Mechanisms that an experiment switches off, by name.
+/// Reads the names of mechanisms that are switched off, for example in an
+/// experiment.
 static mechanism_set readDisabledMechanisms(settings_reader &Reader) {
   mechanism_set DisabledMechanisms;
   for (const std::string &Name : Reader.texts("without", /*Required=*/false)) {
--- a/daemons/forwarder/forwarder_settings.h
+++ b/daemons/forwarder/forwarder_settings.h
@@ -1,8 +1,8 @@
-//===- forwarder_settings.h - Settings of the forwarding processes -*- C++
-//-*-===//
+//===- forwarder_settings.h - Forwarder settings ----------------*- C++ -*-===//
 ///
 /// \file
-/// JSON with comments, checked at the start; docs/SETTINGS.md lists the fields.
+/// Settings of the forwarding processes: JSON with comments, validated at the
+/// start. docs/SETTINGS.md lists the fields.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,19 +20,21 @@
 struct balancer_program_settings {
   std::string Name;
   std::string Zone;
-  /// Where callers' packets come in; answers leave for the same port.
+  /// Receives callers' packets; answers are sent to the same port of the
+  /// caller.
   endpoint CallersListen;
-  /// Where the site asks whether this balancer may get traffic.
+  /// Serves the site's readiness probe.
   endpoint ReadyListen;
-  /// Balancers and agents talk here (UDP), peers copy objects (HTTP).
+  /// Messages of balancers and agents (UDP); copies of objects for peers
+  /// (HTTP).
   endpoint PeersListen;
   endpoint MetricsListen;
   endpoint Store;
-  /// VMs of balancers to ask before the store has named any, on the port of
-  /// PeersListen.
+  /// VMs of other balancers, used until the store has listed them. The port is
+  /// that of PeersListen.
   std::vector<endpoint> Seeds;
   duration FlowLife;
-  /// From the signal to stop to the forced end.
+  /// Time from the stop signal to the forced end.
   duration Grace;
   mechanism_set DisabledMechanisms;
 };
@@ -41,26 +43,27 @@
   std::string Name;
   std::string Zone;
   std::string Service;
-  /// Routed packets, from balancers and other agents.
+  /// Receives routed packets from balancers and other agents.
   endpoint RoutedListen;
-  /// Packets that the target sends.
+  /// Receives the packets that the target sends to callers.
   endpoint TargetPacketsListen;
-  /// Reports that the target sends.
+  /// Receives the target's reports (HTTP).
   endpoint TargetCallsListen;
   endpoint ReadyListen;
   endpoint MetricsListen;
-  /// The target itself.
+  /// The target's own address.
   endpoint Target;
   endpoint Store;
   duration FlowLife;
-  /// Balancers that may announce the target if the store refuses this agent, at
-  /// the address of their PeersListen.
+  /// Balancers (their PeersListen address) that are requested to register the
+  /// target if the store rejects this agent's calls.
   std::vector<endpoint> Balancers;
-  /// Open flows are kept in the store for the case that the VM loses power.
+  /// Checkpoints open flows in the store, so that they can be reset after the
+  /// VM has lost power.
   bool KeepFlows = false;
   mechanism_set DisabledMechanisms;
 
-  /// The name of the target's objects in the store.
+  /// Name of the target's objects in the store.
   std::string entryName() const { return "target." + Name; }
 };
 
--- a/daemons/forwarder/process_pages.h
+++ b/daemons/forwarder/process_pages.h
@@ -1,8 +1,8 @@
-//===- process_pages.h - What both forwarding processes serve ---*- C++ -*-===//
+//===- process_pages.h - Pages of the forwarding processes ------*- C++ -*-===//
 ///
 /// \file
-/// The answer to whether a process may get traffic, and the figures that both
-/// kinds of process show.
+/// The readiness page, the status pages and the metrics that the forwarding
+/// balancer and the forwarding agent have in common.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -14,19 +14,19 @@
 
 namespace marjoramrail::daemons {
 
-/// Answers 200 while \p Ready holds, 503 otherwise.
+/// Answers readiness probes with 200 while \p Ready returns true, else 503.
 status_page::hooks readyHooks(const site_adapter &Adapter,
                               std::function<bool()> Ready);
 
-/// The pages /timeline and /status.
+/// Adds the pages /timeline and /status.
 void addStatusPages(status_page::hooks &Hooks, const event_log &Log,
                     std::function<std::string()> StatusJson);
 
-/// Calls to the store and the state of the log.
+/// Exports the number of store calls and of log lines.
 void showProcess(metrics &Metrics, const platform_client &Store,
                  const event_log &Log);
 
-/// One counter for each enumerator of \p Names.
+/// Exports one counter for each enumerator of \p Names.
 template <typename Enum, std::size_t Size>
 void showOutcomes(metrics &Metrics, const name_table<Enum, Size> &Names,
                   const std::array<std::uint64_t, Size> &Counts) {
--- a/daemons/forwarder/request_log.h
+++ b/daemons/forwarder/request_log.h
@@ -1,9 +1,10 @@
-//===- request_log.h - What became of requests at a target ------*- C++ -*-===//
+//===- request_log.h - Log of requests at a target --------------*- C++ -*-===//
 ///
 /// \file
-/// Follows each request from its first bytes to its answer's, so that whoever
-/// has its id finds what this agent knew: how busy the target was when it came,
-/// how long the answer took compared with others, and what the target said.
+/// Logs each request from its first bytes to the first bytes of its answer.
+/// Given a request's id, an operator finds how busy the target was when the
+/// request arrived, how long the answer took compared with the usual time, and
+/// its status code.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,30 +23,32 @@
   request_log(event_log &Log, metrics &Metrics, const site_adapter &Adapter)
       : Log(Log), Metrics(Metrics), Adapter(Adapter) {}
 
-  /// \p Active requests are at the target, this one included.
+  /// Logs a request's arrival. \p Active: requests in progress at the target,
+  /// this one included.
   void seen(const flow_key &Flow, bytes_view Packet, std::uint16_t Active);
-  /// \p Status: the code of the answer, 0 if unknown; \p Usual: the smoothed
-  /// time to an answer at this target.
+  /// Logs an answer. \p Status: its status code, 0 if unknown; \p Usual: the
+  /// smoothed time to an answer at this target.
   void answered(const flow_key &Flow, int Status, duration Took,
                 duration Usual);
-  /// Whether an answer of this code says that the target did not do what was
-  /// asked, and not that the request was wrong. Too many requests (429) are too
-  /// many for this target; where a caller sends too many to all, all say so,
-  /// and none stands out.
+  /// Whether a status code means that the target failed, as opposed to an
+  /// invalid request. 429 (too many requests) counts as a failure of the
+  /// target: it is overloaded. If a caller overloads all targets, all of them
+  /// answer 429 and none of them is singled out.
   static bool isFailure(int Status) {
     constexpr int TooManyRequests = 429;
     return Status >= 500 || Status == TooManyRequests;
   }
-  /// The id of the request that waits on \p Flow, or ""; it is over now.
+  /// Removes the request that waits for an answer on \p Flow and returns its
+  /// id, or "" if there is none.
   std::string lost(const flow_key &Flow);
 
 private:
-  /// Requests that wait for their answer; far above what a target queues.
+  /// Bound on requests that wait for an answer, far above what a target queues.
   static constexpr std::size_t MaxWaiting = 4096;
-  /// An answer that took so many times the usual is logged among the failures,
-  /// which a flood of plain answers cannot push out,
+  /// An answer that took more than this many times the usual time, and more
+  /// than SlowThreshold, is logged as slow. Slow answers share the budget of
+  /// failures, which a flood of ordinary answers cannot exhaust.
   static constexpr int SlowFactor = 3;
-  /// unless it was quick all the same.
   static constexpr duration SlowThreshold = std::chrono::milliseconds(100);
 
   event_log &Log;
--- a/daemons/forwarder/settings_watch.h
+++ b/daemons/forwarder/settings_watch.h
@@ -1,8 +1,8 @@
-//===- settings_watch.h - Notices a changed settings file -------*- C++ -*-===//
+//===- settings_watch.h - Detects a changed settings file -------*- C++ -*-===//
 ///
 /// \file
-/// Settings change with SIGHUP, or without any signal; then only the file shows
-/// it. Looked at now and then, since the VMs have no notification for it.
+/// Reloads settings on SIGHUP and when the file has changed. The file is polled
+/// because the VMs have no change notification for it.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,7 +17,8 @@
 
 class settings_watch {
 public:
-  /// One system call; what changes without a signal can wait so long.
+  /// Polling interval. A poll costs one system call, and a change that comes
+  /// without a signal is not urgent.
   static constexpr duration Period = std::chrono::seconds(5);
 
   settings_watch(event_loop &Loop, std::string Path,
@@ -36,7 +37,7 @@
       OnChange();
   }
 
-  /// Size and time of the last change; all 0 if there is no file.
+  /// Size and modification time of the file; all 0 if it does not exist.
   std::array<std::int64_t, 3> stamp() const {
     struct stat State {};
     if (stat(Path.c_str(), &State) != 0)
--- a/daemons/forwarder/site_adapter.h
+++ b/daemons/forwarder/site_adapter.h
@@ -1,8 +1,9 @@
-//===- site_adapter.h - What a site's own formats bring ---------*- C++ -*-===//
+//===- site_adapter.h - Translation of a site's formats ---------*- C++ -*-===//
 ///
 /// \file
-/// The hooks through which the forwarding processes meet a site whose packets,
-/// objects and reports are spelled in its own way. An adapter only translates.
+/// Hooks that translate a site's own formats of packets, store objects and
+/// target reports for the forwarding processes. An adapter only translates; it
+/// makes no decisions.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,7 +18,7 @@
 
 enum class target_call_kind { Report, Leave, Malformed };
 
-/// A call that a target made to its agent.
+/// A decoded call from a target to its agent.
 struct target_call {
   target_call_kind Kind = target_call_kind::Malformed;
   target_report Report;
@@ -29,18 +30,18 @@
   segment_codec Codec;
   platform_dialect Dialect;
   std::function<route_reader(const platform_object &)> ReadRoutes;
-  /// Nothing if the request is no call of a target.
+  /// Returns nothing if the request is not a call of a target.
   std::function<std::optional<target_call>(const page_request &)>
       DecodeTargetCall;
-  /// Whether the request asks if this process may get traffic.
+  /// Whether the request is the site's readiness probe.
   std::function<bool(const page_request &)> IsReadinessRequest;
-  /// The id of the request that a packet begins, or "".
+  /// The id of the request that starts in the packet, or "".
   std::function<std::string(bytes_view Packet)> RequestIdOf;
-  /// The status code of the answer that a packet begins, or 0.
+  /// The status code of the answer that starts in the packet, or 0.
   std::function<int(bytes_view Packet)> StatusOf;
 };
 
-/// What a process says at its start.
+/// The reason that is logged with the event process-started.
 inline std::string startReason(const mechanism_set &DisabledMechanisms) {
   const std::string Reason = "settings are in force";
   return DisabledMechanisms.empty()
@@ -48,15 +49,16 @@
              : Reason + "; without " + toText(DisabledMechanisms);
 }
 
-/// How a process called \p Name reaches the site's store.
+/// Settings of the client with which process \p Name calls the site's store.
 inline platform_client_settings
 storeSettings(const std::string &Name, const endpoint &Store,
               const site_adapter &Adapter,
               const mechanism_set &DisabledMechanisms) {
-  /// The store answers in milliseconds, 100 times slower on a bad day.
+  /// The store usually answers within milliseconds and may become 100 times
+  /// slower under overload.
   constexpr duration Timeout = std::chrono::milliseconds(1500);
-  /// After a loss of all processes while the store is silent, callers wait this
-  /// much less for the first one that serves them.
+  /// Shorter, because callers wait for it: if all processes were lost while the
+  /// store does not respond, no process serves them until its first call ends.
   constexpr duration FirstTimeout = std::chrono::milliseconds(500);
   platform_client_settings Client;
   if (!DisabledMechanisms.has(mechanism::EarlyStoreRetry))
--- a/daemons/forwarder/store_calls.h
+++ b/daemons/forwarder/store_calls.h
@@ -1,9 +1,9 @@
 //===- store_calls.h - Calls to the store, by purpose -----------*- C++ -*-===//
 ///
 /// \file
-/// Counts what a process asks the site's store for. The store's rates are
-/// shared by the whole site and every call is paid for; without the purpose
-/// nobody can tell which part of the system spends them.
+/// Counts a process's calls to the site's store by purpose. The whole site
+/// shares the store's rate limits and pays for every call; the counts show
+/// which part of the system makes the calls.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,23 +17,22 @@
 
 namespace marjoramrail::daemons {
 
-/// The purpose of a call: its verb and what it is about. Objects that differ
-/// only in what follows the first dot of their name (`target.web-1`) count as
-/// one.
+/// The purpose of a call: its verb, kind and object name up to the first dot,
+/// so that all objects `target.web-1`, `target.web-2` count together.
 std::string purposeOf(const platform_call_end &End);
 
 class store_calls {
 public:
-  /// Shows the counts on \p Metrics, and in a line of \p Log every Period in
-  /// which there were calls.
+  /// Exports the counts to \p Metrics and logs them to \p Log after every
+  /// Period in which there were calls.
   static constexpr duration Period = std::chrono::seconds(5);
 
   store_calls(event_loop &Loop, event_log &Log, metrics &Metrics);
 
   void take(const platform_call_end &End);
-  /// Calls by purpose since the start.
+  /// Number of calls by purpose since the start.
   const std::map<std::string, std::uint64_t> &counts() const { return Counts; }
-  /// "list config 1, watch config 12".
+  /// The counts as text: "list config 1, watch config 12".
   std::string text() const;
 
 private:
@@ -45,7 +44,7 @@
   bool IsLogged = true;
 };
 
-/// \p Settings of a client whose calls \p Calls counts.
+/// Returns \p Settings with a hook that counts the client's calls in \p Calls.
 platform_client_settings counted(platform_client_settings Settings,
                                  store_calls &Calls);
 
--- a/daemons/forwarder/target_admission.h
+++ b/daemons/forwarder/target_admission.h
@@ -1,14 +1,14 @@
 //===- target_admission.h - When a target gets new flows --------*- C++ -*-===//
 ///
 /// \file
-/// A target gets new flows once everyone who may be asked about them can know
-/// it, and as long as it has not said that it leaves.
+/// A target gets new flows once every balancer and agent that may be asked
+/// about them can know the target, and until the target reports that it leaves.
 ///
-/// Without the wait a balancer that has not heard of a new target yet would
-/// find that nobody holds one of its flows, and have it reset. A target that
-/// was in the store before this process started needs no wait; nor does it need
-/// to be heard first: what the store says of it was true a short while ago, and
-/// its next report comes before anyone relies on it for long.
+/// Without this delay, a balancer that does not know a new target yet would
+/// find no owner candidate for one of its flows and have the flow reset. A
+/// target that was in the store before this process started needs no delay. It
+/// also need not report first: its entry in the store was accurate a short
+/// while ago, and its next report arrives soon.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,17 +21,20 @@
 
 class target_admission {
 public:
-  /// The store holds the entry; \p Existed before this process wrote it.
+  /// The store holds the entry. \p Existed: it was there before this process
+  /// wrote it.
   void onStored(bool Existed, instant Now) {
     if (!KnownSince)
       KnownSince = Existed ? Now - SettleTime : Now;
   }
 
-  /// The entry was taken out of the store: what follows is as for a new target.
+  /// The entry was removed from the store, so the delay starts again as for a
+  /// new target.
   void onUnregistered() { KnownSince.reset(); }
 
-  /// A balancer has known the entry for SettleTime: so has everyone, although
-  /// the store cannot be asked now.
+  /// A balancer reports that it has known the entry for SettleTime. So have all
+  /// others, and admission need not wait for the store, which may be
+  /// unavailable.
   void onRegistered(instant Now) {
     if (!KnownSince)
       KnownSince = Now - SettleTime;
@@ -42,7 +45,7 @@
            Reports.acceptsNewFlows();
   }
 
-  /// When the wait is over.
+  /// When the delay ends, or nothing if it has not started.
   std::optional<instant> settledAt() const {
     if (!KnownSince)
       return std::nullopt;
