--- a/daemons/agent/agent_packets.cpp
+++ b/daemons/agent/agent_packets.cpp
@@ -45,7 +45,8 @@
       Routed);
 }
 
-/// The balancer sends the flow's next packets here without a detour.
+/// Notifies the balancer of the flow's owner, so that it sends the flow's next
+/// packets directly to this agent.
 void agent_process::sendNotice(const routed_packet &Routed,
                                const flow_key &Flow) {
   if (Routed.Position == 0 || Routed.Balancer == endpoint())
@@ -57,7 +58,8 @@
   Socket.send(Routed.Balancer, {Buffer.data(), Size});
 }
 
-/// How a flow's first packet came here, for the time line.
+/// Describes how a flow's first packet was routed to this agent, for the
+/// timeline.
 static std::string traceOf(const routed_packet &Came) {
   std::string Trace = "by balancer " + toText(Came.Balancer) + ", view " +
                       std::to_string(Came.Version) + ", choice " +
--- a/daemons/agent/agent_process.cpp
+++ b/daemons/agent/agent_process.cpp
@@ -11,7 +11,7 @@
 using std::chrono::duration_cast;
 using std::chrono::system_clock;
 
-/// Keepalive probes before a flow counts as silent.
+/// Unanswered keepalive probes after which a flow is considered unresponsive.
 static constexpr unsigned SilentProbes = 3;
 
 static std::int64_t wallClockMs() {
@@ -88,7 +88,7 @@
     Owner->flowGone(Flow);
   flow_side *Side = Flows.at(Flow).get();
   Loop.defer([this, Flow, Side] {
-    // The caller may have used its port again meanwhile.
+    // The caller may have reused its port for a new flow meanwhile.
     const auto Found = Flows.find(Flow);
     if (Found != Flows.end() && Found->second.get() == Side)
       Flows.erase(Found);
@@ -97,11 +97,13 @@
   });
 }
 
-/// New flows go elsewhere, callers are asked to leave, what runs is finished.
+/// New flows are routed to other hosts, callers are sent GOAWAY, and requests
+/// in progress are finished.
 void agent_process::drain(const std::string &Why) {
   if (std::exchange(Draining, true))
     return;
-  LOG(INFO) << "agent: drains " << Flows.size() << " flows, by " << Why;
+  LOG(INFO) << "agent: draining " << Flows.size() << " flows, requested by "
+            << Why;
   record(event_kind::TargetDraining, "", Why);
   DrainingSinceMs = wallClockMs();
   if (Owner) {
@@ -113,11 +115,11 @@
     Side->drain();
 }
 
-/// The operators took their drain back.
+/// The operators undid their drain.
 void agent_process::resume() {
   if (Stopping || !std::exchange(Draining, false))
     return;
-  LOG(INFO) << "agent: takes new work again";
+  LOG(INFO) << "agent: drain undone, accepting new flows again";
   record(event_kind::DrainUndone, "", "the fleet's view");
   Owner->resume();
   Proxy->resume();
@@ -140,7 +142,8 @@
   Stopping = true;
   drain("SIGTERM");
   Loop.timers().after(Settings.DrainBound, [this] {
-    LOG(WARNING) << "agent: stops with " << Flows.size() << " flows open";
+    LOG(WARNING) << "agent: stopping with " << Flows.size()
+                 << " flows still open";
     Loop.stop();
   });
   finishIfIdle();
@@ -152,8 +155,8 @@
   if (std::exchange(Finished, true))
     return;
   record(event_kind::DrainDone, "", "no flows left");
-  LOG(INFO) << "agent: drained";
-  // The last packets to callers and the word to the fleet leave first.
+  LOG(INFO) << "agent: drain finished, no flows left";
+  // Let the last packets to callers and the last heartbeat be sent first.
   Loop.timers().after(flow_owner::TickPeriod, [this] { Loop.stop(); });
 }
 
--- a/daemons/agent/agent_process.h
+++ b/daemons/agent/agent_process.h
@@ -1,4 +1,10 @@
 //===- agent_process.h - The agent beside one target ------------*- C++ -*-===//
+///
+/// \file
+/// Connects the agent's core, the TCP stack, the request proxy and the
+/// heartbeats to the balancers to one event loop.
+///
+//===----------------------------------------------------------------------===//
 
 #ifndef MARJORAMRAIL_DAEMONS_AGENT_AGENT_PROCESS_H
 #define MARJORAMRAIL_DAEMONS_AGENT_AGENT_PROCESS_H
@@ -16,7 +22,8 @@
 
 namespace marjoramrail {
 
-/// Joins the agent's core, the TCP stack and the fleet to the loop.
+/// One agent: owns callers' flows and forwards their bytes or requests to its
+/// target.
 class agent_process {
 public:
   agent_process(event_loop &Loop, const agent_settings &Settings);
@@ -24,11 +31,11 @@
 
   result<void> open();
 
-  /// Takes no new work, finishes what is in progress and stops the loop, at the
-  /// latest after the settings' bound.
+  /// Accepts no new flows, finishes those in progress and stops the loop, at
+  /// the latest after the settings' DrainBound.
   void terminate();
 
-  /// A view of the service; the fleet's come by the announcer.
+  /// Applies a view of the service. Views arrive in the answers to heartbeats.
   void takeView(const membership &Next);
 
 private:
@@ -87,10 +94,10 @@
   std::unique_ptr<flow_owner> Owner;
   std::unique_ptr<request_proxy> Proxy;
   std::optional<membership> Members;
-  /// The version of the service's rules that was asked for last.
+  /// The version of the service's rules that was requested last.
   std::uint64_t RulesAsked = 0;
   bool RulesKnown = false;
-  /// This host's first agent ever: there are no key records it could have lost.
+  /// No agent ran on this host before, so it cannot have lost key records.
   bool NeverRan = false;
   bool Begun = false;
   std::map<std::uint64_t, std::unique_ptr<peer_connection>> PeerConnections;
--- a/daemons/agent/agent_settings.h
+++ b/daemons/agent/agent_settings.h
@@ -1,4 +1,9 @@
 //===- agent_settings.h - Settings of one agent -----------------*- C++ -*-===//
+///
+/// \file
+/// The settings file of marjoramrail-agent, validated at the start.
+///
+//===----------------------------------------------------------------------===//
 
 #ifndef MARJORAMRAIL_DAEMONS_AGENT_AGENT_SETTINGS_H
 #define MARJORAMRAIL_DAEMONS_AGENT_AGENT_SETTINGS_H
@@ -9,21 +14,21 @@
 namespace marjoramrail {
 
 struct agent_settings {
-  /// The target host's name; it outlives restarts.
+  /// The target host's name; it stays the same across restarts.
   std::string Name;
   std::string Service;
   std::string Zone;
-  /// Routed packets, fleet and agent-to-agent messages (UDP).
+  /// Receives routed packets and messages of balancers and agents (UDP).
   endpoint RoutedListen;
-  /// Relayed requests and key records (TCP).
+  /// Receives relayed requests and key records from other agents (TCP).
   endpoint RelayListen;
   endpoint StatusListen;
-  /// Where packets to callers go (UDP).
+  /// The fabric's address for packets to callers (UDP).
   endpoint FabricReturn;
-  /// The target's own listener.
+  /// The target's listening address.
   endpoint Target;
-  /// Where the service's own rules are read from; without it those of this file
-  /// hold.
+  /// Server of the platform's object API, from which the service's rules are
+  /// read. If it is not set, the rules in this file apply.
   endpoint Platform;
   std::vector<endpoint> Balancers;
   service_protocol Protocol = service_protocol::Http2;
@@ -35,11 +40,11 @@
   std::uint32_t ColdStartSeconds = 10;
   /// See key_settings::MaxRecords.
   std::uint32_t KeyRecords = 20000;
-  /// 0: the clock and the process's number give it.
+  /// 0: derived from the clock and the process id.
   std::uint32_t Seed = 0;
 };
 
-/// Fails with every fault of the file at \p Path.
+/// Reads the file at \p Path. The failure lists every fault in it.
 result<agent_settings> readAgentSettings(const std::string &Path);
 
 } // namespace marjoramrail
--- a/daemons/agent/agent_view.cpp
+++ b/daemons/agent/agent_view.cpp
@@ -30,7 +30,8 @@
   return Hooks;
 }
 
-/// Counted apart from callers' packets, since control has a budget of its own.
+/// Control messages are counted apart from callers' packets, because they have
+/// a byte budget of their own.
 void agent_process::sendControl(const endpoint &To, bytes_view Bytes) {
   Metrics.counter("agent_control_bytes_sent") += Bytes.size();
   ++Metrics.counter("agent_control_datagrams_sent");
@@ -39,8 +40,8 @@
 
 agent_report agent_process::describe() const {
   agent_report Report;
-  // Its own wish alone: were the operators' drain announced as the host's, they
-  // could never take it back.
+  // Reports only this process's own drain. If the operators' drain were
+  // reported as the host's, the operators could never undo it.
   Report.Draining = Stopping;
   if (!Owner)
     return Report;
@@ -54,9 +55,10 @@
   return Report;
 }
 
-/// The service's rules are read when a view carries a newer version of them, so
-/// that agents make no calls to the platform while nothing changes. The first
-/// view waits for them, but not for a platform that is down.
+/// The service's rules are read when a view contains a newer version of them,
+/// so that agents make no calls to the platform while nothing changes. The
+/// first view is applied only after the rules are read, unless the platform is
+/// down.
 void agent_process::takeView(const membership &Next) {
   Members = Next;
   if (Platform && Next.SpecVersion != RulesAsked)
@@ -83,22 +85,25 @@
       return {};
     });
     if (Failure)
-      LOG(WARNING) << "agent: rules of the service: " << toText(*Failure);
+      LOG(WARNING) << "agent: invalid rules of the service: "
+                   << toText(*Failure);
     if (Owner)
       Owner->setMaxShare(Settings.MaxSharePercent);
   } else {
-    LOG(WARNING) << "agent: goes on with its settings, the platform says "
-                 << nameOf(PlatformOutcomeNames, Reply.Outcome);
-    // Asked again with the next view.
+    LOG(WARNING)
+        << "agent: keeping the rules of its settings, the platform answered "
+        << nameOf(PlatformOutcomeNames, Reply.Outcome);
+    // The next view requests the rules again.
     RulesAsked = 0;
   }
   if (!std::exchange(RulesKnown, true))
     markFirstStart();
 }
 
-/// Whether an agent ever ran on this host is kept in the platform: key records
-/// live in memory alone, and an agent that took itself for the first would run
-/// an amendment a second time. One write in the life of a host.
+/// Records in the platform that an agent has run on this host. Key records are
+/// kept in memory only, and an agent that wrongly considered itself the first
+/// on its host would run an amendment a second time. It takes one write in the
+/// lifetime of a host.
 void agent_process::markFirstStart() {
   platform_object Mark;
   Mark.Key = {"agent", Settings.Name};
@@ -114,7 +119,8 @@
   begin(Reply.Outcome == platform_outcome::Ok);
 }
 
-/// The answer was lost; the mark that stands says whose it is.
+/// The answer to the write was lost. The incarnation in the stored object shows
+/// whether this process wrote it.
 void agent_process::readBackFirstStart() {
   Platform->api().Read(
       {"agent", Settings.Name}, [this](const platform_reply &Reply) {
@@ -131,7 +137,8 @@
   useView(*Members);
 }
 
-/// A host that joins later has to learn the records from those before it.
+/// Whether no host of the service can have key records yet. A host that joins
+/// later has to copy the records from the earlier hosts.
 bool agent_process::isFirstEver(const service_view &View) const {
   if (!NeverRan || View.Generations.empty() ||
       View.Generations.back().Number != 1)
@@ -184,7 +191,7 @@
   });
   if (Failure)
     LOG(ERROR) << "agent: " << toText(*Failure);
-  LOG(INFO) << "agent: took view " << View.Version << " of " << View.Name;
+  LOG(INFO) << "agent: applied view " << View.Version << " of " << View.Name;
 }
 
 void agent_process::startOwner(const service_view &View, host_id Host) {
@@ -259,8 +266,8 @@
   return std::nullopt;
 }
 
-/// Only the service's own agents may relay: anyone else could pass for another
-/// caller, or run requests past the callers' queues.
+/// Only agents of the same service may relay requests. Any other host could
+/// impersonate a caller or bypass the callers' queues.
 void agent_process::acceptPeer(std::unique_ptr<tcp_stream> Stream) {
   const std::uint32_t From = Stream->peer().Address;
   const bool Known =
@@ -279,10 +286,10 @@
 }
 
 void agent_process::onDeclaredDead(std::uint32_t Next) {
-  LOG(WARNING) << "agent: the fleet held this agent for dead; its "
-               << Flows.size() << " flows are given up";
+  LOG(WARNING) << "agent: the balancers had marked this agent dead; its "
+               << Flows.size() << " flows are dropped";
   Incarnation = Next;
-  // Keys may have been claimed without this agent while it counted as dead.
+  // Keys may have been claimed without this agent while it was marked dead.
   NeverRan = false;
   if (Owner) {
     Owner->restart(Next);
--- a/daemons/agent/flow_output.h
+++ b/daemons/agent/flow_output.h
@@ -1,4 +1,9 @@
-//===- flow_output.h - Bytes on their way to a caller -----------*- C++ -*-===//
+//===- flow_output.h - Output queue of a flow to its caller -----*- C++ -*-===//
+///
+/// \file
+/// Queues bytes for a caller while the flow's send buffer is full.
+///
+//===----------------------------------------------------------------------===//
 
 #ifndef MARJORAMRAIL_DAEMONS_AGENT_FLOW_OUTPUT_H
 #define MARJORAMRAIL_DAEMONS_AGENT_FLOW_OUTPUT_H
@@ -9,7 +14,7 @@
 
 namespace marjoramrail {
 
-/// Keeps what a flow's send buffer does not take yet.
+/// Queues bytes that do not fit into a flow's send buffer yet.
 class flow_output {
 public:
   explicit flow_output(stack_flow &Flow) : Flow(Flow) {}
@@ -28,7 +33,7 @@
     Pending = Bytes;
   }
 
-  /// Call it when the flow is writable again.
+  /// Sends queued bytes. To be called when the flow is writable again.
   void pump() {
     while (Sent < Pending.size()) {
       const std::size_t Taken =
@@ -37,7 +42,8 @@
         return;
       Sent += Taken;
     }
-    // An idle flow must not hold on to its largest answer.
+    // Release the capacity, or an idle flow would keep the memory of its
+    // largest answer.
     std::string().swap(Pending);
     Sent = 0;
   }
--- a/daemons/agent/flow_side.h
+++ b/daemons/agent/flow_side.h
@@ -1,4 +1,9 @@
-//===- flow_side.h - What an agent does with an accepted flow ---*- C++ -*-===//
+//===- flow_side.h - The agent's handling of one flow -----------*- C++ -*-===//
+///
+/// \file
+/// The interface of what an agent connects an accepted flow to.
+///
+//===----------------------------------------------------------------------===//
 
 #ifndef MARJORAMRAIL_DAEMONS_AGENT_FLOW_SIDE_H
 #define MARJORAMRAIL_DAEMONS_AGENT_FLOW_SIDE_H
@@ -11,20 +16,20 @@
 enum class side_end {
   /// The stack still answers late packets.
   Closed,
-  /// The stack holds nothing of it.
+  /// The stack has no state of the flow left.
   Gone,
 };
 
-/// One accepted flow and what it is joined to.
+/// One accepted flow and its connection to the target or the request proxy.
 class flow_side {
 public:
-  /// Called once; the side may be destroyed when the hook has returned to the
-  /// loop.
+  /// Called once. The object may be destroyed after the hook has returned to
+  /// the loop.
   using flow_end_hook = std::function<void(side_end)>;
 
   virtual ~flow_side() = default;
 
-  /// Begins a graceful end: what is in progress is finished.
+  /// Starts a graceful shutdown: requests in progress are finished.
   virtual void drain() = 0;
 };
 
--- a/daemons/agent/h2_side.cpp
+++ b/daemons/agent/h2_side.cpp
@@ -3,7 +3,7 @@
 namespace marjoramrail {
 
 static std::uint64_t callerHash(const flow_key &Flow) {
-  // Without the port, so that a caller with many flows counts as one.
+  // The port is left out, so that all flows of one caller count as one caller.
   return hashOf({{Flow.Caller.Address, 0}, Flow.Service}, 0);
 }
 
--- a/daemons/agent/h2_side.h
+++ b/daemons/agent/h2_side.h
@@ -1,4 +1,9 @@
 //===- h2_side.h - A caller's flow that carries HTTP/2 ----------*- C++ -*-===//
+///
+/// \file
+/// Connects a caller's HTTP/2 flow to the request proxy.
+///
+//===----------------------------------------------------------------------===//
 
 #ifndef MARJORAMRAIL_DAEMONS_AGENT_H2_SIDE_H
 #define MARJORAMRAIL_DAEMONS_AGENT_H2_SIDE_H
@@ -9,15 +14,15 @@
 
 namespace marjoramrail {
 
-/// Joins a caller's flow to its session in the proxy. HTTP/2's windows bound
-/// what is queued in either direction.
+/// Connects a caller's flow to its session in the proxy. HTTP/2 flow control
+/// bounds the bytes that are queued in either direction.
 class h2_side : public flow_side {
 public:
   h2_side(std::unique_ptr<stack_flow> Caller, request_proxy &Proxy,
           flow_end_hook OnFlowEnd);
   ~h2_side() override;
 
-  /// The proxy says goodbye to all its flows itself.
+  /// Does nothing: the proxy sends GOAWAY on all its flows itself.
   void drain() override {}
 
 private:
--- a/daemons/agent/kernel_stream.h
+++ b/daemons/agent/kernel_stream.h
@@ -1,4 +1,9 @@
-//===- kernel_stream.h - The proxy's connections over the kernel *- C++ -*-===//
+//===- kernel_stream.h - Kernel TCP connections of the proxy ----*- C++ -*-===//
+///
+/// \file
+/// The request proxy's connections over the kernel's TCP stack.
+///
+//===----------------------------------------------------------------------===//
 
 #ifndef MARJORAMRAIL_DAEMONS_AGENT_KERNEL_STREAM_H
 #define MARJORAMRAIL_DAEMONS_AGENT_KERNEL_STREAM_H
@@ -8,14 +13,14 @@
 
 namespace marjoramrail {
 
-/// Connects to the target or to a peer agent, which knows us by the address of
-/// \p Local.
+/// Connects to the target or to a peer agent. The connection is bound to the
+/// address of \p Local, by which a peer agent identifies this one.
 std::unique_ptr<byte_stream> connectByKernel(event_loop &Loop,
                                              const endpoint &Local,
                                              const endpoint &Peer,
                                              byte_events Events);
 
-/// A peer agent's connection that relays requests here.
+/// A connection over which a peer agent relays requests to this agent.
 class peer_connection {
 public:
   /// \p OnFlowEnd may destroy this object once it has returned to the loop.
--- a/daemons/agent/main.cpp
+++ b/daemons/agent/main.cpp
@@ -1,8 +1,8 @@
 //===- main.cpp - marjoramrail-agent ----------------------------*- C++ -*-===//
 ///
 /// \file
-/// The agent beside one target: owns the callers' flows that balancers route
-/// here and carries their bytes or requests to the target.
+/// The agent beside one target. It owns the callers' flows that balancers route
+/// to it and forwards their bytes or requests to the target.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,7 +23,7 @@
     return Done.error();
   Loop.onTerminate([&] { Agent.terminate(); });
   LOG(INFO) << "agent: " << Settings.Name << " of " << Settings.Service
-            << " listens on " << toText(Settings.RoutedListen);
+            << " listening on " << toText(Settings.RoutedListen);
   Loop.run();
   return {};
 }
--- a/daemons/agent/tcp_splice.cpp
+++ b/daemons/agent/tcp_splice.cpp
@@ -63,7 +63,7 @@
   TargetEnded = true;
   if (Reason.empty())
     return pump();
-  // Half a message must not look like a whole one.
+  // A truncated message must not look like a complete one.
   Caller->abort();
   endFlow(side_end::Gone);
 }
--- a/daemons/agent/tcp_splice.h
+++ b/daemons/agent/tcp_splice.h
@@ -1,4 +1,9 @@
-//===- tcp_splice.h - A caller's flow joined to its target ------*- C++ -*-===//
+//===- tcp_splice.h - Joins a caller's flow to its target -------*- C++ -*-===//
+///
+/// \file
+/// Forwards the bytes of a TCP service that the agent does not parse.
+///
+//===----------------------------------------------------------------------===//
 
 #ifndef MARJORAMRAIL_DAEMONS_AGENT_TCP_SPLICE_H
 #define MARJORAMRAIL_DAEMONS_AGENT_TCP_SPLICE_H
@@ -9,23 +14,24 @@
 
 namespace marjoramrail {
 
-/// Carries the bytes of an opaque service between a caller's flow and a kernel
-/// connection to the target, each direction ending for itself.
+/// Copies the bytes of an opaque service between a caller's flow and a kernel
+/// connection to the target. Each direction is closed on its own.
 ///
 /// Either side may be slower than the other. Without back-pressure the agent
-/// would keep the difference in memory until the VM has none left; so a caller
-/// is held back by its receive window while the target's queue is long, and the
-/// target by not reading from it while the caller's is.
+/// would queue the difference until the VM runs out of memory. So while the
+/// queue to the target is long, the caller's receive window is not opened, and
+/// while the queue to the caller is long, the agent does not read from the
+/// target.
 class tcp_splice : public flow_side {
 public:
-  /// Bytes queued in one direction before the other side is held back.
+  /// Bytes queued in one direction before the sending side is throttled.
   static constexpr std::size_t MaxQueued = 256 * 1024;
 
   tcp_splice(event_loop &Loop, std::unique_ptr<stack_flow> Caller,
              const endpoint &Target, flow_end_hook OnFlowEnd);
   ~tcp_splice() override;
 
-  /// Opaque bytes have no end to wait for but the flow's own.
+  /// Does nothing: an opaque byte stream has no end except the flow's own.
   void drain() override {}
 
 private:
--- a/daemons/balancer/allow_list.h
+++ b/daemons/balancer/allow_list.h
@@ -1,8 +1,8 @@
-//===- allow_list.h - Who may talk on a link --------------------*- C++ -*-===//
+//===- allow_list.h - Hosts allowed on the control port ---------*- C++ -*-===//
 ///
 /// \file
-/// The networks whose hosts may send to the control port. Anyone else there
-/// could announce a host of its own and draw callers to it.
+/// The networks whose hosts may send to the control port. Any other host could
+/// register itself as a target there and receive callers' traffic.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -15,7 +15,8 @@
 
 class allow_list {
 public:
-  /// Reads networks as "10.1.0.0/16"; an address alone is one host.
+  /// Parses networks like "10.1.0.0/16". An address without a prefix length is
+  /// a single host.
   static result<allow_list> parse(const std::vector<std::string> &Networks);
 
   bool allows(const endpoint &Peer) const;
--- a/daemons/balancer/balancer_process.cpp
+++ b/daemons/balancer/balancer_process.cpp
@@ -5,8 +5,8 @@
 
 namespace marjoramrail::daemons {
 
-/// How often the core learns when the fleet was last heard; a small part of
-/// the least bound that settings allow.
+/// How often the core is given the time of the last contact with the fleet; a
+/// small fraction of the smallest stale_seconds that the settings allow.
 static constexpr duration HearingPeriod = std::chrono::milliseconds(200);
 
 balancer_process::balancer_process(event_loop &Loop,
@@ -41,7 +41,7 @@
     return Opened.error();
   Loop.timers().every(HearingPeriod, [this] { reportFleetContact(); });
   record(event_kind::ProcessStarted, "", "settings are in force");
-  LOG(INFO) << "balancer: " << Settings.Name << " takes packets on "
+  LOG(INFO) << "balancer: " << Settings.Name << " receiving packets on "
             << toText(Settings.FabricListen);
   return {};
 }
@@ -50,7 +50,7 @@
   Stopping = true;
   Fleet.node().stop();
   record(event_kind::ProcessStopping, "", "asked to stop");
-  LOG(INFO) << "balancer: stops after the grace period";
+  LOG(INFO) << "balancer: stopping after the grace period";
   Loop.timers().after(Settings.Grace, [this] { Loop.stop(); });
 }
 
@@ -59,7 +59,7 @@
   if (Port.core().setView(View) != view_outcome::Taken)
     return;
   const std::string Version = std::to_string(View.Version);
-  LOG(INFO) << "balancer: took view " << Version << " of " << View.Name;
+  LOG(INFO) << "balancer: applied view " << Version << " of " << View.Name;
   record(event_kind::ViewTaken, View.Name, "view " + Version);
 }
 
--- a/daemons/balancer/balancer_process.h
+++ b/daemons/balancer/balancer_process.h
@@ -1,8 +1,8 @@
 //===- balancer_process.h - One balancer as a process -----------*- C++ -*-===//
 ///
 /// \file
-/// The parts of a balancer on one loop: the packets' port, its part in the
-/// fleet, the status page and the time line.
+/// Connects the parts of a balancer to one event loop: the packet port, the
+/// fleet node, the status page and the timeline.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,8 +22,8 @@
 
   result<void> open();
 
-  /// SIGTERM: gives the duties back, says that it is not ready, routes on for
-  /// the grace period and stops the loop.
+  /// Handles SIGTERM: releases the shard leases, reports not ready, keeps
+  /// routing for the grace period and then stops the loop.
   void shutDown();
 
 private:
--- a/daemons/balancer/balancer_settings.cpp
+++ b/daemons/balancer/balancer_settings.cpp
@@ -12,8 +12,9 @@
       Reader.number(Field, Default, Least, MostSeconds));
 }
 
-/// Without the field only this machine's own processes may talk: a site that
-/// forgets it finds its fleet silent, not open.
+/// If the field is missing, only processes on this machine may send. A site
+/// that omits it by mistake has balancers that reject all messages of other
+/// hosts, not an open control port.
 static std::vector<std::string> controlPeers(settings_reader &Reader) {
   std::vector<std::string> Networks =
       Reader.texts("control_peers", /*Required=*/false);
--- a/daemons/balancer/balancer_settings.h
+++ b/daemons/balancer/balancer_settings.h
@@ -1,7 +1,7 @@
 //===- balancer_settings.h - Settings of a balancer -------------*- C++ -*-===//
 ///
 /// \file
-/// The settings file of marjoramrail-balancer, checked as a whole.
+/// The settings file of marjoramrail-balancer, validated as a whole.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,25 +17,25 @@
   /// Unique in the fleet.
   std::string Name;
   std::string Zone;
-  /// Callers' packets from the fabric, and notices of agents (UDP).
+  /// Receives callers' packets from the fabric and agents' owner notices (UDP).
   endpoint FabricListen;
-  /// Announcements, and what balancers tell each other (UDP).
+  /// Receives heartbeats of agents and messages of other balancers (UDP).
   endpoint ControlListen;
-  /// /metrics, /healthz, /readyz, /status, /fleet, /timeline.
+  /// Serves /metrics, /healthz, /readyz, /status, /fleet and /timeline (HTTP).
   endpoint StatusListen;
   /// Servers of the platform's object API.
   std::vector<endpoint> Platform;
-  /// Control addresses of balancers to begin with.
+  /// Control addresses of the balancers to contact first.
   std::vector<endpoint> Balancers;
-  /// Who may send to ControlListen.
+  /// Hosts that may send to ControlListen.
   allow_list ControlPeers;
   /// How long packets are still routed after SIGTERM, so that the fabric can
-  /// learn from /readyz to send them elsewhere.
+  /// find /readyz failing and send packets to other balancers.
   duration Grace{};
   balancer_settings Core;
 };
 
-/// Fails with every fault of the file.
+/// Reads the file at \p Path. The failure lists every fault in it.
 result<program_settings> readSettings(const std::string &Path);
 
 } // namespace marjoramrail::daemons
--- a/daemons/balancer/fleet_link.h
+++ b/daemons/balancer/fleet_link.h
@@ -1,7 +1,7 @@
-//===- fleet_link.h - A balancer's part in the fleet ------------*- C++ -*-===//
+//===- fleet_link.h - Connects a balancer to its fleet ----------*- C++ -*-===//
 ///
 /// \file
-/// Joins fleet_node to the control socket and the platform.
+/// Connects fleet_node to the control socket and to the platform.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -35,7 +35,7 @@
   udp_socket Socket;
   platform_client Platform;
   fleet_node Node;
-  /// Datagrams from hosts that the settings do not allow.
+  /// Dropped datagrams from hosts that are not in ControlPeers.
   std::uint64_t ForeignDatagrams = 0;
 };
 
--- a/daemons/balancer/main.cpp
+++ b/daemons/balancer/main.cpp
@@ -1,5 +1,5 @@
-// The balancer of an entry VM: takes callers' packets from the fabric and sends
-// each to the agents that may own its flow.
+// The balancer of an entry VM. It receives callers' packets from the fabric and
+// sends each to the agents that may own its flow.
 
 #include "balancer_process.h"
 
--- a/daemons/balancer/packet_port.h
+++ b/daemons/balancer/packet_port.h
@@ -1,8 +1,9 @@
 //===- packet_port.h - The balancer's core on its socket --------*- C++ -*-===//
 ///
 /// \file
-/// Joins balancer_core to the UDP socket towards fabric and agents. A part of
-/// its own, so that the bench measures what the daemon runs.
+/// Connects balancer_core to the UDP socket to the fabric and the agents. It is
+/// separate from balancer_process so that the benchmark measures the code that
+/// the daemon runs.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,7 +24,7 @@
 
   balancer_core &core() { return Core; }
 
-  /// Shows the core's counters on the metrics page.
+  /// Exports the core's counters to the metrics page.
   void show(metrics &Metrics) const;
 
 private:
--- a/daemons/balancer/wall_clock.h
+++ b/daemons/balancer/wall_clock.h
@@ -1,7 +1,8 @@
 //===- wall_clock.h - Milliseconds since 1970 -------------------*- C++ -*-===//
 ///
 /// \file
-/// The wall clock of events and incarnations; nothing is decided by it.
+/// The wall clock for timestamps of events and for incarnation numbers. No
+/// decision depends on it.
 ///
 //===----------------------------------------------------------------------===//
 
