--- a/daemons/balancer/balancer_process.cpp
+++ b/daemons/balancer/balancer_process.cpp
@@ -7,7 +7,7 @@
 
 /// How often the core is given the time of the last contact with the fleet; a
 /// small fraction of the smallest stale_seconds that the settings allow.
-static constexpr duration HearingPeriod = std::chrono::milliseconds(200);
+static constexpr duration ContactReportPeriod = std::chrono::milliseconds(200);
 
 balancer_process::balancer_process(event_loop &Loop,
                                    const program_settings &Settings)
@@ -39,7 +39,7 @@
     return Opened.error();
   if (auto Opened = Status.open(Settings.StatusListen); !Opened)
     return Opened.error();
-  Loop.timers().every(HearingPeriod, [this] { reportFleetContact(); });
+  Loop.timers().every(ContactReportPeriod, [this] { reportFleetContact(); });
   record(event_kind::ProcessStarted, "", "settings are in force");
   LOG(INFO) << "balancer: " << Settings.Name << " receiving packets on "
             << toText(Settings.FabricListen);
--- a/daemons/marjoramctl/confirmed_change.cpp
+++ b/daemons/marjoramctl/confirmed_change.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-class certain_change : public std::enable_shared_from_this<certain_change> {
+class confirmed_change : public std::enable_shared_from_this<confirmed_change> {
 public:
-  certain_change(ctl_context &Context, platform_write Write, bool Removes,
-                 change_callback Done)
+  confirmed_change(ctl_context &Context, platform_write Write, bool Removes,
+                   change_callback Done)
       : Context(Context), Write(std::move(Write)), Removes(Removes),
         Done(std::move(Done)) {}
 
@@ -31,7 +31,7 @@
   void answered(const platform_reply &Reply);
   void readBack();
   void resolve(const platform_reply &Stands);
-  void later(void (certain_change::*Next)());
+  void later(void (confirmed_change::*Next)());
   bool ours(const platform_object &Object) const;
   void succeed(const platform_object &Object);
 
@@ -46,19 +46,19 @@
 
 } // namespace
 
-bool certain_change::ours(const platform_object &Object) const {
+bool confirmed_change::ours(const platform_object &Object) const {
   return Object.Writer == Write.Object.Writer &&
          Object.WriterSequence == Write.Object.WriterSequence;
 }
 
-void certain_change::succeed(const platform_object &Object) {
+void confirmed_change::succeed(const platform_object &Object) {
   platform_reply Reply;
   Reply.Outcome = platform_outcome::Ok;
   Reply.Object = Object;
   Done(Reply);
 }
 
-void certain_change::answered(const platform_reply &Reply) {
+void confirmed_change::answered(const platform_reply &Reply) {
   if (Reply.Outcome == platform_outcome::Unknown) {
     LostAnswer = true;
     Context.Err("marjoramctl: " + toText(Write.Object.Key) +
@@ -68,21 +68,21 @@
   if (!LostAnswer)
     return Done(Reply);
   if (Reply.Outcome == platform_outcome::Unavailable)
-    return later(&certain_change::readBack);
+    return later(&confirmed_change::readBack);
   if (Reply.Outcome == platform_outcome::Conflict ||
       Reply.Outcome == platform_outcome::NotFound)
     return resolve(Reply);
   Done(Reply);
 }
 
-void certain_change::readBack() {
+void confirmed_change::readBack() {
   Context.Platform.Read(Write.Object.Key, [Self = shared_from_this()](
                                               const platform_reply &Reply) {
     Self->resolve(Reply);
   });
 }
 
-void certain_change::later(void (certain_change::*Next)()) {
+void confirmed_change::later(void (confirmed_change::*Next)()) {
   if (++Attempts > MaxAttempts) {
     platform_reply Reply;
     Reply.Outcome = platform_outcome::Unknown;
@@ -94,24 +94,24 @@
 }
 
 /// \p Stands is what was read back, or what a repeat met.
-void certain_change::resolve(const platform_reply &Stands) {
+void confirmed_change::resolve(const platform_reply &Stands) {
   const bool Missing = Stands.Outcome == platform_outcome::NotFound ||
                        (Stands.Outcome == platform_outcome::Conflict &&
                         Stands.Object.Version == 0);
   const bool Found = !Missing && (Stands.Outcome == platform_outcome::Ok ||
                                   Stands.Outcome == platform_outcome::Conflict);
   if (!Missing && !Found)
-    return later(&certain_change::readBack);
+    return later(&confirmed_change::readBack);
   if (Removes && Missing)
     return succeed({});
   if (Found && !Removes && ours(Stands.Object))
     return succeed(Stands.Object);
   const std::uint64_t Version = Missing ? 0 : Stands.Object.Version;
   if (Version == Write.Expected)
-    return later(&certain_change::start);
+    return later(&confirmed_change::start);
   // A platform that answers with old state says nothing of our write.
   if (Version < Write.Expected && Found)
-    return later(&certain_change::readBack);
+    return later(&confirmed_change::readBack);
   platform_reply Reply;
   Reply.Outcome = platform_outcome::Conflict;
   Reply.Object = Stands.Object;
@@ -132,8 +132,8 @@
   Write.Object.Writer = Context.Writer;
   Write.Object.WriterSequence = ++Context.Sequence;
   Write.Expected = Expected;
-  std::make_shared<certain_change>(Context, std::move(Write), false,
-                                   std::move(Done))
+  std::make_shared<confirmed_change>(Context, std::move(Write), false,
+                                     std::move(Done))
       ->start();
 }
 
@@ -142,8 +142,8 @@
   platform_write Write;
   Write.Object.Key = Key;
   Write.Expected = Expected;
-  std::make_shared<certain_change>(Context, std::move(Write), true,
-                                   std::move(Done))
+  std::make_shared<confirmed_change>(Context, std::move(Write), true,
+                                     std::move(Done))
       ->start();
 }
 
--- a/test/daemons/callback_log_test.cpp
+++ b/test/daemons/callback_log_test.cpp
@@ -12,7 +12,7 @@
   event_loop Loop;
   event_log Log{Loop, "balancer-1"};
   metrics Metrics;
-  callback_log Turns{Log, Metrics};
+  callback_log Callbacks{Log, Metrics};
 
   bool logged(const std::string &Text) const {
     return Log.recent().find(Text) != std::string::npos;
@@ -35,7 +35,7 @@
 
 TEST_CASE_FIXTURE(callback_fixture,
                   "a turn that holds packets up gets a line") {
-  Turns.take(
+  Callbacks.take(
       {turn_kind::DecodeRoutes, 4200, milliseconds(300), milliseconds(12)});
 
   CHECK(logged("\"long-turn\""));
@@ -44,7 +44,7 @@
 }
 
 TEST_CASE_FIXTURE(callback_fixture, "a short turn is only counted") {
-  Turns.take({turn_kind::CallerPackets, 3, milliseconds(1), {}});
+  Callbacks.take({turn_kind::CallerPackets, 3, milliseconds(1), {}});
 
   CHECK(Log.recent().empty());
   CHECK(
@@ -57,7 +57,8 @@
   // A large answer comes in part and is asked for anew, again and again.
   // Without a line a balancer that never gets the newest configuration looks
   // well.
-  Turns.take(callOf(966580, milliseconds(2400), platform_outcome::Unavailable));
+  Callbacks.take(
+      callOf(966580, milliseconds(2400), platform_outcome::Unavailable));
 
   CHECK(logged("\"call-ended\""));
   CHECK(logged("watch config : unavailable"));
@@ -65,7 +66,7 @@
 }
 
 TEST_CASE_FIXTURE(callback_fixture, "a usual call gets no line") {
-  Turns.take(callOf(300, milliseconds(4), platform_outcome::Ok));
+  Callbacks.take(callOf(300, milliseconds(4), platform_outcome::Ok));
 
   CHECK(Log.recent().empty());
 }
