--- a/daemons/marjoramctl/apply.cpp
+++ b/daemons/marjoramctl/apply.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// One run: read what stands, check everything together, then write object by
-/// object under the versions read.
+/// One run of apply: reads the stored objects, checks everything together, then
+/// writes each object on condition that its version has not changed since.
 class apply_run : public std::enable_shared_from_this<apply_run> {
 public:
   apply_run(ctl_context &Context, const ctl_options &Options,
@@ -29,7 +29,7 @@
   std::optional<std::uint64_t> IfVersion;
   std::vector<resource_object> Objects;
   finish Done;
-  /// What stands, by kind and by key.
+  /// The stored objects, by kind and by key.
   std::map<std::string, std::vector<platform_object>> ByKind;
   std::map<object_key, platform_object> Standing;
   std::size_t Next = 0;
@@ -95,8 +95,8 @@
   writeNext();
 }
 
-/// A write failed half way: what stands and what does not must be known before
-/// the file is applied again.
+/// A write failed after others had succeeded. Before applying the file again,
+/// the operator must know which objects were written.
 void apply_run::tellRest() const {
   if (Objects.size() == 1)
     return;
--- a/daemons/marjoramctl/command_line.cpp
+++ b/daemons/marjoramctl/command_line.cpp
@@ -54,7 +54,7 @@
 }
 
 /// Sets one flag from "--NAME=VALUE", "--NAME" or "--NAME VALUE"; \p Next is
-/// the word after it and becomes empty when it was taken.
+/// the word after it and is cleared if it was used as the value.
 static result<void> setFlag(const verb_entry &Verb, const std::string &Word,
                             std::optional<std::string> &Next) {
   const std::string Body = Word.substr(Word.find_first_not_of('-'));
@@ -149,7 +149,7 @@
          flagHelp(CommonFlags);
 }
 
-/// The flags of every verb may also stand before the verb.
+/// The common flags may also be given before the verb.
 result<command> readCommand(const std::vector<std::string> &Words) {
   static const verb_entry BeforeVerb{"marjoramctl", "", "", "", {}, nullptr};
   command Command;
--- a/daemons/marjoramctl/command_line.h
+++ b/daemons/marjoramctl/command_line.h
@@ -1,7 +1,7 @@
 //===- command_line.h - Verbs, their flags and their help -------*- C++ -*-===//
 ///
 /// \file
-/// The table of verbs, and reading of the command line by gflags.
+/// The table of verbs and the parser of the command line, which uses gflags.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -15,10 +15,10 @@
 struct verb_entry {
   std::string_view Name;
   std::string_view Summary;
-  /// What stands after the verb, flags aside.
+  /// The usage of the arguments after the verb, without the flags.
   std::string_view Arguments;
   std::string_view Help;
-  /// Names of the flags that this verb takes besides the common ones.
+  /// Names of the flags that this verb accepts in addition to the common ones.
   std::vector<std::string_view> Flags;
   verb_function Run;
 };
@@ -29,20 +29,21 @@
 std::string helpOf(const verb_entry &Verb);
 std::string generalHelp();
 
-/// One command read from the command line.
+/// A parsed command line.
 struct command {
   const verb_entry *Verb = nullptr;
   ctl_options Options;
   std::vector<endpoint> Platform;
   duration Timeout = duration::zero();
-  /// How long a verb is run again while the platform is unavailable. Nothing
-  /// was done then, or of several objects some stand, which apply leaves alone.
+  /// How long a verb is retried while the platform is unavailable. A retry is
+  /// safe: nothing was written, or of several objects some were, which apply
+  /// then leaves unchanged.
   duration Retry = duration::zero();
-  /// Text to print instead of running: the help that was asked for.
+  /// If not empty, the help text to print instead of running the verb.
   std::string Help;
 };
 
-/// Reads the words after the program's name. The failure is a usage error.
+/// Parses the words after the program's name. A failure is a usage error.
 result<command> readCommand(const std::vector<std::string> &Words);
 
 } // namespace marjoramrail::ctl
--- a/daemons/marjoramctl/confirmed_change.cpp
+++ b/daemons/marjoramctl/confirmed_change.cpp
@@ -2,8 +2,9 @@
 
 namespace marjoramrail::ctl {
 
-/// Read-backs and repeats span about ten seconds, the length of an ordinary
-/// blink of the platform; an operator waits no longer for a prompt.
+/// Read-backs and repeats last about ten seconds in all. That covers an
+/// ordinary short outage of the platform, and an operator should not wait
+/// longer for the prompt.
 static constexpr int MaxAttempts = 20;
 static constexpr duration AttemptPause = std::chrono::milliseconds(500);
 
@@ -39,7 +40,8 @@
   platform_write Write;
   bool Removes;
   change_callback Done;
-  /// Once an answer was lost, a refusal of a repeat says nothing of the first.
+  /// An answer was lost. If a repeat is then refused, the first request may
+  /// still have taken effect.
   bool LostAnswer = false;
   int Attempts = 0;
 };
@@ -93,7 +95,7 @@
                        [Self = shared_from_this(), Next] { (*Self.*Next)(); });
 }
 
-/// \p Stands is what was read back, or what a repeat met.
+/// \p Stands is the object that was read back or that made a repeat fail.
 void confirmed_change::resolve(const platform_reply &Stands) {
   const bool Missing = Stands.Outcome == platform_outcome::NotFound ||
                        (Stands.Outcome == platform_outcome::Conflict &&
@@ -109,7 +111,8 @@
   const std::uint64_t Version = Missing ? 0 : Stands.Object.Version;
   if (Version == Write.Expected)
     return later(&confirmed_change::start);
-  // A platform that answers with old state says nothing of our write.
+  // A platform that answers with outdated state does not show whether the write
+  // took effect.
   if (Version < Write.Expected && Found)
     return later(&confirmed_change::readBack);
   platform_reply Reply;
--- a/daemons/marjoramctl/confirmed_change.h
+++ b/daemons/marjoramctl/confirmed_change.h
@@ -1,13 +1,15 @@
-//===- confirmed_change.h - Changes whose outcome gets known ------*- C++
-//-*-===//
+//===- confirmed_change.h - Writes with a confirmed outcome -----*- C++ -*-===//
 ///
 /// \file
-/// The answer to a write can be lost although the write took effect. Told
-/// "failed", an operator applies again and may undo what a colleague wrote in
-/// between; told "done", the change may not be there. So the object is read
-/// back: writer and sequence in it say whose write stands. Where the old
-/// version still stands, the first copy may yet arrive, so the same write is
-/// sent again under the same condition: at most one of the copies can win.
+/// The answer to a write can be lost although the write took effect. If an
+/// operator were told "failed", they would apply again and might undo what a
+/// colleague wrote in between. If they were told "done", the change might be
+/// missing.
+///
+/// So the object is read back: its writer and sequence show whose write is
+/// stored. If the stored object is still the old version, the first request may
+/// arrive later. So the same write is sent again under the same version
+/// condition, and at most one of the requests can succeed.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -18,15 +20,15 @@
 
 namespace marjoramrail::ctl {
 
-/// Outcome Unknown is left only where the platform stayed out of reach.
+/// Receives the outcome. It is Unknown only if the platform stayed unreachable.
 using change_callback = std::function<void(const platform_reply &)>;
 
-/// Writes \p Body if version \p Expected stands.
+/// Writes \p Body if the stored version is \p Expected.
 void writeConfirmed(ctl_context &Context, const object_key &Key,
                     const std::string &Body, std::uint64_t Expected,
                     change_callback Done);
 
-/// Deletes if version \p Expected stands.
+/// Deletes the object if the stored version is \p Expected.
 void removeConfirmed(ctl_context &Context, const object_key &Key,
                      std::uint64_t Expected, change_callback Done);
 
--- a/daemons/marjoramctl/delete.cpp
+++ b/daemons/marjoramctl/delete.cpp
@@ -20,8 +20,8 @@
     return Done(exit_code::Usage);
   }
   const object_key Key{Options.Arguments[0], Options.Arguments[1]};
-  // Statuses are the system's; without one an operator would be blind until
-  // it is written again.
+  // Statuses are written by the system. If one were deleted, operators would
+  // not see it until it is written again.
   if (!valueNamed(ResourceKindNames, Key.Kind)) {
     printFailure(Context, {step::ValidateObject, toText(Key),
                            "expected the kind service, zone or drain"});
--- a/daemons/marjoramctl/flow_trace.cpp
+++ b/daemons/marjoramctl/flow_trace.cpp
@@ -11,7 +11,8 @@
   return Wanted.empty() || Wanted == Value;
 }
 
-/// A host is meant where it acted as well as where it was acted on.
+/// A host matches both as the process that recorded an event and as the host
+/// that the event is about.
 bool event_filter::passes(const timeline_event &Event) const {
   return matches(Service, Event.Service) && matches(Flow, Event.Flow) &&
          (matches(Host, Event.Host) || Host == Event.Process);
@@ -38,8 +39,8 @@
   return Line + Figures.str();
 }
 
-/// Events of a process itself, or of the target beside it, that explain what
-/// became of its flows.
+/// Whether an event of a process or of its target can explain what happened to
+/// its flows.
 static bool isProcessEvent(event_kind What) {
   switch (What) {
   case event_kind::ProcessStarted:
@@ -59,12 +60,12 @@
   }
 }
 
-/// What happened to a flow's processes this long before its first event and
-/// after its last one belongs to its story: a restart is told seconds after the
-/// flow has fallen silent.
+/// Events of a flow's processes this long before the flow's first event and
+/// after its last one are part of its trace. A restart, for example, is logged
+/// seconds after the flow's last event.
 static constexpr std::int64_t ContextMs = 4000;
 
-/// Events that change where flows of a service go.
+/// Whether an event changes to which targets flows of a service are routed.
 static bool changesRouting(event_kind What) {
   switch (What) {
   case event_kind::ViewTaken:
@@ -87,7 +88,7 @@
 
 namespace {
 
-/// What the flow's own events amount to.
+/// A summary of the flow's own events.
 struct flow_summary {
   std::string Service;
   std::string Owner;
@@ -177,7 +178,7 @@
     if (IsOwn(*It))
       Summary.take(*It);
   std::vector<std::string> Lines = {Summary.text(Flow)};
-  // The last change before the flow began is the one that routed it.
+  // The last change before the flow's first event determined its routing.
   const auto Routes = [&](const timeline_event &Event) {
     return changesRouting(Event.What) &&
            (Event.Service.empty() || Event.Service == Summary.Service);
--- a/daemons/marjoramctl/flow_trace.h
+++ b/daemons/marjoramctl/flow_trace.h
@@ -1,8 +1,8 @@
-//===- flow_trace.h - Which events matter, and why a flow went --*- C++ -*-===//
+//===- flow_trace.h - Event filter and trace of one flow --------*- C++ -*-===//
 ///
 /// \file
-/// Filters merged events and tells one flow's life: who routed it, when, why.
-/// Pure.
+/// Filters merged timeline events and explains the trace of one flow: who
+/// routed it, when and why. Pure functions without input or output.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -13,7 +13,7 @@
 
 namespace marjoramrail::ctl {
 
-/// Empty fields let everything through.
+/// Selects events. An empty field matches all events.
 struct event_filter {
   std::string Service;
   std::string Flow;
@@ -22,17 +22,17 @@
   bool passes(const timeline_event &Event) const;
 };
 
-/// One event on one line.
+/// Formats an event as one line.
 std::string toText(const timeline_event &Event);
 
-/// The lines that tell the life of \p Flow: its own events, and between them
-/// what changed its service meanwhile (views, generations, targets, leases) and
-/// what happened to the processes that handled it.
-/// Empty if no event names the flow. \p Events are merged.
+/// Returns the trace of \p Flow as lines of text: a summary, its own events,
+/// the changes of its service meanwhile (views, generations, targets, leases)
+/// and the events of the processes that handled it. Empty if no event names the
+/// flow. \p Events must be merged.
 std::vector<std::string> explainFlow(const std::vector<timeline_event> &Events,
                                      const std::string &Flow);
 
-/// The flow that carried the request with the id \p Request.
+/// Returns the flow that carried the request with the id \p Request.
 std::optional<std::string>
 flowOfRequest(const std::vector<timeline_event> &Events,
               const std::string &Request);
--- a/daemons/marjoramctl/main.cpp
+++ b/daemons/marjoramctl/main.cpp
@@ -1,4 +1,4 @@
-// marjoramctl: the operators' tool.
+// marjoramctl: the operators' command-line tool.
 
 #include "run_tool.h"
 
--- a/daemons/marjoramctl/object_files.cpp
+++ b/daemons/marjoramctl/object_files.cpp
@@ -22,7 +22,7 @@
   return 2;
 }
 
-/// Two files that both hold an object would undo each other.
+/// An object in two files is refused: one file would overwrite the other.
 static bool tellRepeats(ctl_context &Context,
                         const std::vector<resource_object> &Objects) {
   std::set<object_key> Seen;
@@ -63,7 +63,7 @@
 
 namespace {
 
-/// What would stand after \p Objects have been applied.
+/// The objects that would be stored after \p Objects have been applied.
 struct standing {
   std::map<std::string, service_spec> Services;
   std::set<std::string> Zones;
@@ -75,8 +75,8 @@
                              const std::vector<platform_object> &Zones) {
   standing Standing;
   for (const platform_object &Object : Services)
-    // An object that cannot be read cannot be compared with; it must not keep
-    // an operator from applying the object that mends it.
+    // A stored object that cannot be parsed is skipped. It must not prevent an
+    // operator from applying the object that repairs it.
     static_cast<void>(failureOf([&]() -> result<void> {
       BOOST_LEAF_AUTO(Spec, parseService(Object.Body, Object.Key.Name));
       Standing.Services[Spec.Name] = Spec;
--- a/daemons/marjoramctl/object_files.h
+++ b/daemons/marjoramctl/object_files.h
@@ -1,7 +1,7 @@
 //===- object_files.h - Files of objects that verbs read --------*- C++ -*-===//
 ///
 /// \file
-/// Reads all files of a command whole before anything is written.
+/// Reads and checks all files of a command before anything is written.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -12,15 +12,17 @@
 
 namespace marjoramrail::ctl {
 
-/// The objects of \p Paths in the order of writing: zones, services, drains.
-/// Tells every fault of every file and returns nothing if there is one.
+/// Returns the objects of \p Paths in the order of writing: zones, services,
+/// drains. Prints every fault of every file and returns nothing if there is
+/// one.
 std::optional<std::vector<resource_object>>
 readObjectFiles(ctl_context &Context, const std::vector<std::string> &Paths);
 
 object_key keyOf(const resource_object &Object);
 
-/// Checks \p Objects against each other and against what stands: numbers and
-/// addresses of services, and that their zones are there. Tells every fault.
+/// Checks \p Objects against each other and against the stored objects: numbers
+/// and addresses of services must be unique, and their zones must exist. Prints
+/// every fault.
 bool checkTogether(ctl_context &Context,
                    const std::vector<resource_object> &Objects,
                    const std::vector<platform_object> &StandingServices,
--- a/daemons/marjoramctl/page_fetcher.cpp
+++ b/daemons/marjoramctl/page_fetcher.cpp
@@ -28,8 +28,8 @@
   return Body;
 }
 
-/// The connection must not be freed from within its own callback, so the end
-/// runs later; it owns the fetch.
+/// The connection must not be freed inside its own callback, so this task runs
+/// later. It owns the fetch.
 static void onAnswer(evhttp_request *Request, void *User) {
   auto *Fetch = static_cast<page_fetch *>(User);
   Fetch->Loop.defer([Fetch, Body = bodyOf(Request)] {
--- a/daemons/marjoramctl/page_fetcher.h
+++ b/daemons/marjoramctl/page_fetcher.h
@@ -1,7 +1,7 @@
-//===- page_fetcher.h - Gets a page of a process's status -------*- C++ -*-===//
+//===- page_fetcher.h - Fetches a status page of a process ------*- C++ -*-===//
 ///
 /// \file
-/// One GET over libevent's HTTP client.
+/// One HTTP GET with libevent's HTTP client.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -12,7 +12,8 @@
 
 namespace marjoramrail::ctl {
 
-/// Calls \p Done once, later, with the page's body or with step::Receive.
+/// Calls \p Done once, after returning, with the page's body or with a failure
+/// of step::Receive.
 void fetchPage(event_loop &Loop, const endpoint &Process,
                const std::string &Path, duration Timeout, page_callback Done);
 
--- a/daemons/marjoramctl/printing.cpp
+++ b/daemons/marjoramctl/printing.cpp
@@ -10,7 +10,8 @@
 using ordered_json = nlohmann::ordered_json;
 
 static ordered_json toJson(const platform_object &Object) {
-  // Printing goes by recursion: deeper parts are left out, not met.
+  // Printing is recursive, so parts below MaxJsonDepth are left out to bound
+  // the stack.
   const auto KeepShallow = [](int Depth, ordered_json::parse_event_t,
                               ordered_json &) { return Depth <= MaxJsonDepth; };
   ordered_json Spec = ordered_json::parse(Object.Body, KeepShallow, false);
--- a/daemons/marjoramctl/printing.h
+++ b/daemons/marjoramctl/printing.h
@@ -1,7 +1,7 @@
 //===- printing.h - Objects and tables as text ------------------*- C++ -*-===//
 ///
 /// \file
-/// The forms in which verbs print.
+/// The output formats of the verbs.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -12,13 +12,13 @@
 
 namespace marjoramrail::ctl {
 
-/// One object on one line of JSON: kind, name, version, writer and spec.
+/// Formats an object as one line of JSON: kind, name, version, writer and spec.
 std::string toLine(const platform_object &Object);
 
-/// The same, indented, in the form that apply reads back.
+/// Formats an object as indented JSON that apply can read.
 std::string toPage(const platform_object &Object);
 
-/// A table whose columns are as wide as their widest cell.
+/// A text table. Each column is as wide as its widest cell.
 class text_table {
 public:
   explicit text_table(std::vector<std::string> Heads) {
@@ -31,7 +31,7 @@
   std::vector<std::vector<std::string>> Rows;
 };
 
-/// "2026-12-02T23:17:04.123Z".
+/// Formats a time in UTC: "2026-12-02T23:17:04.123Z".
 std::string wallText(std::int64_t WallMs);
 
 } // namespace marjoramrail::ctl
--- a/daemons/marjoramctl/run_tool.cpp
+++ b/daemons/marjoramctl/run_tool.cpp
@@ -19,7 +19,8 @@
   return Text.str();
 }
 
-/// Unlike that of any other run: a process id alone comes again.
+/// A name that is unique to this run. Process ids are reused, so a random
+/// number is added.
 static std::string writerName() {
   std::random_device Random;
   return "operator-" + std::to_string(getuid()) + "-" +
@@ -33,7 +34,8 @@
                                 .Writer = "operator",
                                 .Timeout = Command.Timeout,
                                 .Dialect = Dialect});
-  // Where watches are of one kind, it is the verb's first word.
+  // Platforms whose watches cover one kind need that kind, which is the verb's
+  // first argument.
   const std::vector<std::string> &Words = Command.Options.Arguments;
   ctl_context Context{
       .Platform = Client.apiFor(Words.empty() ? "" : Words.front()),
--- a/daemons/marjoramctl/run_tool.h
+++ b/daemons/marjoramctl/run_tool.h
@@ -1,7 +1,8 @@
 //===- run_tool.h - The operators' tool, for any platform -------*- C++ -*-===//
 ///
 /// \file
-/// Reads the command line, joins a verb to the platform and prints.
+/// Parses the command line, connects a verb to the platform and prints its
+/// output.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -12,7 +13,7 @@
 
 namespace marjoramrail::ctl {
 
-/// Returns the exit code of the process; see exit_code.
+/// Runs marjoramctl and returns the exit code of the process; see exit_code.
 int runTool(int Argc, char **Argv, const platform_dialect &Dialect);
 
 } // namespace marjoramrail::ctl
--- a/daemons/marjoramctl/status.cpp
+++ b/daemons/marjoramctl/status.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Reads the kinds that the page shows, one after the other.
+/// Reads the kinds of objects that the output shows, one after the other.
 class status_run : public std::enable_shared_from_this<status_run> {
 public:
   status_run(ctl_context &Context, std::string Only, finish Done)
@@ -60,7 +60,7 @@
   return Text;
 }
 
-/// The row of a service; its conditions go below the table.
+/// Adds the row of a service; its conditions are printed below the table.
 std::vector<std::string> status_run::serviceRow(const platform_object &Spec) {
   const std::string &Name = Spec.Key.Name;
   std::vector<std::string> Row = {Name, std::to_string(Spec.Version)};
--- a/daemons/marjoramctl/timeline_verb.cpp
+++ b/daemons/marjoramctl/timeline_verb.cpp
@@ -49,8 +49,8 @@
   return true;
 }
 
-/// A line that cannot be read is told and left out: one process that was
-/// killed in the middle of a line must not hide the others' events.
+/// A line that cannot be parsed is reported and left out. A process that was
+/// killed while it wrote a line must not hide the events of the others.
 void timeline_run::addLines(const std::string &Source,
                             const std::string &Text) {
   std::size_t Unreadable = 0;
@@ -60,7 +60,7 @@
     const std::string_view Line =
         std::string_view(Text).substr(Start, End - Start);
     Start = End + 1;
-    // Other lines of a log are none of ours.
+    // Skip other log lines, which are not events.
     if (Line.empty() || Line.front() != '{')
       continue;
     const auto Failure = failureOf([&]() -> result<void> {
@@ -88,7 +88,7 @@
                       if (Body)
                         Self->addLines(marjoramrail::toText(Address), *Body);
                       else {
-                        // The others still tell their part.
+                        // Continue with the other processes' events.
                         printFailure(Self->Context, Failure);
                         Self->Code = exit_code::Unavailable;
                       }
--- a/daemons/marjoramctl/verb.cpp
+++ b/daemons/marjoramctl/verb.cpp
@@ -30,7 +30,7 @@
   std::string Reason(nameOf(PlatformOutcomeNames, Reply.Outcome));
   if (!Reply.Reason.empty())
     Reason += ", " + Reply.Reason;
-  // The other operator's object, so that the two can be merged by hand.
+  // Print the other operator's object, so that both can be merged by hand.
   if (Reply.Outcome == platform_outcome::Conflict && Reply.Object.Version != 0)
     Reason += ": " + Reply.Object.Body;
   return Reason;
--- a/daemons/marjoramctl/verb.h
+++ b/daemons/marjoramctl/verb.h
@@ -1,9 +1,9 @@
 //===- verb.h - What the verbs of marjoramctl share -------------*- C++ -*-===//
 ///
 /// \file
-/// A verb is a function that talks to the platform through platform_api, writes
-/// lines through hooks and ends once with an exit code; it can be tested with
-/// a fake platform and no network.
+/// A verb is a function that calls the platform through platform_api, prints
+/// lines through hooks and finishes once with an exit code. It can be tested
+/// with a fake platform and without a network.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,23 +19,23 @@
 
 enum class exit_code : int {
   Ok = 0,
-  /// The object or the file is wrong, or there is no such object.
+  /// The object or the file is invalid, or the object does not exist.
   Refused = 1,
   Usage = 2,
-  /// Another version stands; nothing was written.
+  /// Another version is stored; nothing was written.
   Conflict = 3,
   /// The platform could not be reached; nothing was written.
   Unavailable = 4,
-  /// It could not be found out whether the change took effect.
+  /// It could not be determined whether the change took effect.
   Unknown = 5,
 };
 
-/// The flags of all verbs; each verb's help names those that it takes.
+/// The flags of all verbs; each verb's help lists those that it accepts.
 struct ctl_options {
   std::vector<std::string> Arguments;
   std::optional<std::uint64_t> IfVersion;
   std::optional<std::uint64_t> Since;
-  /// 0 = no bound.
+  /// 0: no limit.
   std::chrono::seconds For{0};
   std::string Reason;
   bool Wait = false;
@@ -48,22 +48,22 @@
   std::string Request;
 };
 
-/// The body of a page of a process, or the failure to get it.
+/// Receives the body of a process's page, or the failure to get it.
 using page_callback = std::function<void(const std::optional<std::string> &Body,
                                          const failure &Failure)>;
 
 struct ctl_context {
   platform_api Platform;
   timer_service &Timers;
-  /// One line to standard output, and one to standard error.
+  /// Print one line to standard output and to standard error.
   std::function<void(const std::string &)> Out;
   std::function<void(const std::string &)> Err;
   std::function<result<std::string>(const std::string &Path)> ReadFile;
   std::function<void(const endpoint &Process, const std::string &Path,
                      page_callback)>
       FetchPage;
-  /// Unlike that of any other run, so that a read-back tells whose write
-  /// stands.
+  /// Unique to this run, so that reading an object back shows whether this run
+  /// wrote it.
   std::string Writer;
   std::uint64_t Sequence = 0;
 };
@@ -93,10 +93,10 @@
 
 std::string toText(const object_key &Key);
 
-/// Writes the line "marjoramctl: STEP PEER: REASON".
+/// Prints the line "marjoramctl: STEP PEER: REASON" to standard error.
 void printFailure(ctl_context &Context, const failure &Failure);
 
-/// The exit code for a reply that is not Ok, told in one line.
+/// Prints one line about a reply that is not Ok and returns its exit code.
 exit_code printReplyFailure(ctl_context &Context, step Step,
                             const object_key &Key, const platform_reply &Reply);
 
--- a/daemons/marjoramctl/verbs.cpp
+++ b/daemons/marjoramctl/verbs.cpp
@@ -11,15 +11,14 @@
       {"apply",
        "write the objects of files",
        "FILE...",
-       "Reads all files and checks them whole, also against what stands, "
+       "Reads all files and checks them, also against the stored objects, "
        "before\n"
-       "anything is written. Each object is written under the version that "
-       "was\n"
-       "read, so that a colleague's change in between is a conflict, which is\n"
-       "shown, and not undone. An object that stands as it is stays "
-       "untouched.\n"
-       "If an answer is lost, the object is read back and the outcome is "
-       "told.\n",
+       "anything is written. Each object is written only if its version is "
+       "still\n"
+       "the one read. A colleague's change in between is shown as a conflict\n"
+       "and is not overwritten. Unchanged objects are not written. If an "
+       "answer\n"
+       "is lost, the object is read back and the outcome is printed.\n",
        {"if_version"},
        runApply},
       {"get",
@@ -38,9 +37,9 @@
       {"watch",
        "print changes as they come",
        "[KIND [NAME]]",
-       "Prints one line of JSON for each change, from --since on. Lives "
-       "through\n"
-       "outages of the platform; ends by a signal or after --for_seconds.\n",
+       "Prints one line of JSON for each change, from --since on. Continues "
+       "after\n"
+       "outages of the platform; ends on a signal or after --for_seconds.\n",
        {"since", "for_seconds"},
        runWatch},
       {"delete",
@@ -48,17 +47,17 @@
        "KIND NAME",
        "Deletes a service, zone or drain if the version read, or "
        "--if-version,\n"
-       "still stands.\n",
+       "is still the stored one.\n",
        {"if_version"},
        runDelete},
       {"drain",
        "empty a target host or a balancer",
        "HOST",
-       "Writes a drain object for the host and shows how far it is. With "
+       "Writes a drain object for the host and shows its progress. With "
        "--wait\n"
        "it ends with code 0 when the VM can be stopped without cutting off a\n"
-       "flow or a request, and with 1 when --for_seconds have passed before.\n"
-       "--undo takes the drain back.\n",
+       "flow or a request, and with 1 if --for_seconds elapse first.\n"
+       "--undo deletes the drain.\n",
        {"reason", "wait", "undo", "for_seconds", "if_version"},
        runDrain},
       {"status",
@@ -74,11 +73,12 @@
        "[FILE...]",
        "Reads events from files of JSON lines and from the status pages of "
        "the\n"
-       "processes at --from, puts causes before effects and prints those that\n"
-       "pass --service, --flow and --host. --explain=FLOW tells one flow's "
-       "life:\n"
-       "who routed it, when, why. --request=ID tells that of the flow which\n"
-       "carried the request with this id.\n",
+       "processes at --from, orders causes before effects and prints those "
+       "that\n"
+       "match --service, --flow and --host. --explain=FLOW explains one flow: "
+       "who\n"
+       "routed it, when and why. --request=ID explains the flow that carried\n"
+       "the request with this id.\n",
        {"from", "service", "flow", "host", "explain", "request"},
        runTimeline},
       {"validate",
--- a/daemons/marjoramctl/watch.cpp
+++ b/daemons/marjoramctl/watch.cpp
@@ -33,8 +33,8 @@
   ctl_context &Context;
   std::string Kind;
   std::string Name;
-  /// Only goes up: a platform that answers with old state would otherwise
-  /// bring changes again that were replaced long ago.
+  /// Only increases. Otherwise a platform that answers with outdated state
+  /// would cause changes to be printed again that were replaced long ago.
   std::uint64_t Since;
   std::optional<instant> End;
   finish Done;
@@ -57,8 +57,8 @@
       });
 }
 
-/// The platform no longer holds the changes asked for. The watch goes on from
-/// the present, and says so: what happened in between is not shown.
+/// The platform no longer has the requested changes. The watch continues from
+/// the current version and reports the gap, whose changes are not shown.
 void watch_run::skipToPresent(const platform_reply &Gone) {
   printReplyFailure(Context, step::WatchPlatform,
                     {Kind.empty() ? "*" : Kind, "*"}, Gone);
@@ -75,7 +75,7 @@
   if (Reply.Outcome == platform_outcome::HistoryGone)
     return skipToPresent(Reply);
   if (Reply.Outcome != platform_outcome::Ok) {
-    // An outage does not end a watch; the line tells why nothing comes.
+    // An outage does not end a watch. The line explains why no changes appear.
     printReplyFailure(Context, step::WatchPlatform,
                       {Kind.empty() ? "*" : Kind, "*"}, Reply);
     const duration Pause =
