--- a/daemons/forwarder/agent_target.cpp
+++ b/daemons/forwarder/agent_target.cpp
@@ -58,7 +58,7 @@
     Log.record(event_kind::ReportTaken, Report.Draining ? "draining" : "ready",
                Report.Id);
   if (Core.targetStopped())
-    onTargetRecovered("it reported");
+    onTargetRecovered("the target sent a report");
   if (Flows)
     Flows->onRun({Report.Id, Report.Born});
   Core.setTarget(Report.Slots, Report.WarmupLeft, Now);
--- a/daemons/forwarder/forward_agent_process.cpp
+++ b/daemons/forwarder/forward_agent_process.cpp
@@ -276,7 +276,7 @@
   for (const datagram &Datagram : Batch)
     if (Core.onTargetPacket(Datagram.Bytes, Now) == agent_outcome::Answered &&
         Core.targetStopped())
-      onTargetRecovered("it wrote a packet");
+      onTargetRecovered("the target sent a packet");
   Routed.flush();
 }
 
--- a/daemons/forwarder/forward_agent_process.h
+++ b/daemons/forwarder/forward_agent_process.h
@@ -29,7 +29,8 @@
   result<void> open();
   /// An agent's settings cannot change while its target is running.
   void reload() {
-    Log.record(event_kind::SettingsReloaded, "nothing is taken over");
+    Log.record(event_kind::SettingsReloaded,
+               "agent settings cannot change at run time");
   }
   /// Reports to the balancers that the target takes no new flows, then stops
   /// the process. The target's flows survive and continue once an agent runs
--- a/daemons/forwarder/forward_balancer_process.cpp
+++ b/daemons/forwarder/forward_balancer_process.cpp
@@ -278,7 +278,7 @@
     const balancer_program_settings &Changed) {
   Settings.Grace = Changed.Grace;
   Directory.addPeers(peersOf(Changed));
-  Log.record(event_kind::SettingsReloaded, "grace and seeds are taken over");
+  Log.record(event_kind::SettingsReloaded, "applied grace and seeds");
 }
 
 void forward_balancer_process::shutDown() {
--- a/daemons/forwarder/process_pages.h
+++ b/daemons/forwarder/process_pages.h
@@ -14,7 +14,8 @@
 
 namespace marjoramrail::daemons {
 
-/// Answers readiness probes with 200 while \p Ready returns true, else 503.
+/// Answers readiness probes with 200 while \p Ready returns true and with 503
+/// otherwise.
 status_page::hooks readyHooks(const site_adapter &Adapter,
                               std::function<bool()> Ready);
 
--- a/daemons/marjoramctl/flow_trace.cpp
+++ b/daemons/marjoramctl/flow_trace.cpp
@@ -97,7 +97,7 @@
   int Relayed = 0;
   int Refused = 0;
   int Unknown = 0;
-  std::string End = "it lives, as far as the events go";
+  std::string End = "none recorded, the flow may still be open";
 
   void take(const timeline_event &Event);
   std::string text(const std::string &Flow) const;
@@ -148,7 +148,7 @@
     End = "closed" + Why;
     break;
   case event_kind::FlowSilent:
-    End = "closed since it had gone silent" + Why;
+    End = "closed because it was unresponsive" + Why;
     break;
   default:
     break;
--- a/test/daemons/allow_list_test.cpp
+++ b/test/daemons/allow_list_test.cpp
@@ -13,7 +13,8 @@
 }
 
 TEST_CASE("allow_list allows the hosts of its networks and no others") {
-  // A host outside could announce itself as a target and draw callers to it.
+  // Any other host could register itself as a target and receive callers'
+  // traffic.
   const std::vector<std::string> Networks = {"10.1.0.0/16", "192.0.2.7"};
 
   CHECK(allows(Networks, "10.1.255.3"));
@@ -24,7 +25,7 @@
   CHECK(allows({"0.0.0.0/0"}, "203.0.113.9"));
 }
 
-TEST_CASE("allow_list refuses what is no network") {
+TEST_CASE("allow_list rejects an invalid network") {
   for (const char *Text : {"10.1.0.0/33", "10.1.0.0/", "10.1.0.0/x", "10.1/16",
                            "", "10.1.0.0/16/2"})
     CHECK(failureOf([&]() -> result<void> {
--- a/test/daemons/callback_log_test.cpp
+++ b/test/daemons/callback_log_test.cpp
@@ -33,8 +33,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(callback_fixture,
-                  "a turn that holds packets up gets a line") {
+TEST_CASE_FIXTURE(callback_fixture, "a long callback is logged") {
   Callbacks.take(
       {turn_kind::DecodeRoutes, 4200, milliseconds(300), milliseconds(12)});
 
@@ -43,7 +42,8 @@
   CHECK(logged("\"took_ms\":300"));
 }
 
-TEST_CASE_FIXTURE(callback_fixture, "a short turn is only counted") {
+TEST_CASE_FIXTURE(callback_fixture,
+                  "a short callback is counted but not logged") {
   Callbacks.take({turn_kind::CallerPackets, 3, milliseconds(1), {}});
 
   CHECK(Log.recent().empty());
@@ -52,11 +52,10 @@
       std::string::npos);
 }
 
-TEST_CASE_FIXTURE(callback_fixture,
-                  "a transfer that was given up gets a line") {
-  // A large answer comes in part and is asked for anew, again and again.
-  // Without a line a balancer that never gets the newest configuration looks
-  // well.
+TEST_CASE_FIXTURE(callback_fixture, "an aborted transfer is logged") {
+  // A large answer arrives only in part and is requested repeatedly. If this
+  // were not logged, a balancer that never gets the newest configuration would
+  // look healthy.
   Callbacks.take(
       callOf(966580, milliseconds(2400), platform_outcome::Unavailable));
 
@@ -65,7 +64,7 @@
   CHECK(logged("966580"));
 }
 
-TEST_CASE_FIXTURE(callback_fixture, "a usual call gets no line") {
+TEST_CASE_FIXTURE(callback_fixture, "an ordinary call is not logged") {
   Callbacks.take(callOf(300, milliseconds(4), platform_outcome::Ok));
 
   CHECK(Log.recent().empty());
--- a/test/daemons/marjoramctl/apply_test.cpp
+++ b/test/daemons/marjoramctl/apply_test.cpp
@@ -30,7 +30,7 @@
   CHECK(Test.Store.list("service").Objects.size() == 2);
 }
 
-TEST_CASE("apply leaves an object alone that stands as it is") {
+TEST_CASE("apply does not write an unchanged object") {
   fake_site Test;
   Test.Files["site.json"] = Site;
   Test.run(runApply, {"site.json"});
@@ -41,9 +41,9 @@
   CHECK(Test.Store.version() == 3);
 }
 
-TEST_CASE("apply writes nothing of a file with one fault in it") {
-  // One object of a site's file is wrong. Were the others written, half a
-  // change would be in force until someone came by.
+TEST_CASE("apply writes nothing if one object of a file is invalid") {
+  // One object of a site's file is invalid. If the others were written, half of
+  // a change would be in effect until an operator noticed.
   fake_site Test;
   Test.Files["site.json"] = "[" + Zone + "," + service("ledger", 1) + "," +
                             service("archive", 2, R"(,"slots_per_target":0)") +
@@ -58,7 +58,7 @@
   CHECK(Test.printedError("nothing was applied"));
 }
 
-TEST_CASE("apply checks objects against those that stand") {
+TEST_CASE("apply checks objects against the stored ones") {
   fake_site Test;
   Test.Files["site.json"] = Site;
   Test.run(runApply, {"site.json"});
@@ -75,9 +75,9 @@
   CHECK(Test.Store.version() == 3);
 }
 
-TEST_CASE("of two operators who race one gets a conflict with the other's") {
-  // Both read version 2 of ledger. The second write must not undo the first
-  // one's change, and its operator must see what the first one wrote.
+TEST_CASE("of two concurrent writers one gets a conflict with the other's") {
+  // Both operators read version 2 of ledger. The second write must not
+  // overwrite the first, and its operator must see what the first one wrote.
   fake_site Test;
   Test.Files["site.json"] = Site;
   Test.run(runApply, {"site.json"});
@@ -93,7 +93,7 @@
   CHECK(Test.printedError(R"({"theirs":1})"));
 }
 
-TEST_CASE("apply with --if-version refuses a version that has gone") {
+TEST_CASE("apply with --if-version refuses an outdated version") {
   fake_site Test;
   Test.Files["site.json"] = Site;
   Test.run(runApply, {"site.json"});
@@ -108,8 +108,8 @@
 }
 
 TEST_CASE("apply reads back when the answer to a write is lost") {
-  // The write took effect, the answer did not come. An operator who is told
-  // "failed" applies again and may undo a colleague's change.
+  // The write took effect, but its answer was lost. An operator who is told
+  // "failed" would apply again and might undo a colleague's change.
   fake_site Test;
   Test.Files["zone.json"] = Zone;
   Test.LoseAnswers = 1;
@@ -121,7 +121,7 @@
   CHECK(Test.Changes == 1);
 }
 
-TEST_CASE("apply sends a write again that was lost on its way") {
+TEST_CASE("apply repeats a write whose request was lost") {
   fake_site Test;
   Test.Files["zone.json"] = Zone;
   Test.LoseRequests = 2;
@@ -132,8 +132,8 @@
   CHECK(Test.Changes == 3);
 }
 
-TEST_CASE("apply tells when the outcome cannot be found out") {
-  // The platform goes down between the write and the read-back and stays so.
+TEST_CASE("apply reports an outcome that cannot be determined") {
+  // The platform goes down between the write and the read-back and stays down.
   fake_site Test;
   Test.Files["zone.json"] = Zone;
   Test.LoseAnswers = 1;
@@ -143,9 +143,9 @@
   CHECK(Test.printedError("write-platform zone/brugge: unknown"));
 }
 
-TEST_CASE("apply tells which objects stand when a later write fails") {
-  // The platform goes down in the middle of a file. The operator must know
-  // what is in force now.
+TEST_CASE("apply reports which objects were written when a later write fails") {
+  // The platform goes down while a file is applied. The operator must know
+  // which of its objects are now in effect.
   fake_site Test;
   Test.Files["site.json"] = Site;
   Test.BeforeChange = [&] { Test.BeforeChange = [&] { Test.Down = true; }; };
@@ -157,7 +157,7 @@
       "service/archive"));
 }
 
-TEST_CASE("apply refuses an object that stands in two files") {
+TEST_CASE("apply refuses an object that is in two files") {
   fake_site Test;
   Test.Files["a.json"] = Zone;
   Test.Files["b.json"] = Zone;
--- a/test/daemons/marjoramctl/command_line_test.cpp
+++ b/test/daemons/marjoramctl/command_line_test.cpp
@@ -13,7 +13,7 @@
   return Failure ? Failure->Reason : "";
 }
 
-TEST_CASE("every verb has a help that names its flags") {
+TEST_CASE("the help of every verb lists its flags") {
   for (const verb_entry &Verb : verbs()) {
     const auto Command = readCommand({std::string(Verb.Name), "--help"});
     REQUIRE(Command);
@@ -47,7 +47,7 @@
         std::string::npos);
 }
 
-TEST_CASE("readCommand names what it does not take") {
+TEST_CASE("readCommand names the invalid word") {
   CHECK(faultOf({}).find("expected a verb") == 0);
   CHECK(faultOf({"aply"}).find("there is no verb aply") == 0);
   CHECK(faultOf({"get", "--wait"}).find("get takes no flag --wait") == 0);
--- a/test/daemons/marjoramctl/end_to_end_test.cpp
+++ b/test/daemons/marjoramctl/end_to_end_test.cpp
@@ -17,7 +17,7 @@
   {"kind": "service", "name": "ledger", "spec": {
     "number": 1, "address": "10.77.0.1:443", "zones": ["brugge"]}}])";
 
-/// Verbs over real sockets: client and server on one loop.
+/// Runs verbs over real sockets, with client and server on one event loop.
 class whole_site {
 public:
   whole_site() : Core({}, 1), Server(Loop, Core) {
@@ -71,9 +71,9 @@
 
 } // namespace
 
-TEST_CASE("apply over the network finds out what became of lost answers") {
-  // Every answer to a write is lost on its way, though the writes take effect.
-  // The operator is still told the truth, and nothing is written twice.
+TEST_CASE("apply over the network resolves lost answers") {
+  // All answers to writes are lost although the writes take effect. The
+  // operator still gets the correct outcome, and nothing is written twice.
   whole_site Test;
   Test.fault(R"({"lose_answers_percent": 100})");
   ctl_options Options;
@@ -87,7 +87,7 @@
                        "service/ledger applied, version 2\n");
 }
 
-TEST_CASE("a platform that is down is told with its address") {
+TEST_CASE("a platform that is down is reported with its address") {
   whole_site Test;
   Test.Server.close();
   Test.Client.emplace(
@@ -100,7 +100,7 @@
                        "127.0.0.1:1 takes no connection\n");
 }
 
-TEST_CASE("timeline over the network names the process that does not answer") {
+TEST_CASE("timeline over the network names a process that does not respond") {
   whole_site Test;
   ctl_options Options;
   Options.From = {{0x7f000001, 1}};
@@ -111,7 +111,7 @@
         std::string::npos);
 }
 
-TEST_CASE("fetchPage brings the body of a page") {
+TEST_CASE("fetchPage returns the body of a page") {
   whole_site Test;
   std::optional<std::string> Body;
 
--- a/test/daemons/marjoramctl/fake_site.h
+++ b/test/daemons/marjoramctl/fake_site.h
@@ -1,8 +1,8 @@
-//===- fake_site.h - A platform and a terminal without a network *- C++ -*-===//
+//===- fake_site.h - A fake platform and terminal ---------------*- C++ -*-===//
 ///
 /// \file
-/// Runs a verb against the platform stand-in's pure store, with hand-turned
-/// time and faults that a test plans.
+/// Runs a verb against the in-memory store of the platform stand-in, with
+/// simulated time and injected faults.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,7 +21,7 @@
 public:
   fake_site() : Context(makeContext()) {}
 
-  /// Runs a verb to its end, at most ten minutes of hand-turned time.
+  /// Runs a verb until it ends, for at most ten minutes of simulated time.
   std::optional<exit_code> run(const verb_function &Verb,
                                ctl_options Options = {}) {
     std::optional<exit_code> Code;
@@ -72,7 +72,8 @@
   std::map<endpoint, std::string> Pages;
   std::string Output;
   std::string Errors;
-  /// Answers of the next changes that get lost, after or before their effect.
+  /// How many of the next changes lose their answer (after taking effect) or
+  /// their request (before).
   int LoseAnswers = 0;
   int LoseRequests = 0;
   bool Down = false;
--- a/test/daemons/marjoramctl/read_verbs_test.cpp
+++ b/test/daemons/marjoramctl/read_verbs_test.cpp
@@ -8,7 +8,7 @@
 static const std::string Ledger =
     R"({"number":1,"address":"10.77.0.1:443","zones":["brugge"]})";
 
-TEST_CASE("get prints an object in the form that apply reads") {
+TEST_CASE("get prints an object in a form that apply can read") {
   fake_site Test;
   Test.put("service", "ledger", Ledger);
 
@@ -20,7 +20,7 @@
   CHECK(Objects->at(0).Name == "ledger");
 }
 
-TEST_CASE("get and delete tell what is not there") {
+TEST_CASE("get and delete report a missing object") {
   fake_site Test;
 
   CHECK(Test.run(runGet, {"service", "ledger"}) == exit_code::Refused);
@@ -29,7 +29,7 @@
   CHECK(Test.run(runDelete, {"service-status", "x"}) == exit_code::Refused);
 }
 
-TEST_CASE("a platform that is down gives its own exit code") {
+TEST_CASE("a platform that is down has an exit code of its own") {
   fake_site Test;
   Test.Down = true;
 
@@ -47,7 +47,7 @@
   CHECK(Test.printed("NAME    VERSION  WRITER\nbrugge  1        other\n"));
 }
 
-TEST_CASE("delete is certain although its answer is lost") {
+TEST_CASE("delete confirms its outcome when the answer is lost") {
   fake_site Test;
   Test.put("service", "ledger", Ledger);
   Test.LoseAnswers = 1;
@@ -58,7 +58,7 @@
   CHECK(Test.body("service", "ledger").empty());
 }
 
-TEST_CASE("watch prints changes of one kind and lives through an outage") {
+TEST_CASE("watch prints changes of one kind and continues after an outage") {
   fake_site Test;
   Test.put("zone", "brugge", "{}");
   Test.put("service", "ledger", Ledger);
@@ -79,9 +79,9 @@
   CHECK(Test.printedError("watch-platform service/*: unavailable"));
 }
 
-TEST_CASE("watch does not go back when the platform answers with old state") {
-  // A replica that has fallen behind answers: its state would be printed as if
-  // it were news.
+TEST_CASE("watch ignores outdated state") {
+  // A replica that lags behind answers. Its old state must not be printed as
+  // new changes.
   fake_site Test;
   Test.put("service", "ledger", "[1]");
   Test.put("service", "ledger", "[2]");
@@ -117,7 +117,7 @@
   CHECK(Test.printed("ledger-3: 0 flows, 0 requests, safe to stop the VM"));
 }
 
-TEST_CASE("drain gives up waiting after its time and leaves the drain") {
+TEST_CASE("drain stops waiting after --for_seconds and keeps the drain") {
   fake_site Test;
   ctl_options Options;
   Options.Arguments = {"ledger-3"};
@@ -133,7 +133,7 @@
   CHECK(Test.body("drain", "ledger-3").empty());
 }
 
-TEST_CASE("status shows where a service is in force and who lags") {
+TEST_CASE("status shows where a service is in effect and which nodes lag") {
   fake_site Test;
   Test.put("service", "ledger", Ledger);
   service_status Status;
@@ -158,9 +158,9 @@
   CHECK(Test.run(runStatus, {"nothing"}) == exit_code::Refused);
 }
 
-TEST_CASE("watch goes on from the present when the history is gone") {
-  // The platform has dropped its history while an operator's terminal was
-  // closed. A watch that asked for it again and again would show nothing.
+TEST_CASE("watch continues from the current version when the history is lost") {
+  // The platform dropped its history while an operator's terminal was
+  // suspended. A watch that kept requesting the old changes would show nothing.
   fake_site Test;
   Test.put("service", "ledger", "{}");
   int Gone = 1;
--- a/test/daemons/marjoramctl/timeline_test.cpp
+++ b/test/daemons/marjoramctl/timeline_test.cpp
@@ -23,7 +23,8 @@
   return toJsonLine(Event) + "\n";
 }
 
-/// Two files and a page, out of order, with a line cut off by a kill.
+/// Two files and a page whose events are out of order, with one truncated line
+/// of a killed process.
 static void fill(fake_site &Test) {
   Test.Files["agent-1.log"] =
       line(4, "ledger-1", event_kind::FlowAccepted, Flow, "first choice") +
@@ -38,9 +39,9 @@
            "second choice");
 }
 
-TEST_CASE("timeline merges files and pages and leaves out broken lines") {
-  // A process was killed in the middle of a line; what the others recorded
-  // must still be told.
+TEST_CASE("timeline merges files and pages and skips invalid lines") {
+  // A process was killed while it wrote a line. The events of the others must
+  // still be printed.
   fake_site Test;
   fill(Test);
   ctl_options Options;
@@ -84,7 +85,7 @@
                      "target-down ledger: ledger-1 is silent"));
 }
 
-TEST_CASE("timeline tells of processes that do not answer, and goes on") {
+TEST_CASE("timeline reports processes that do not respond and continues") {
   fake_site Test;
   fill(Test);
   ctl_options Options;
@@ -107,19 +108,18 @@
   Routed.Flow = Flow;
   Routed.Why = "by balancer 127.0.0.1:4000, view 7, choice 1 of 4";
 
-  const std::vector<std::string> Story = explainFlow({Routed}, Flow);
+  const std::vector<std::string> Trace = explainFlow({Routed}, Flow);
 
-  REQUIRE(!Story.empty());
+  REQUIRE(!Trace.empty());
   const std::string Text =
-      std::accumulate(Story.begin(), Story.end(), std::string());
+      std::accumulate(Trace.begin(), Trace.end(), std::string());
   CHECK(Text.find("routed by balancer 127.0.0.1:4000, view 7") !=
         std::string::npos);
 }
 
-TEST_CASE(
-    "timeline finds a request's flow and what its processes went through") {
-  // A caller complains with nothing but its request's id. The target's agent
-  // had just lost its target.
+TEST_CASE("timeline finds a request's flow and the events of its processes") {
+  // A caller reports a failed request by its id only. The target had stopped
+  // shortly before, and its agent logged that.
   timeline_event Seen;
   Seen.What = event_kind::RequestSeen;
   Seen.Process = "agent-1";
@@ -143,9 +143,9 @@
 
   CHECK(flowOfRequest(Events, "ab12") == Flow);
   CHECK_FALSE(flowOfRequest(Events, "cd34"));
-  const std::vector<std::string> Story = explainFlow(Events, Flow);
+  const std::vector<std::string> Trace = explainFlow(Events, Flow);
   const std::string Text =
-      std::accumulate(Story.begin(), Story.end(), std::string());
+      std::accumulate(Trace.begin(), Trace.end(), std::string());
   CHECK(Text.find("end: reset by agent-1 (target gone)") != std::string::npos);
   CHECK(Text.find("agent-1 target-gone") != std::string::npos);
   CHECK(Text.find("agent-2") == std::string::npos);
--- a/test/daemons/store_calls_test.cpp
+++ b/test/daemons/store_calls_test.cpp
@@ -16,9 +16,9 @@
 
 } // namespace
 
-TEST_CASE("calls are counted by what they are for") {
-  // The store's rates are the whole site's. When they run out, whoever looks
-  // has to see which part of the system spends them.
+TEST_CASE("store calls are counted by purpose") {
+  // The whole site shares the store's rate limits. When they are exceeded, an
+  // operator must see which part of the system makes the calls.
   event_loop Loop;
   event_log Log{Loop, "balancer-1"};
   metrics Metrics;
@@ -32,7 +32,7 @@
         std::string::npos);
 }
 
-TEST_CASE("a client's own look at its calls goes on") {
+TEST_CASE("counting keeps the hook that a client already has") {
   event_loop Loop;
   event_log Log{Loop, "balancer-1"};
   metrics Metrics;
--- a/test/daemons/target_admission_test.cpp
+++ b/test/daemons/target_admission_test.cpp
@@ -33,29 +33,31 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(admission_fixture, "a new target waits until all know it") {
-  // Flows on a target that some balancers have not heard of would be reset by
-  // them.
+TEST_CASE_FIXTURE(admission_fixture,
+                  "a new target gets no flows until SettleTime is over") {
+  // Balancers that do not know the target yet would reset its flows.
   CHECK_FALSE(admitsAfter(10s));
   Admission.onStored(/*Existed=*/false, Start);
   CHECK_FALSE(admitsAfter(SettleTime - 1ms));
   CHECK(admitsAfter(SettleTime));
 }
 
-TEST_CASE_FIXTURE(admission_fixture, "a known target needs no wait") {
+TEST_CASE_FIXTURE(admission_fixture,
+                  "a target found in the store gets flows at once") {
   Admission.onStored(/*Existed=*/true, Start);
   CHECK(admitsAfter(0s));
 }
 
-TEST_CASE_FIXTURE(admission_fixture,
-                  "a balancer's word stands for the store's") {
+TEST_CASE_FIXTURE(
+    admission_fixture,
+    "a balancer's report of the registration replaces the store's") {
   Admission.onRegistered(Start);
   CHECK(admitsAfter(0s));
 }
 
 TEST_CASE_FIXTURE(admission_fixture,
-                  "an entry that was taken out waits again") {
-  // The VM was cut off for so long that it counted as dead.
+                  "a target whose entry was removed waits again") {
+  // The VM was unreachable for so long that it was marked dead.
   Admission.onStored(/*Existed=*/true, Start);
   Admission.onUnregistered();
   CHECK_FALSE(admitsAfter(10s));
@@ -64,7 +66,7 @@
   CHECK(admitsAfter(10s + SettleTime));
 }
 
-TEST_CASE_FIXTURE(admission_fixture, "a draining target admits nothing") {
+TEST_CASE_FIXTURE(admission_fixture, "a draining target gets no new flows") {
   Admission.onStored(/*Existed=*/true, Start);
   report(/*Draining=*/true);
   CHECK_FALSE(admitsAfter(10s));
--- a/test/settings/committed_settings_test.py
+++ b/test/settings/committed_settings_test.py
@@ -3,9 +3,9 @@
 
 usage: committed_settings_test.py SOURCE_FOLDER BUILD_FOLDER
 
-They must be what scripts/make-settings writes, and every program must take its
-own. A daemon that refuses its settings would be found out only when a VM is
-replaced; an example that has fallen behind would be copied to one.
+They must equal what scripts/make-settings writes, and every program must accept
+its own. Otherwise a daemon that rejects its settings would be noticed only when
+a VM is replaced, and an outdated example would be copied to a VM.
 """
 import filecmp
 import json
@@ -23,7 +23,7 @@
 
 
 def differences(source, name):
-    """Names the files that differ from what the generator writes now."""
+    """Returns the files that differ from what the generator writes now."""
     with tempfile.TemporaryDirectory() as scratch:
         folder = os.path.join("settings", name)
         subprocess.run([os.path.join(source, "scripts/make-settings"), name,
@@ -67,8 +67,8 @@
     source, build = os.path.abspath(sys.argv[1]), os.path.abspath(sys.argv[2])
     faults = []
     for name in DEPLOYMENTS:
-        faults += ["settings/%s/%s is not what scripts/make-settings writes; "
-                   "mend by: scripts/make-settings %s settings/%s --records "
+        faults += ["settings/%s/%s differs from what scripts/make-settings "
+                   "writes; fix with: scripts/make-settings %s settings/%s --records "
                    "out/%s" % (name, path, name, name, name)
                    for path in differences(source, name)]
         faults += refusals(source, build, name)
