--- a/test/settings/committed_settings_test.py
+++ b/test/settings/committed_settings_test.py
@@ -68,8 +68,8 @@
     faults = []
     for name in DEPLOYMENTS:
         faults += ["settings/%s/%s differs from what scripts/make-settings "
-                   "writes; fix with: scripts/make-settings %s settings/%s --records "
-                   "out/%s" % (name, path, name, name, name)
+                   "writes; fix with: scripts/make-settings %s settings/%s "
+                   "--records out/%s" % (name, path, name, name, name)
                    for path in differences(source, name)]
         faults += refusals(source, build, name)
     for fault in faults:
