--- a/daemons/agent/agent_packets.cpp
+++ b/daemons/agent/agent_packets.cpp
@@ -7,7 +7,7 @@
     if (isPeerMessage(Datagram.Bytes))
       takePeerMessage(Datagram);
     else if (isFleetMessage(Datagram.Bytes))
-      Announcer.input(Datagram.From, Datagram.Bytes);
+      HeartbeatSender.input(Datagram.From, Datagram.Bytes);
     else
       takeRouted(Datagram);
   }
@@ -45,7 +45,8 @@
       Routed);
 }
 
-/// The balancer sends the flow's next packets here without a detour.
+/// Notifies the balancer of the flow's owner, so that it sends the flow's next
+/// packets directly to this agent.
 void agent_process::sendNotice(const routed_packet &Routed,
                                const flow_key &Flow) {
   if (Routed.Position == 0 || Routed.Balancer == endpoint())
@@ -57,15 +58,16 @@
   Socket.send(Routed.Balancer, {Buffer.data(), Size});
 }
 
-/// How a flow's first packet came here, for the time line.
-static std::string wayOf(const routed_packet &Came) {
-  std::string Way = "by balancer " + toText(Came.Balancer) + ", view " +
-                    std::to_string(Came.Version) + ", choice " +
-                    std::to_string(Came.Position + 1) + " of " +
-                    std::to_string(Came.Count);
+/// Describes how a flow's first packet was routed to this agent, for the
+/// timeline.
+static std::string traceOf(const routed_packet &Came) {
+  std::string Trace = "by balancer " + toText(Came.Balancer) + ", view " +
+                      std::to_string(Came.Version) + ", choice " +
+                      std::to_string(Came.Position + 1) + " of " +
+                      std::to_string(Came.Count);
   if (Came.has(routed_flag::HandedOn))
-    Way += ", handed on";
-  return Way;
+    Trace += ", handed on";
+  return Trace;
 }
 
 void agent_process::act(const packet_decision &Decision,
@@ -75,7 +77,7 @@
   switch (Decision.Action) {
   case packet_action::Deliver:
     if (Packet.opensFlow())
-      record(event_kind::FlowRouted, toText(Packet.Flow), wayOf(Came));
+      record(event_kind::FlowRouted, toText(Packet.Flow), traceOf(Came));
     Stack.input(Came.Packet);
     return sendNotice(Came, Packet.Flow);
   case packet_action::PassOn: {
--- a/daemons/agent/agent_process.cpp
+++ b/daemons/agent/agent_process.cpp
@@ -11,7 +11,7 @@
 using std::chrono::duration_cast;
 using std::chrono::system_clock;
 
-/// Keepalive probes before a flow counts as silent.
+/// Unanswered keepalive probes after which a flow is considered unresponsive.
 static constexpr unsigned SilentProbes = 3;
 
 static std::int64_t wallClockMs() {
@@ -36,7 +36,7 @@
       Socket(Loop, [this](auto Batch) { takeBatch(Batch); }),
       Stack(Loop.timers(), {.Seed = Seed},
             [this](auto Packet) { sendAnswer(Packet); }),
-      Announcer(Loop.timers(), announcerSettings(), announcerHooks()),
+      HeartbeatSender(Loop.timers(), heartbeatSettings(), heartbeatHooks()),
       RelayListener(Loop, [this](std::unique_ptr<tcp_stream> Stream) {
         acceptPeer(std::move(Stream));
       }) {
@@ -71,16 +71,16 @@
   Flow->keepAlive(Settings.SilentFlow / 2,
                   Settings.SilentFlow / 2 / SilentProbes, SilentProbes);
   record(event_kind::FlowAccepted, toText(Key), "");
-  auto OnOver = [this, Key](side_end End) { flowOver(Key, End); };
+  auto OnFlowEnd = [this, Key](side_end End) { onFlowEnded(Key, End); };
   if (Settings.Protocol == service_protocol::Tcp)
     Flows[Key] = std::make_unique<tcp_splice>(
-        Loop, std::move(Flow), Settings.Target, std::move(OnOver));
+        Loop, std::move(Flow), Settings.Target, std::move(OnFlowEnd));
   else
-    Flows[Key] =
-        std::make_unique<h2_side>(std::move(Flow), *Proxy, std::move(OnOver));
+    Flows[Key] = std::make_unique<h2_side>(std::move(Flow), *Proxy,
+                                           std::move(OnFlowEnd));
 }
 
-void agent_process::flowOver(const flow_key &Flow, side_end End) {
+void agent_process::onFlowEnded(const flow_key &Flow, side_end End) {
   record(event_kind::FlowClosed, toText(Flow), "");
   if (End == side_end::Closed)
     Owner->flowClosing(Flow, Loop.timers().now());
@@ -88,7 +88,7 @@
     Owner->flowGone(Flow);
   flow_side *Side = Flows.at(Flow).get();
   Loop.defer([this, Flow, Side] {
-    // The caller may have used its port again meanwhile.
+    // The caller may have reused its port for a new flow meanwhile.
     const auto Found = Flows.find(Flow);
     if (Found != Flows.end() && Found->second.get() == Side)
       Flows.erase(Found);
@@ -97,27 +97,29 @@
   });
 }
 
-/// New flows go elsewhere, callers are asked to leave, what runs is finished.
+/// New flows are routed to other hosts, callers are sent GOAWAY, and requests
+/// in progress are finished.
 void agent_process::drain(const std::string &Why) {
   if (std::exchange(Draining, true))
     return;
-  LOG(INFO) << "agent: drains " << Flows.size() << " flows, by " << Why;
+  LOG(INFO) << "agent: draining " << Flows.size() << " flows, requested by "
+            << Why;
   record(event_kind::TargetDraining, "", Why);
   DrainingSinceMs = wallClockMs();
   if (Owner) {
     Owner->drain();
     Proxy->drain();
   }
-  Announcer.sendNow();
+  HeartbeatSender.sendNow();
   for (auto &[Flow, Side] : Flows)
     Side->drain();
 }
 
-/// The operators took their drain back.
+/// The operators undid their drain.
 void agent_process::resume() {
   if (Stopping || !std::exchange(Draining, false))
     return;
-  LOG(INFO) << "agent: takes new work again";
+  LOG(INFO) << "agent: drain undone, accepting new flows again";
   record(event_kind::DrainUndone, "", "the fleet's view");
   Owner->resume();
   Proxy->resume();
@@ -140,7 +142,8 @@
   Stopping = true;
   drain("SIGTERM");
   Loop.timers().after(Settings.DrainBound, [this] {
-    LOG(WARNING) << "agent: stops with " << Flows.size() << " flows open";
+    LOG(WARNING) << "agent: stopping with " << Flows.size()
+                 << " flows still open";
     Loop.stop();
   });
   finishIfIdle();
@@ -152,8 +155,8 @@
   if (std::exchange(Finished, true))
     return;
   record(event_kind::DrainDone, "", "no flows left");
-  LOG(INFO) << "agent: drained";
-  // The last packets to callers and the word to the fleet leave first.
+  LOG(INFO) << "agent: drain finished, no flows left";
+  // Let the last packets to callers and the last heartbeat be sent first.
   Loop.timers().after(flow_owner::TickPeriod, [this] { Loop.stop(); });
 }
 
--- a/daemons/balancer/balancer_process.cpp
+++ b/daemons/balancer/balancer_process.cpp
@@ -5,9 +5,9 @@
 
 namespace marjoramrail::daemons {
 
-/// How often the core learns when the fleet was last heard; a small part of
-/// the least bound that settings allow.
-static constexpr duration HearingPeriod = std::chrono::milliseconds(200);
+/// How often the core is given the time of the last contact with the fleet; a
+/// small fraction of the smallest stale_seconds that the settings allow.
+static constexpr duration ContactReportPeriod = std::chrono::milliseconds(200);
 
 balancer_process::balancer_process(event_loop &Loop,
                                    const program_settings &Settings)
@@ -39,9 +39,9 @@
     return Opened.error();
   if (auto Opened = Status.open(Settings.StatusListen); !Opened)
     return Opened.error();
-  Loop.timers().every(HearingPeriod, [this] { passOnHearing(); });
+  Loop.timers().every(ContactReportPeriod, [this] { reportFleetContact(); });
   record(event_kind::ProcessStarted, "", "settings are in force");
-  LOG(INFO) << "balancer: " << Settings.Name << " takes packets on "
+  LOG(INFO) << "balancer: " << Settings.Name << " receiving packets on "
             << toText(Settings.FabricListen);
   return {};
 }
@@ -50,7 +50,7 @@
   Stopping = true;
   Fleet.node().stop();
   record(event_kind::ProcessStopping, "", "asked to stop");
-  LOG(INFO) << "balancer: stops after the grace period";
+  LOG(INFO) << "balancer: stopping after the grace period";
   Loop.timers().after(Settings.Grace, [this] { Loop.stop(); });
 }
 
@@ -59,11 +59,11 @@
   if (Port.core().setView(View) != view_outcome::Taken)
     return;
   const std::string Version = std::to_string(View.Version);
-  LOG(INFO) << "balancer: took view " << Version << " of " << View.Name;
+  LOG(INFO) << "balancer: applied view " << Version << " of " << View.Name;
   record(event_kind::ViewTaken, View.Name, "view " + Version);
 }
 
-void balancer_process::passOnHearing() {
+void balancer_process::reportFleetContact() {
   if (const std::optional<instant> Heard = Fleet.node().lastReceived())
     Port.core().heardOfFleet(*Heard);
 }
--- a/daemons/forwarder/turn_log.cpp
+++ b/daemons/forwarder/callback_log.cpp
@@ -1,10 +1,10 @@
-#include "turn_log.h"
+#include "callback_log.h"
 
 namespace marjoramrail::daemons {
 
-/// Callers' packets are late by as much.
+/// Callers' packets are delayed by the duration of a callback.
 static constexpr duration LongTurn = std::chrono::milliseconds(20);
-/// An answer later than this is out of the usual also on a slow store.
+/// An answer later than this is unusual even for a slow store.
 static constexpr duration SlowCall = std::chrono::milliseconds(500);
 static constexpr std::size_t LargeAnswerBytes = 64 * 1024;
 
@@ -16,15 +16,15 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(Time).count();
 }
 
-turn_log::turn_log(event_log &Log, metrics &Metrics)
+callback_log::callback_log(event_log &Log, metrics &Metrics)
     : Log(Log), Metrics(Metrics) {
   for (const auto &[What, Name] : CallbackKindNames)
-    TurnNames[static_cast<std::size_t>(What)] =
+    HistogramNames[static_cast<std::size_t>(What)] =
         "marjoramrail_turn_seconds_" + std::string(Name);
 }
 
-void turn_log::take(const callback_timing &Turn) {
-  Metrics.observe(TurnNames[static_cast<std::size_t>(Turn.What)],
+void callback_log::take(const callback_timing &Turn) {
+  Metrics.observe(HistogramNames[static_cast<std::size_t>(Turn.What)],
                   seconds(Turn.Took));
   if (Turn.Took < LongTurn || !Log.wants(event_kind::LongTurn))
     return;
@@ -37,7 +37,7 @@
   Log.record(std::move(Event));
 }
 
-void turn_log::take(const platform_call_end &End) {
+void callback_log::take(const platform_call_end &End) {
   const bool Failed = End.Outcome == platform_outcome::Unavailable ||
                       End.Outcome == platform_outcome::Unknown;
   const bool IsSlow = End.Took >= End.Wait + SlowCall;
@@ -57,16 +57,16 @@
   Log.record(std::move(Event));
 }
 
-callback_hook turn_log::onTurn() {
+callback_hook callback_log::onTurn() {
   return [this](const callback_timing &Turn) { take(Turn); };
 }
 
-std::function<void(const platform_call_end &)> turn_log::onCallEnd() {
+std::function<void(const platform_call_end &)> callback_log::onCallEnd() {
   return [this](const platform_call_end &End) { take(End); };
 }
 
 platform_client_settings watched(platform_client_settings Settings,
-                                 turn_log &Log) {
+                                 callback_log &Log) {
   Settings.OnTurn = Log.onTurn();
   Settings.OnCallEnd = Log.onCallEnd();
   return Settings;
--- a/daemons/forwarder/forward_agent_process.h
+++ b/daemons/forwarder/forward_agent_process.h
@@ -1,21 +1,22 @@
 //===- forward_agent_process.h - An agent beside its target -----*- C++ -*-===//
 ///
 /// \file
-/// Joins the forwarding core to the loop, beside a target that ends its flows
-/// itself: hears the target, announces it, decides when it gets new flows.
+/// Connects the forwarding core to the event loop and to a target that
+/// terminates its flows itself. Receives the target's reports, registers the
+/// target in the store and decides when it gets new flows.
 ///
 //===----------------------------------------------------------------------===//
 
 #ifndef MARJORAMRAIL_DAEMONS_FORWARDER_FORWARD_AGENT_PROCESS_H
 #define MARJORAMRAIL_DAEMONS_FORWARDER_FORWARD_AGENT_PROCESS_H
 
+#include "callback_log.h"
 #include "event_log.h"
 #include "forwarder_settings.h"
 #include "request_log.h"
 #include "site_adapter.h"
 #include "store_calls.h"
 #include "target_admission.h"
-#include "turn_log.h"
 
 namespace marjoramrail::daemons {
 
@@ -26,12 +27,14 @@
                         const site_adapter &Adapter);
 
   result<void> open();
-  /// Nothing in an agent's settings can change while its target lives.
+  /// An agent's settings cannot change while its target is running.
   void reload() {
-    Log.record(event_kind::SettingsReloaded, "nothing is taken over");
+    Log.record(event_kind::SettingsReloaded,
+               "agent settings cannot change at run time");
   }
-  /// Tells balancers to send no more and ends: the target's flows go on, and
-  /// the shorter the agent is away, the sooner they do.
+  /// Reports to the balancers that the target takes no new flows, then stops
+  /// the process. The target's flows survive and continue once an agent runs
+  /// again, so the process ends as soon as it can.
   void shutDown();
 
 private:
@@ -40,18 +43,18 @@
   std::optional<page_answer> onTargetCall(const page_request &Request);
   page_answer onReport(const target_report &Report);
   page_answer onLeave(const std::string &Id);
-  void onTargetBack(const char *Why);
-  void announce();
+  void onTargetRecovered(const char *Why);
+  void registerTarget();
   void withdraw();
   std::unique_ptr<flow_reporter> makeReporter();
-  void announceAgain();
-  void withdrawWhenGone();
-  void review(const char *Why);
+  void registerAgain();
+  void withdrawWhenStopped();
+  void updateAdmission(const char *Why);
   void armExpiry(std::optional<instant> Due);
   void endWhenDone();
-  void lookAtTarget();
-  void endLook();
-  void onTargetLooked(const std::string &Reason);
+  void probeTarget();
+  void endProbe();
+  void onProbeClosed(const std::string &Reason);
   status_page::hooks callsPage();
   status_page::hooks readyPage();
   forward_agent_hooks coreHooks();
@@ -64,7 +67,7 @@
   site_adapter Adapter;
   event_log Log;
   metrics Metrics;
-  turn_log Turns;
+  callback_log Callbacks;
   store_calls Calls;
   callback_hook OnTurn;
   request_log Requests;
@@ -75,17 +78,17 @@
   target_reports Reports;
   target_admission Admission;
   target_registrar Registrar;
-  /// Empty if the settings keep no flows.
+  /// Null if flow checkpoints are off in the settings.
   std::unique_ptr<flow_reporter> Flows;
   status_page CallsPage;
   status_page ReadyPage;
   status_page MetricsPage;
-  std::unique_ptr<tcp_stream> Look;
+  std::unique_ptr<tcp_stream> TargetProbe;
   bool ExpiryArmed = false;
-  timer_id LookTimer{};
+  timer_id ProbeTimer{};
   instant LastFromTarget;
   bool Stopping = false;
-  /// The target has left, and its entry goes.
+  /// The target has stopped, and its entry is being removed from the store.
   bool Withdrawn = false;
   instant StopBy;
   std::uint64_t &Malformed;
--- a/daemons/forwarder/forward_balancer_process.cpp
+++ b/daemons/forwarder/forward_balancer_process.cpp
@@ -5,25 +5,27 @@
 
 namespace {
 
-/// The site takes a balancer out of rotation after two probes, half a second
-/// apart, that were not answered; until then it sends callers' packets.
+/// The site takes a balancer out of rotation after two failed readiness probes,
+/// half a second apart. Until then callers' packets still arrive.
 constexpr duration LeaveRotation = std::chrono::milliseconds(1600);
-/// No packet for so long: the rotation has moved on.
+/// If no packet arrives for this long, the balancer is out of rotation.
 constexpr duration QuietTime = std::chrono::milliseconds(400);
 constexpr duration QuietCheck = std::chrono::milliseconds(100);
-/// Kept back from the grace period for the process's own end.
+/// Part of the grace period that is reserved for ending the process.
 constexpr duration EndMargin = std::chrono::milliseconds(500);
-/// Peers are a few milliseconds away; a silent one must not hold up the next.
+/// Peers answer within a few milliseconds. One that does not respond must not
+/// delay the attempt with the next peer.
 constexpr duration PeerTimeout = std::chrono::seconds(1);
 
-/// Where balancers copy objects from each other. Not the path of the object
-/// API: an older program asks there and cannot read the short form of a
-/// configuration. It would take the copy for known and stay with its old routes
-/// while a fleet is updated, seen by `routes-refused`; so it finds nothing and
-/// asks the store.
+/// The path at which balancers copy objects from each other. It differs from
+/// the path of the object API, which older versions of the program request from
+/// their peers. They cannot read the short form of a configuration: they would
+/// consider the copy as loaded and keep their old routes during a rolling
+/// update (event `routes-refused`). With a different path they get no copy and
+/// read from the store.
 const std::string CopiesPath = "/v1/copies/";
 
-/// The object API under CopiesPath.
+/// The dialect of the object API, with paths under CopiesPath.
 platform_dialect peerDialect() {
   platform_dialect Dialect = objectDialect();
   Dialect.Request = [Plain = Dialect.Request](const platform_call &Call) {
@@ -34,7 +36,7 @@
   return Dialect;
 }
 
-/// Every balancer of a site listens for its peers on the same port.
+/// The seeds' peer endpoints. All balancers of a site use the same peer port.
 std::vector<endpoint> peersOf(const balancer_program_settings &Settings) {
   std::vector<endpoint> Peers;
   for (const endpoint &Seed : Settings.Seeds)
@@ -50,7 +52,7 @@
   Directory.Self = Settings.PeersListen;
   Directory.Seeds = peersOf(Settings);
   Directory.FlowLife = Settings.FlowLife;
-  Directory.DisabledMechanisms = Settings.Without;
+  Directory.DisabledMechanisms = Settings.DisabledMechanisms;
   return Directory;
 }
 
@@ -65,18 +67,19 @@
     event_loop &Loop, const balancer_program_settings &Settings,
     const site_adapter &Adapter)
     : Loop(Loop), Settings(Settings), Adapter(Adapter),
-      Log(Loop, Settings.Name), Turns(Log, Metrics), Calls(Loop, Log, Metrics),
-      OnTurn(Turns.onTurn()),
+      Log(Loop, Settings.Name), Callbacks(Log, Metrics),
+      Calls(Loop, Log, Metrics), OnTurn(Callbacks.onTurn()),
       Callers(Loop, [this](auto Batch) { onCallers(Batch); }),
       Peers(Loop, [this](auto Batch) { onPeers(Batch); }),
-      Store(Loop, counted(watched(storeSettings(Settings.Name, Settings.Store,
-                                                Adapter, Settings.Without),
-                                  Turns),
-                          Calls)),
+      Store(Loop,
+            counted(watched(storeSettings(Settings.Name, Settings.Store,
+                                          Adapter, Settings.DisabledMechanisms),
+                            Callbacks),
+                    Calls)),
       Core({.Self = Settings.PeersListen,
             .Zone = Settings.Zone,
             .FlowLife = Settings.FlowLife,
-            .DisabledMechanisms = Settings.Without},
+            .DisabledMechanisms = Settings.DisabledMechanisms},
            Adapter.Codec, coreHooks()),
       Directory(Loop.timers(), storeApis(Store), directorySettings(Settings),
                 directoryHooks()),
@@ -97,7 +100,7 @@
   Hooks.SendToAgent = [this](const endpoint &Agent, bytes_view Bytes) {
     Peers.send(Agent, Bytes);
   };
-  // Answers to callers go to the port at which their packets come in here.
+  // Callers receive answers on the port number of CallersListen.
   Hooks.SendToCaller = [this](const endpoint &Caller, bytes_view Bytes) {
     Callers.send({Caller.Address, Settings.CallersListen.Port}, Bytes);
   };
@@ -139,7 +142,7 @@
   flow_collector::hooks Hooks;
   Hooks.Agents = [this] {
     std::map<std::string, endpoint> Agents;
-    if (this->Settings.Without.has(mechanism::FlowCheckpoints))
+    if (this->Settings.DisabledMechanisms.has(mechanism::FlowCheckpoints))
       return Agents;
     for (const target_entry &Target : Directory.supervisedTargets())
       Agents[Target.Name] = Target.Agent;
@@ -154,8 +157,8 @@
   return Hooks;
 }
 
-/// Peers serve their copies in the product's own form of the object API, so one
-/// client reads both the store and them.
+/// Peers serve their copies through marjoramrail's own object API, so the
+/// client for the store can read them too.
 void forward_balancer_process::listFromPeer(const endpoint &Peer,
                                             const std::string &Kind,
                                             platform_callback Done) {
@@ -164,7 +167,8 @@
   Client.Writer = Settings.Name;
   Client.Timeout = PeerTimeout;
   Client.Dialect = peerDialect();
-  PeerClient = std::make_unique<platform_client>(Loop, watched(Client, Turns));
+  PeerClient =
+      std::make_unique<platform_client>(Loop, watched(Client, Callbacks));
   PeerClient->api().List(Kind, std::move(Done));
 }
 
@@ -184,8 +188,8 @@
       return page_answer{503, ""};
     return page_answer{200, *List};
   };
-  addInsight(Hooks, Log,
-             [this] { return Core.statusJson(Loop.timers().now()); });
+  addStatusPages(Hooks, Log,
+                 [this] { return Core.statusJson(Loop.timers().now()); });
   return Hooks;
 }
 
@@ -233,7 +237,8 @@
     return Opened.error();
   Loop.timers().every(forward_balancer::TickPeriod,
                       [this] { Core.tick(Loop.timers().now()); });
-  Log.record(event_kind::ProcessStarted, startReason(Settings.Without));
+  Log.record(event_kind::ProcessStarted,
+             startReason(Settings.DisabledMechanisms));
   Directory.start();
   Flows.start();
   return {};
@@ -274,7 +279,7 @@
     const balancer_program_settings &Changed) {
   Settings.Grace = Changed.Grace;
   Directory.addPeers(peersOf(Changed));
-  Log.record(event_kind::SettingsReloaded, "grace and seeds are taken over");
+  Log.record(event_kind::SettingsReloaded, "applied grace and seeds");
 }
 
 void forward_balancer_process::shutDown() {
--- a/daemons/forwarder/forward_balancer_process.h
+++ b/daemons/forwarder/forward_balancer_process.h
@@ -1,18 +1,19 @@
-//===- forward_balancer_process.h - A balancer's sockets --------*- C++ -*-===//
+//===- forward_balancer_process.h - A forwarding balancer -------*- C++ -*-===//
 ///
 /// \file
-/// Joins the forwarding core and the directory to the loop, on an entry VM.
+/// Connects the forwarding core and the directory to the event loop and the
+/// sockets of an entry VM.
 ///
 //===----------------------------------------------------------------------===//
 
 #ifndef MARJORAMRAIL_DAEMONS_FORWARDER_FORWARD_BALANCER_PROCESS_H
 #define MARJORAMRAIL_DAEMONS_FORWARDER_FORWARD_BALANCER_PROCESS_H
 
+#include "callback_log.h"
 #include "event_log.h"
 #include "forwarder_settings.h"
 #include "site_adapter.h"
 #include "store_calls.h"
-#include "turn_log.h"
 
 namespace marjoramrail::daemons {
 
@@ -22,11 +23,12 @@
                            const balancer_program_settings &Settings,
                            const site_adapter &Adapter);
 
-  /// Opens the sockets and starts to learn routes and targets.
+  /// Opens the sockets and starts to load routes and targets.
   result<void> open();
-  /// Leaves the rotation, forwards until packets have stopped coming, ends.
+  /// Reports not ready so that the site takes this balancer out of rotation,
+  /// forwards until no more packets arrive, then stops the loop.
   void shutDown();
-  /// Says what a changed settings file changes while the process runs.
+  /// Applies those settings that may change while the process runs.
   void reload(const balancer_program_settings &Settings);
 
 private:
@@ -48,7 +50,7 @@
   site_adapter Adapter;
   event_log Log;
   metrics Metrics;
-  turn_log Turns;
+  callback_log Callbacks;
   store_calls Calls;
   callback_hook OnTurn;
   udp_socket Callers;
--- a/daemons/marjoramctl/flow_story.cpp
+++ b/daemons/marjoramctl/flow_trace.cpp
@@ -1,4 +1,4 @@
-#include "flow_story.h"
+#include "flow_trace.h"
 #include "printing.h"
 
 #include <algorithm>
@@ -11,7 +11,8 @@
   return Wanted.empty() || Wanted == Value;
 }
 
-/// A host is meant where it acted as well as where it was acted on.
+/// A host matches both as the process that recorded an event and as the host
+/// that the event is about.
 bool event_filter::passes(const timeline_event &Event) const {
   return matches(Service, Event.Service) && matches(Flow, Event.Flow) &&
          (matches(Host, Event.Host) || Host == Event.Process);
@@ -38,9 +39,9 @@
   return Line + Figures.str();
 }
 
-/// Events of a process itself, or of the target beside it, that explain what
-/// became of its flows.
-static bool tellsOfProcess(event_kind What) {
+/// Whether an event of a process or of its target can explain what happened to
+/// its flows.
+static bool isProcessEvent(event_kind What) {
   switch (What) {
   case event_kind::ProcessStarted:
   case event_kind::ProcessStopping:
@@ -59,12 +60,12 @@
   }
 }
 
-/// What happened to a flow's processes this long before its first event and
-/// after its last one belongs to its story: a restart is told seconds after the
-/// flow has fallen silent.
-static constexpr std::int64_t AroundMs = 4000;
+/// Events of a flow's processes this long before the flow's first event and
+/// after its last one are part of its trace. A restart, for example, is logged
+/// seconds after the flow's last event.
+static constexpr std::int64_t ContextMs = 4000;
 
-/// Events that change where flows of a service go.
+/// Whether an event changes to which targets flows of a service are routed.
 static bool changesRouting(event_kind What) {
   switch (What) {
   case event_kind::ViewTaken:
@@ -87,16 +88,16 @@
 
 namespace {
 
-/// What the flow's own events amount to.
+/// A summary of the flow's own events.
 struct flow_summary {
   std::string Service;
   std::string Owner;
-  std::string Way;
-  int HandedOn = 0;
+  std::string RoutingReason;
+  int PassedOn = 0;
   int Relayed = 0;
   int Refused = 0;
   int Unknown = 0;
-  std::string End = "it lives, as far as the events go";
+  std::string End = "none recorded, the flow may still be open";
 
   void take(const timeline_event &Event);
   std::string text(const std::string &Flow) const;
@@ -110,13 +111,13 @@
   const std::string Why = Event.Why.empty() ? "" : " (" + Event.Why + ")";
   switch (Event.What) {
   case event_kind::FlowRouted:
-    Way = Event.Why;
+    RoutingReason = Event.Why;
     break;
   case event_kind::FlowAccepted:
     Owner = Event.Host.empty() ? Event.Process : Event.Host;
     break;
   case event_kind::FlowHandedOn:
-    ++HandedOn;
+    ++PassedOn;
     break;
   case event_kind::RequestRelayed:
     ++Relayed;
@@ -147,7 +148,7 @@
     End = "closed" + Why;
     break;
   case event_kind::FlowSilent:
-    End = "closed since it had gone silent" + Why;
+    End = "closed because it was unresponsive" + Why;
     break;
   default:
     break;
@@ -157,8 +158,8 @@
 std::string flow_summary::text(const std::string &Flow) const {
   return "flow " + Flow + " of " + Service + ": " +
          (Owner.empty() ? "no owner recorded" : "owner " + Owner) +
-         (Way.empty() ? "" : ", routed " + Way) + ", handed on " +
-         std::to_string(HandedOn) + " times, requests " +
+         (RoutingReason.empty() ? "" : ", routed " + RoutingReason) +
+         ", handed on " + std::to_string(PassedOn) + " times, requests " +
          std::to_string(Relayed) + " relayed, " + std::to_string(Refused) +
          " refused, " + std::to_string(Unknown) + " unknown; end: " + End;
 }
@@ -177,7 +178,7 @@
     if (IsOwn(*It))
       Summary.take(*It);
   std::vector<std::string> Lines = {Summary.text(Flow)};
-  // The last change before the flow began is the one that routed it.
+  // The last change before the flow's first event determined its routing.
   const auto Routes = [&](const timeline_event &Event) {
     return changesRouting(Event.What) &&
            (Event.Service.empty() || Event.Service == Summary.Service);
@@ -192,17 +193,17 @@
   for (auto It = First; It != End; ++It)
     if (IsOwn(*It))
       Processes.insert(It->Process);
-  const std::int64_t From = First->WallMs - AroundMs;
-  const std::int64_t To = std::prev(End)->WallMs + AroundMs;
+  const std::int64_t From = First->WallMs - ContextMs;
+  const std::int64_t To = std::prev(End)->WallMs + ContextMs;
   for (auto It = Events.begin(); It != Events.end(); ++It) {
     const bool IsWithin = It >= First && It < End;
-    const bool IsAround = It->WallMs >= From && It->WallMs <= To;
+    const bool IsInContext = It->WallMs >= From && It->WallMs <= To;
     if (IsOwn(*It))
       Lines.push_back("  flow    " + toText(*It));
     else if (IsWithin && Routes(*It))
       Lines.push_back("  change  " + toText(*It));
-    else if (IsAround && Processes.contains(It->Process) &&
-             tellsOfProcess(It->What))
+    else if (IsInContext && Processes.contains(It->Process) &&
+             isProcessEvent(It->What))
       Lines.push_back("  process " + toText(*It));
   }
   return Lines;
--- a/daemons/marjoramctl/timeline_verb.cpp
+++ b/daemons/marjoramctl/timeline_verb.cpp
@@ -1,4 +1,4 @@
-#include "flow_story.h"
+#include "flow_trace.h"
 #include "verb.h"
 
 namespace marjoramrail::ctl {
@@ -43,14 +43,14 @@
     });
     if (!Failure)
       continue;
-    tell(Context, *Failure);
+    printFailure(Context, *Failure);
     return false;
   }
   return true;
 }
 
-/// A line that cannot be read is told and left out: one process that was
-/// killed in the middle of a line must not hide the others' events.
+/// A line that cannot be parsed is reported and left out. A process that was
+/// killed while it wrote a line must not hide the events of the others.
 void timeline_run::addLines(const std::string &Source,
                             const std::string &Text) {
   std::size_t Unreadable = 0;
@@ -60,7 +60,7 @@
     const std::string_view Line =
         std::string_view(Text).substr(Start, End - Start);
     Start = End + 1;
-    // Other lines of a log are none of ours.
+    // Skip other log lines, which are not events.
     if (Line.empty() || Line.front() != '{')
       continue;
     const auto Failure = failureOf([&]() -> result<void> {
@@ -72,9 +72,9 @@
       FirstReason = Failure->Reason;
   }
   if (Unreadable > 0)
-    tell(Context, {step::DecodeMessage, Source,
-                   std::to_string(Unreadable) +
-                       " lines left out, first: " + FirstReason});
+    printFailure(Context, {step::DecodeMessage, Source,
+                           std::to_string(Unreadable) +
+                               " lines left out, first: " + FirstReason});
 }
 
 void timeline_run::fetch(std::size_t Process) {
@@ -88,8 +88,8 @@
                       if (Body)
                         Self->addLines(marjoramrail::toText(Address), *Body);
                       else {
-                        // The others still tell their part.
-                        tell(Self->Context, Failure);
+                        // Continue with the other processes' events.
+                        printFailure(Self->Context, Failure);
                         Self->Code = exit_code::Unavailable;
                       }
                       Self->fetch(Process + 1);
@@ -101,8 +101,8 @@
   if (!Options.Request.empty()) {
     const auto Flow = flowOfRequest(Events, Options.Request);
     if (!Flow) {
-      tell(Context, {step::DecodeMessage, Options.Request,
-                     "no event names this request"});
+      printFailure(Context, {step::DecodeMessage, Options.Request,
+                             "no event names this request"});
       return Done(Code == exit_code::Ok ? exit_code::Refused : Code);
     }
     Options.Explain = *Flow;
@@ -112,8 +112,8 @@
     for (const std::string &Line : Lines)
       Context.Out(Line);
     if (Lines.empty()) {
-      tell(Context,
-           {step::DecodeMessage, Options.Explain, "no event names this flow"});
+      printFailure(Context, {step::DecodeMessage, Options.Explain,
+                             "no event names this flow"});
       return Done(Code == exit_code::Ok ? exit_code::Refused : Code);
     }
     return Done(Code);
--- a/daemons/marjoramctl/watch.cpp
+++ b/daemons/marjoramctl/watch.cpp
@@ -33,8 +33,8 @@
   ctl_context &Context;
   std::string Kind;
   std::string Name;
-  /// Only goes up: a platform that answers with old state would otherwise
-  /// bring changes again that were replaced long ago.
+  /// Only increases. Otherwise a platform that answers with outdated state
+  /// would cause changes to be printed again that were replaced long ago.
   std::uint64_t Since;
   std::optional<instant> End;
   finish Done;
@@ -57,11 +57,11 @@
       });
 }
 
-/// The platform no longer holds the changes asked for. The watch goes on from
-/// the present, and says so: what happened in between is not shown.
+/// The platform no longer has the requested changes. The watch continues from
+/// the current version and reports the gap, whose changes are not shown.
 void watch_run::skipToPresent(const platform_reply &Gone) {
-  tellReply(Context, step::WatchPlatform, {Kind.empty() ? "*" : Kind, "*"},
-            Gone);
+  printReplyFailure(Context, step::WatchPlatform,
+                    {Kind.empty() ? "*" : Kind, "*"}, Gone);
   Context.Platform.List(
       Kind, [Self = shared_from_this()](const platform_reply &Present) {
         if (Present.Outcome != platform_outcome::Ok)
@@ -75,9 +75,9 @@
   if (Reply.Outcome == platform_outcome::HistoryGone)
     return skipToPresent(Reply);
   if (Reply.Outcome != platform_outcome::Ok) {
-    // An outage does not end a watch; the line tells why nothing comes.
-    tellReply(Context, step::WatchPlatform, {Kind.empty() ? "*" : Kind, "*"},
-              Reply);
+    // An outage does not end a watch. The line explains why no changes appear.
+    printReplyFailure(Context, step::WatchPlatform,
+                      {Kind.empty() ? "*" : Kind, "*"}, Reply);
     const duration Pause =
         std::max<duration>(Reply.RetryAfter, std::chrono::milliseconds(200));
     Context.Timers.after(Pause, [Self = shared_from_this()] { Self->next(); });
