--- a/bench/balancer/main.cpp
+++ b/bench/balancer/main.cpp
@@ -55,7 +55,7 @@
   if (!Port.open({0x7f000001, 0}))
     return;
   Port.core().setView(viewTo(Agents.local()));
-  Port.core().heardOfFleet(Loop.timers().now());
+  Port.core().noteFleetContact(Loop.timers().now());
   std::vector<std::vector<std::uint8_t>> Packets;
   for (std::uint32_t I = 0; I < Flows; ++I)
     Packets.push_back(callerPacket(Ledger, I, Syn, Payload));
--- a/bench/routing/imbalance.cpp
+++ b/bench/routing/imbalance.cpp
@@ -30,14 +30,14 @@
 class churn_simulation {
 public:
   explicit churn_simulation(std::uint64_t Seed) : World(settings(Seed)) {
-    World.setMoving(true);
+    World.setReconnecting(true);
     constexpr std::uint32_t FlowsPerTurn = 10; // 1,000 per second
     for (std::uint32_t I = 0; I < Flows; ++I) {
       World.openFlow(I);
       if (I % FlowsPerTurn == FlowsPerTurn - 1)
-        World.pass(path_world::Turn);
+        World.advanceTime(path_world::Step);
     }
-    World.pass(seconds(5));
+    World.advanceTime(seconds(5));
   }
 
   path_world &world() { return World; }
@@ -56,12 +56,12 @@
   double advance(duration Time) {
     double Peak = 0;
     const double FlowsPerTurn = double(Flows) *
-                                double(path_world::Turn.count()) /
+                                double(path_world::Step.count()) /
                                 double(FlowLifetime.count());
-    for (duration Elapsed{}; Elapsed < Time; Elapsed += path_world::Turn) {
+    for (duration Elapsed{}; Elapsed < Time; Elapsed += path_world::Step) {
       for (Due += FlowsPerTurn; Due >= 1; --Due)
         renewOne();
-      World.pass(path_world::Turn);
+      World.advanceTime(path_world::Step);
       if (Elapsed % seconds(1) == duration(0))
         Peak = std::max(Peak, World.imbalance());
     }
@@ -74,7 +74,7 @@
     Settings.Seed = Seed;
     Settings.Hosts = Hosts;
     Settings.SendPeriod = seconds(10);
-    Settings.MostLag = seconds(2);
+    Settings.MaxViewLag = seconds(2);
     return Settings;
   }
 
@@ -118,7 +118,7 @@
   const auto Phase = [&](const std::string &Name, std::uint32_t Before,
                          std::uint32_t After,
                          const std::function<void()> &Change) {
-    const std::uint64_t BrokenBefore = World.verdict().BrokenPlanned;
+    const std::uint64_t BrokenBefore = World.outcome().BrokenPlanned;
     Change();
     const double Peak = Churning.advance(SettlePeriod);
     const double Settled = Churning.advance(Window);
@@ -129,7 +129,7 @@
     print("flow_imbalance_peak" + Key, Peak, "ratio");
     print("flow_imbalance_naive" + Key, Naive.Imbalance, "ratio");
     print("broken_flows_planned" + Key,
-          double(World.verdict().BrokenPlanned - BrokenBefore), "flows");
+          double(World.outcome().BrokenPlanned - BrokenBefore), "flows");
     print("broken_flows_naive" + Key, Naive.Broken, "flows");
   };
   Phase("open", Hosts, Hosts, [] {});
@@ -141,9 +141,9 @@
         "s");
   Phase("drain", Hosts + 1, Hosts, [&] { World.drainHost(0); });
   Phase("restart", Hosts, Hosts, [&] { World.restartHost(1); });
-  print("misrouted_" + Service, double(World.verdict().Misrouted), "packets");
+  print("misrouted_" + Service, double(World.outcome().Misrouted), "packets");
   print("visits_per_packet_" + Service,
-        double(World.verdict().Visits) / double(World.verdict().Deliveries),
+        double(World.outcome().Visits) / double(World.outcome().Deliveries),
         "agents");
   return Worst;
 }
--- a/daemons/agent/agent_packets.cpp
+++ b/daemons/agent/agent_packets.cpp
@@ -70,7 +70,7 @@
 
 void agent_process::act(const packet_decision &Decision,
                         const tcp_packet &Packet, const routed_packet &Came) {
-  if (Decision.ForgetFlow)
+  if (Decision.DiscardHalfOpen)
     Stack.forget(Packet.Flow);
   switch (Decision.Action) {
   case packet_action::Deliver:
--- a/daemons/agent/agent_process.cpp
+++ b/daemons/agent/agent_process.cpp
@@ -85,7 +85,7 @@
   if (End == side_end::Closed)
     Owner->flowClosing(Flow, Loop.timers().now());
   else
-    Owner->flowGone(Flow);
+    Owner->flowRemoved(Flow);
   flow_side *Side = Flows.at(Flow).get();
   Loop.defer([this, Flow, Side] {
     // The caller may have used its port again meanwhile.
--- a/daemons/agent/agent_view.cpp
+++ b/daemons/agent/agent_view.cpp
@@ -213,8 +213,8 @@
     Peer.Service = Message.Load.Service;
     Proxy->updatePeerLoad(Peer);
   };
-  Hooks.TellSilence = [this](const endpoint &Balancer,
-                             const silence_notice &Notice) {
+  Hooks.ReportUnresponsive = [this](const endpoint &Balancer,
+                                    const silence_notice &Notice) {
     std::array<std::uint8_t, SilenceNoticeBytes> Buffer;
     encodeSilenceNotice(Notice, Buffer);
     Socket.send(Balancer, Buffer);
--- a/daemons/balancer/balancer_process.cpp
+++ b/daemons/balancer/balancer_process.cpp
@@ -56,7 +56,7 @@
 
 void balancer_process::takeView(const membership &Members) {
   const service_view &View = Members.View;
-  if (Port.core().setView(View) != view_outcome::Taken)
+  if (Port.core().setView(View) != view_outcome::Applied)
     return;
   const std::string Version = std::to_string(View.Version);
   LOG(INFO) << "balancer: took view " << Version << " of " << View.Name;
@@ -65,7 +65,7 @@
 
 void balancer_process::passOnHearing() {
   if (const std::optional<instant> Heard = Fleet.node().lastReceived())
-    Port.core().heardOfFleet(*Heard);
+    Port.core().noteFleetContact(*Heard);
 }
 
 void balancer_process::record(event_kind What, const std::string &Service,
--- a/daemons/balancer/packet_port.cpp
+++ b/daemons/balancer/packet_port.cpp
@@ -23,7 +23,7 @@
   Show("balancer_packets_new", Counters.New);
   Show("balancer_packets_established", Counters.Established);
   Show("balancer_packets_from_cache", Counters.FromCache);
-  Show("balancer_notices_taken", Counters.NoticesTaken);
+  Show("balancer_notices_taken", Counters.NoticesAccepted);
   for (const auto &[Fault, Name] : PacketFaultNames)
     if (Fault != packet_fault::None)
       Show("balancer_dropped_" + std::string(Name),
--- a/include/marjoramrail/agent.h
+++ b/include/marjoramrail/agent.h
@@ -47,24 +47,24 @@
   /// Load and the newest generation known; about one a second to each peer.
   Report,
   /// "Your packet or probe has reached me."
-  Heard,
+  Acknowledgement,
   /// Asks for Heard.
   Probe,
   /// Asks the receiver to probe Subject on the sender's behalf.
-  ProbeFor,
+  IndirectProbe,
   /// "Subject has answered my probe for you."
-  Vouch,
+  ProbeSucceeded,
   /// "Subject answers neither me nor those that I asked to probe it."
-  Silent,
+  Unresponsive,
 };
 
 inline constexpr name_table<peer_message_kind, 6> PeerMessageKindNames = {{
     {peer_message_kind::Report, "report"},
-    {peer_message_kind::Heard, "heard"},
+    {peer_message_kind::Acknowledgement, "heard"},
     {peer_message_kind::Probe, "probe"},
-    {peer_message_kind::ProbeFor, "probe-for"},
-    {peer_message_kind::Vouch, "vouch"},
-    {peer_message_kind::Silent, "silent"},
+    {peer_message_kind::IndirectProbe, "probe-for"},
+    {peer_message_kind::ProbeSucceeded, "vouch"},
+    {peer_message_kind::Unresponsive, "silent"},
 }};
 
 /// How busy the target beside an agent is, for the relay of requests.
@@ -95,7 +95,7 @@
   bool Draining = false;
   /// The sender waits for the receiver's Report.
   bool ReplyWanted = false;
-  /// ProbeFor and Vouch: the agent in question.
+  /// IndirectProbe and Vouch: the agent in question.
   endpoint Subject;
   /// Probe and Heard: the agent that asked, if not the sender of the probe.
   endpoint Origin;
@@ -136,13 +136,13 @@
   OverShare,
   Draining,
   /// Not everyone who must know the newest generation does yet.
-  GenerationNotOpen,
+  GenerationNotActive,
   /// A SYN that was resent goes where the first one went.
-  HandedOnAgain,
+  RedirectRepeated,
   /// Nobody in the list owns the flow.
   NoOwner,
   /// The possible owners that are left do not answer.
-  OwnerSilent,
+  OwnerUnresponsive,
   /// No target takes new flows.
   Refused,
   NoView,
@@ -165,10 +165,10 @@
     {packet_reason::Extended, "extended"},
     {packet_reason::OverShare, "over_share"},
     {packet_reason::Draining, "draining"},
-    {packet_reason::GenerationNotOpen, "generation_not_open"},
-    {packet_reason::HandedOnAgain, "handed_on_again"},
+    {packet_reason::GenerationNotActive, "generation_not_open"},
+    {packet_reason::RedirectRepeated, "handed_on_again"},
     {packet_reason::NoOwner, "no_owner"},
-    {packet_reason::OwnerSilent, "owner_silent"},
+    {packet_reason::OwnerUnresponsive, "owner_silent"},
     {packet_reason::Refused, "refused"},
     {packet_reason::NoView, "no_view"},
     {packet_reason::WrongService, "wrong_service"},
@@ -185,7 +185,7 @@
   routed_packet Routed;
   /// A half-open flow here turned out to be another agent's; the stack must
   /// forget it before anything else.
-  bool ForgetFlow = false;
+  bool DiscardHalfOpen = false;
 };
 
 struct flow_owner_settings {
@@ -198,7 +198,7 @@
   std::uint32_t MaxSharePercent = 105;
   /// A view not heard of for longer is no ground for a reset. Three times the
   /// period at which balancers answer announcements, and some slack.
-  duration ViewBound = std::chrono::seconds(5);
+  duration MaxViewAge = std::chrono::seconds(5);
   /// Peers that get a report each second; the others' turn comes later.
   std::size_t ReportFanout = 16;
 };
@@ -209,7 +209,7 @@
   std::function<peer_load()> Load;
   /// Tells a balancer that a peer may be dead; may be empty.
   std::function<void(const endpoint &Balancer, const silence_notice &)>
-      TellSilence;
+      ReportUnresponsive;
   /// A peer's report, for the relay of requests; may be empty.
   std::function<void(const peer_message &)> OnReport;
 };
@@ -251,7 +251,7 @@
   /// The application is done with \p Flow; the stack still answers for it.
   void flowClosing(const flow_key &Flow, instant Now);
   /// The stack holds nothing of \p Flow any more.
-  void flowGone(const flow_key &Flow);
+  void flowRemoved(const flow_key &Flow);
 
   void receive(const peer_message &Message, const endpoint &From, instant Now);
 
--- a/include/marjoramrail/balancer.h
+++ b/include/marjoramrail/balancer.h
@@ -13,7 +13,7 @@
 ///                      {.Send = [&](const endpoint &Agent, bytes_view Bytes) {
 ///                         Socket.send(Agent, Bytes); }});
 ///   Core.setView(View);                    // from the fleet, at any time
-///   Core.heardOfFleet(Timers.now());
+///   Core.noteFleetContact(Timers.now());
 ///   for (const datagram &Datagram : Batch) // from the fabric or an agent
 ///     Core.onDatagram(Datagram.From, Datagram.Bytes, Timers.now());
 /// \endcode
@@ -53,7 +53,7 @@
 
 /// What setView() did.
 enum class view_outcome {
-  Taken,
+  Applied,
   /// It is not newer than the one in force, which therefore stays.
   NotNewer,
 };
@@ -64,7 +64,7 @@
   std::uint64_t Established = 0;
   /// Packets that went first to an owner out of the cache.
   std::uint64_t FromCache = 0;
-  std::uint64_t NoticesTaken = 0;
+  std::uint64_t NoticesAccepted = 0;
   /// Packets dropped, by packet_fault.
   std::array<std::uint64_t, PacketFaultNames.size()> Dropped{};
 
@@ -94,7 +94,7 @@
   std::size_t services() const;
 
   /// Something of the fleet was heard: views are as new as they can be.
-  void heardOfFleet(instant Now);
+  void noteFleetContact(instant Now);
   bool isStale(instant Now) const;
 
   /// Takes a datagram of the fabric or an agent's notice. Returns the reason
--- a/src/agent/flow_owner.cpp
+++ b/src/agent/flow_owner.cpp
@@ -6,7 +6,7 @@
 
 /// An agent that has just started may hold an old view; its peers tell it
 /// within a report's period if they know a newer one.
-constexpr duration StartBound = std::chrono::seconds(3);
+constexpr duration StartupGracePeriod = std::chrono::seconds(3);
 
 /// One generation's choices regardless of their states: who may hold flows
 /// that were opened under it.
@@ -28,8 +28,8 @@
   if (View && Newer.Version < View->Version)
     return;
   if (!View)
-    FirstView = Now;
-  ViewHeard = Now;
+    FirstViewAt = Now;
+  ViewConfirmedAt = Now;
   if (View && Newer.Version == View->Version)
     return;
   View = Newer;
@@ -41,9 +41,9 @@
   for (const target &Target : Newer.Targets)
     if (Target.Id != Settings.Host && Target.State != target_state::Down)
       Peers.push_back(Target.Agent);
-  Gate.takeView(Newer);
+  Activation.takeView(Newer);
   Share.takeView(Newer);
-  Watch.setPeers(Peers);
+  Monitor.setPeers(Peers);
   Ring.takeView(Newer, Settings.Host);
   // Peers that wait for this agent's word should not wait for its next turn.
   for (const endpoint &Peer : Peers)
@@ -52,12 +52,13 @@
 
 /// Whether "nobody owns this flow" may be said aloud. A reset on the ground of
 /// an old view would end a healthy flow; a dropped packet only delays one.
-bool flow_owner::impl::isConfirmed(instant Now) const {
-  if (!View || Now - ViewHeard > Settings.ViewBound)
+bool flow_owner::impl::isViewCurrent(instant Now) const {
+  if (!View || Now - ViewConfirmedAt > Settings.MaxViewAge)
     return false;
-  if (NewestKnownToPeers > newestGeneration())
+  if (NewestPeerGeneration > newestGeneration())
     return false;
-  return Peers.empty() || PeerHeard || Now - FirstView >= StartBound;
+  return Peers.empty() || HasPeerContact ||
+         Now - FirstViewAt >= StartupGracePeriod;
 }
 
 std::uint64_t flow_owner::impl::newestGeneration() const {
@@ -95,7 +96,7 @@
   if (PerGeneration.empty())
     return 0;
   // The next flow may still be opened under the generation that is open.
-  std::size_t Oldest = Gate.newestOpen();
+  std::size_t Oldest = Activation.newestActive();
   // Flows that later joins pushed out of their newest choices would keep old
   // generations for as long as they last. With all of them in use no new one
   // could come, the newest one's hosts would drain away under it, and callers
@@ -123,7 +124,7 @@
   Impl->takeView(View, Now);
 }
 
-void flow_owner::confirmView(instant Now) { Impl->ViewHeard = Now; }
+void flow_owner::confirmView(instant Now) { Impl->ViewConfirmedAt = Now; }
 
 void flow_owner::setMaxShare(std::uint32_t Percent) {
   Impl->Share.setMaxPercent(Percent);
@@ -136,7 +137,7 @@
 void flow_owner::restart(std::uint32_t Incarnation) {
   Impl->Settings.Incarnation = Incarnation;
   Impl->Table.clear();
-  Impl->HandOns.clear();
+  Impl->Redirects.clear();
 }
 
 packet_decision flow_owner::decide(const routed_packet &Routed,
@@ -148,9 +149,9 @@
                         Routed.Balancer != endpoint() &&
                         Routed.Balancer != From;
   if (Routed.Balancer != endpoint() && Routed.Balancer == From)
-    Impl->Ring.sawBalancer(From, Now);
+    Impl->Ring.noteBalancer(From, Now);
   if (Impl->View && (PassedOn || Impl->find(From)))
-    Impl->answer(From, Now);
+    Impl->sendAcknowledgement(From, Now);
   // A forged position past the list must not wrap around to its start.
   routed_packet Bounded = Routed;
   Bounded.Position =
@@ -169,7 +170,7 @@
   Impl->Table.close(Flow, Now);
 }
 
-void flow_owner::flowGone(const flow_key &Flow) { Impl->Table.erase(Flow); }
+void flow_owner::flowRemoved(const flow_key &Flow) { Impl->Table.erase(Flow); }
 
 void flow_owner::receive(const peer_message &Message, const endpoint &From,
                          instant Now) {
@@ -180,43 +181,43 @@
     return Impl->answerProbe(Message, From);
   if (!Sender || Sender->Agent != From)
     return;
-  Impl->PeerHeard = true;
-  Impl->Watch.heard(From, Now);
+  Impl->HasPeerContact = true;
+  Impl->Monitor.noteResponse(From, Now);
   switch (Message.Kind) {
   case peer_message_kind::Report:
-    return Impl->takeReport(Message, From, Now);
-  case peer_message_kind::Heard:
-    return Impl->takeHeard(Message, From);
+    return Impl->handleReport(Message, From, Now);
+  case peer_message_kind::Acknowledgement:
+    return Impl->handleAcknowledgement(Message, From);
   case peer_message_kind::Probe:
     return Impl->answerProbe(Message, From);
-  case peer_message_kind::ProbeFor:
-    return Impl->takeProbeFor(Message, From);
-  case peer_message_kind::Vouch:
-    return Impl->Watch.heard(Message.Subject, Now);
-  case peer_message_kind::Silent:
-    return Impl->Watch.toldSilent(Message.Subject, Now);
+  case peer_message_kind::IndirectProbe:
+    return Impl->handleIndirectProbe(Message, From);
+  case peer_message_kind::ProbeSucceeded:
+    return Impl->Monitor.noteResponse(Message.Subject, Now);
+  case peer_message_kind::Unresponsive:
+    return Impl->Monitor.noteReportedUnresponsive(Message.Subject, Now);
   }
 }
 
 void flow_owner::tick(instant Now) {
   Impl->Table.expire(Now);
-  std::erase_if(Impl->HandOns,
+  std::erase_if(Impl->Redirects,
                 [&](const auto &Item) { return Item.second.Until <= Now; });
-  std::erase_if(Impl->LastHeardSent, [&](const auto &Item) {
-    return Now - Item.second > HeardPeriod;
+  std::erase_if(Impl->LastAcknowledgementSent, [&](const auto &Item) {
+    return Now - Item.second > AcknowledgementInterval;
   });
   if (!Impl->View)
     return;
   Impl->sendReports(Now);
-  Impl->askForWords(Now);
+  Impl->requestMissingReports(Now);
   const std::optional<endpoint> &Neighbour = Impl->Ring.neighbour();
-  const bool WasSuspect = Neighbour && Impl->Watch.isSuspect(*Neighbour);
+  const bool WasSuspect = Neighbour && Impl->Monitor.isSuspect(*Neighbour);
   Impl->probeNeighbour(Now);
   Impl->sendProbes(Now);
-  Impl->tellOfNeighbour(WasSuspect, Now);
+  Impl->reportNeighbour(WasSuspect, Now);
 }
 
-std::size_t flow_owner::flows() const { return Impl->Table.live(); }
+std::size_t flow_owner::flows() const { return Impl->Table.activeFlows(); }
 
 std::uint64_t flow_owner::oldestNeededGeneration() const {
   return Impl->oldestNeeded();
--- a/src/agent/flow_owner_state.h
+++ b/src/agent/flow_owner_state.h
@@ -2,7 +2,8 @@
 ///
 /// \file
 /// Declares what the sources of flow_owner share: the view and the public calls
-/// (flow_owner), the way of a packet (packet_way), talk with peers (peer_talk).
+/// (flow_owner), the way of a packet (packet_routing), talk with peers
+/// (peer_messaging).
 ///
 //===----------------------------------------------------------------------===//
 
@@ -10,10 +11,10 @@
 #define MARJORAMRAIL_SRC_AGENT_FLOW_OWNER_STATE_H
 
 #include "agent/flow_table.h"
-#include "agent/generation_gate.h"
+#include "agent/generation_activation.h"
 #include "agent/load_share.h"
-#include "agent/neighbour_watch.h"
-#include "agent/peer_watch.h"
+#include "agent/neighbour_ring.h"
+#include "agent/peer_monitor.h"
 #include "marjoramrail/agent.h"
 
 #include <algorithm>
@@ -25,10 +26,11 @@
 namespace internal {
 
 /// One answer to passed-on packets serves all of this time.
-inline constexpr duration HeardPeriod = std::chrono::milliseconds(50);
+inline constexpr duration AcknowledgementInterval =
+    std::chrono::milliseconds(50);
 
 /// Where a SYN was handed on to.
-struct hand_on {
+struct syn_redirect {
   endpoint To;
   instant Until;
 };
@@ -39,35 +41,35 @@
   flow_owner_settings Settings;
   flow_owner_hooks Hooks;
   flow_table Table;
-  generation_gate Gate;
+  generation_activation Activation;
   load_share Share;
-  peer_watch Watch;
-  neighbour_watch Ring;
+  peer_monitor Monitor;
+  neighbour_ring Ring;
 
   std::optional<service_view> View;
   /// All generations at once, and each for itself, newest first.
   std::optional<service_router> Router;
   std::vector<service_router> PerGeneration;
   std::vector<endpoint> Peers;
-  std::unordered_map<flow_key, hand_on, flow_key_hash> HandOns;
-  std::map<endpoint, instant> LastHeardSent;
+  std::unordered_map<flow_key, syn_redirect, flow_key_hash> Redirects;
+  std::map<endpoint, instant> LastAcknowledgementSent;
 
   bool IsDraining = false;
-  instant FirstView;
-  instant ViewHeard;
-  bool PeerHeard = false;
-  std::uint64_t NewestKnownToPeers = 0;
+  instant FirstViewAt;
+  instant ViewConfirmedAt;
+  bool HasPeerContact = false;
+  std::uint64_t NewestPeerGeneration = 0;
   instant LastReports;
-  instant LastAsked;
+  instant LastReportRequest;
   std::size_t NextReport = 0;
   std::array<std::uint64_t, PacketReasons> Counts{};
 
   impl(const flow_owner_settings &Settings, flow_owner_hooks Hooks)
-      : Settings(Settings), Hooks(std::move(Hooks)), Gate(Settings.Host),
+      : Settings(Settings), Hooks(std::move(Hooks)), Activation(Settings.Host),
         Share(Settings.Host, Settings.MaxSharePercent) {}
 
   void takeView(const service_view &Newer, instant Now);
-  bool isConfirmed(instant Now) const;
+  bool isViewCurrent(instant Now) const;
   std::uint64_t newestGeneration() const;
   const target *find(const endpoint &Agent) const;
   const target *find(host_id Host) const;
@@ -76,40 +78,41 @@
                          instant Now);
   packet_decision decideSyn(const routed_packet &Routed,
                             const tcp_packet &Packet, instant Now);
-  std::optional<packet_decision> repeatHandOn(const routed_packet &Routed,
-                                              const tcp_packet &Packet,
-                                              instant Now);
-  packet_decision lastResort(const routed_packet &Routed,
-                             const tcp_packet &Packet,
-                             const std::vector<endpoint> &Others, instant Now);
-  packet_decision handOn(const routed_packet &Routed, const tcp_packet &Packet,
-                         const std::vector<endpoint> &Next,
-                         packet_reason Reason, instant Now);
+  std::optional<packet_decision> repeatRedirect(const routed_packet &Routed,
+                                                const tcp_packet &Packet,
+                                                instant Now);
+  packet_decision returnSyn(const routed_packet &Routed,
+                            const tcp_packet &Packet,
+                            const std::vector<endpoint> &Others, instant Now);
+  packet_decision redirectSyn(const routed_packet &Routed,
+                              const tcp_packet &Packet,
+                              const std::vector<endpoint> &Next,
+                              packet_reason Reason, instant Now);
   std::vector<endpoint> candidates(const flow_key &Flow, std::size_t Generation,
                                    bool &Included) const;
-  packet_decision passOn(routed_packet Routed, const tcp_packet &Packet,
-                         instant Now);
-  bool skipToNext(routed_packet &Routed, bool &SkippedSilent) const;
+  packet_decision passToNext(routed_packet Routed, const tcp_packet &Packet,
+                             instant Now);
+  bool skipToNext(routed_packet &Routed, bool &SkippedUnresponsive) const;
   bool extend(routed_packet &Routed, const flow_key &Flow) const;
-  packet_decision endOfList(const routed_packet &Routed,
-                            const tcp_packet &Packet, bool SkippedSilent,
-                            instant Now) const;
+  packet_decision onListExhausted(const routed_packet &Routed,
+                                  const tcp_packet &Packet,
+                                  bool SkippedUnresponsive, instant Now) const;
 
   std::size_t neededPosition(const flow_key &Flow) const;
   std::uint64_t oldestNeeded() const;
 
   peer_message message(peer_message_kind Kind) const;
-  void answer(const endpoint &To, instant Now);
+  void sendAcknowledgement(const endpoint &To, instant Now);
   void answerProbe(const peer_message &Probe, const endpoint &From) const;
-  void takeReport(const peer_message &Message, const endpoint &From,
-                  instant Now);
-  void takeProbeFor(const peer_message &Message, const endpoint &From);
-  void takeHeard(const peer_message &Message, const endpoint &From);
+  void handleReport(const peer_message &Message, const endpoint &From,
+                    instant Now);
+  void handleIndirectProbe(const peer_message &Message, const endpoint &From);
+  void handleAcknowledgement(const peer_message &Message, const endpoint &From);
   void sendReports(instant Now);
-  void askForWords(instant Now);
+  void requestMissingReports(instant Now);
   void sendProbes(instant Now);
   void probeNeighbour(instant Now);
-  void tellOfNeighbour(bool WasSuspect, instant Now);
+  void reportNeighbour(bool WasSuspect, instant Now);
   void sendReport(const endpoint &To, bool ReplyWanted) const;
 };
 
--- a/src/agent/flow_table.cpp
+++ b/src/agent/flow_table.cpp
@@ -6,8 +6,8 @@
 
 static bool isNear(std::uint32_t Number, std::uint32_t Expected) {
   const auto Distance = static_cast<std::int32_t>(Number - Expected);
-  return Distance > -flow_table::NumberSlack &&
-         Distance < flow_table::NumberSlack;
+  return Distance > -flow_table::MaxSequenceDistance &&
+         Distance < flow_table::MaxSequenceDistance;
 }
 
 bool flow_table::isPlausible(const entry &Entry, const tcp_packet &Packet) {
@@ -17,18 +17,18 @@
 }
 
 flow_match flow_table::matchHalfOpen(entry &Entry, const tcp_packet &Packet) {
-  const bool OfThisOpening = Packet.Sequence == Entry.CallerInitial + 1;
+  const bool MatchesInitial = Packet.Sequence == Entry.CallerInitial + 1;
   if (!Entry.Answered)
     return flow_match::NotOurs;
   if (!Packet.Ack)
-    return OfThisOpening ? flow_match::Ours : flow_match::NotOurs;
+    return MatchesInitial ? flow_match::Ours : flow_match::NotOurs;
   if (Packet.Acknowledged == Entry.OurInitial + 1) {
     if (!Packet.Rst)
       Entry.State = flow_state::Established;
     return flow_match::Ours;
   }
   // A packet of an older flow from the same port must not end this one.
-  return OfThisOpening ? flow_match::CompletedElsewhere : flow_match::NotOurs;
+  return MatchesInitial ? flow_match::CompletedElsewhere : flow_match::NotOurs;
 }
 
 flow_match flow_table::match(const tcp_packet &Packet, instant Now) {
@@ -108,11 +108,11 @@
 void flow_table::expire(instant Now) {
   for (auto It = Flows.begin(); It != Flows.end();) {
     const flow_state State = It->second.State;
-    const duration Quiet = Now - It->second.LastPacket;
-    const bool Over =
-        (State == flow_state::HalfOpen && Quiet >= HalfOpenLife) ||
-        (State == flow_state::Closing && Quiet >= ClosingLife);
-    It = Over ? erase(It) : std::next(It);
+    const duration IdleTime = Now - It->second.LastPacket;
+    const bool IsExpired =
+        (State == flow_state::HalfOpen && IdleTime >= HalfOpenLifetime) ||
+        (State == flow_state::Closing && IdleTime >= ClosingLifetime);
+    It = IsExpired ? erase(It) : std::next(It);
   }
 }
 
--- a/src/agent/flow_table.h
+++ b/src/agent/flow_table.h
@@ -31,15 +31,15 @@
 class flow_table {
 public:
   /// lwIP gives a half-open flow up after 20 s.
-  static constexpr duration HalfOpenLife = std::chrono::seconds(25);
+  static constexpr duration HalfOpenLifetime = std::chrono::seconds(25);
   /// A closing flow is kept this long after its last packet, so that a resent
   /// FIN is not answered with a reset. Longer than a caller's first five
   /// retransmissions.
-  static constexpr duration ClosingLife = std::chrono::seconds(30);
+  static constexpr duration ClosingLifetime = std::chrono::seconds(30);
   /// How far a packet's numbers may be from the flow's. 64 KB windows and
   /// duplicates of some windows ago fit; a new flow's random number does so in
   /// one case of 2,000, and both of its numbers in one of four million.
-  static constexpr std::int32_t NumberSlack = 1 << 20;
+  static constexpr std::int32_t MaxSequenceDistance = 1 << 20;
 
   flow_match match(const tcp_packet &Packet, instant Now);
   void open(const tcp_packet &Syn, instant Now);
@@ -50,7 +50,7 @@
   void clear();
 
   /// Flows that are not closing.
-  std::size_t live() const { return Flows.size() - Closing; }
+  std::size_t activeFlows() const { return Flows.size() - Closing; }
 
   template <typename Visitor> void forEach(Visitor Visit) const {
     for (const auto &[Flow, Entry] : Flows)
--- a/src/agent/generation_gate.h
+++ b/src/agent/generation_activation.h
@@ -1,7 +1,7 @@
-//===- generation_gate.h - When a generation takes new flows ----*- C++ -*-===//
+//===- generation_activation.h - When a generation takes new flows *- C++ -*-===//
 
-#ifndef MARJORAMRAIL_SRC_AGENT_GENERATION_GATE_H
-#define MARJORAMRAIL_SRC_AGENT_GENERATION_GATE_H
+#ifndef MARJORAMRAIL_SRC_AGENT_GENERATION_ACTIVATION_H
+#define MARJORAMRAIL_SRC_AGENT_GENERATION_ACTIVATION_H
 
 #include "marjoramrail/routing.h"
 
@@ -23,25 +23,26 @@
 /// they can add its owners to the list; and by induction members of 6 lead to
 /// those of 7. Members that the view declares down get no packets and are not
 /// waited for.
-class generation_gate {
+class generation_activation {
 public:
-  explicit generation_gate(host_id Self) : Self(Self) {}
+  explicit generation_activation(host_id Self) : Self(Self) {}
 
   void takeView(const service_view &View);
 
   /// \p Host, in \p Incarnation, knows \p Generation. A restarted agent has
   /// forgotten what it knew, so its former word does not count.
-  void heard(host_id Host, std::uint32_t Incarnation, std::uint64_t Generation);
+  void acknowledge(host_id Host, std::uint32_t Incarnation,
+                   std::uint64_t Generation);
 
   /// The position in the view's generations of the newest that is open. The
   /// oldest always is.
-  std::size_t newestOpen() const { return Open; }
+  std::size_t newestActive() const { return ActivePosition; }
 
   /// Members whose word is still missing for some generation.
-  const std::vector<host_id> &awaited() const { return Awaited; }
+  const std::vector<host_id> &missingHosts() const { return MissingHosts; }
 
 private:
-  struct word {
+  struct acknowledgement {
     std::uint32_t Incarnation = 0;
     std::uint64_t Generation = 0;
   };
@@ -52,11 +53,11 @@
   host_id Self;
   std::vector<generation> Generations;
   std::map<host_id, std::uint32_t> Live;
-  std::map<host_id, word> Words;
-  std::size_t Open = 0;
-  std::vector<host_id> Awaited;
+  std::map<host_id, acknowledgement> Acknowledgements;
+  std::size_t ActivePosition = 0;
+  std::vector<host_id> MissingHosts;
 };
 
 } // namespace marjoramrail::internal
 
-#endif // MARJORAMRAIL_SRC_AGENT_GENERATION_GATE_H
+#endif // MARJORAMRAIL_SRC_AGENT_GENERATION_ACTIVATION_H
--- a/src/agent/load_share.cpp
+++ b/src/agent/load_share.cpp
@@ -38,10 +38,10 @@
   double TotalFlows = double(OwnFlows);
   for (const auto &[Host, Peer] : Peers) {
     const auto Weight = Weights.find(Host);
-    if (Weight == Weights.end() || Now - Peer.At > ReportLife)
+    if (Weight == Weights.end() || Now - Peer.ReceivedAt > ReportLifetime)
       continue;
     const double Grown =
-        (expectedGrowth(OwnFlows) - Peer.GrowthThen) / OwnWeight;
+        (expectedGrowth(OwnFlows) - Peer.GrowthAtReport) / OwnWeight;
     TotalFlows += std::max(0.0, Peer.Flows + Grown * Weight->second);
     TotalWeight += Weight->second;
   }
--- a/src/agent/load_share.h
+++ b/src/agent/load_share.h
@@ -26,7 +26,7 @@
 class load_share {
 public:
   /// A peer that has not reported for longer says nothing about the mean.
-  static constexpr duration ReportLife = std::chrono::seconds(5);
+  static constexpr duration ReportLifetime = std::chrono::seconds(5);
 
   load_share(host_id Self, std::uint32_t MaxPercent)
       : Self(Self), MaxPercent(MaxPercent) {}
@@ -44,8 +44,8 @@
   struct peer {
     double Flows = 0;
     /// What expectedGrowth() counted when the report came.
-    double GrowthThen = 0;
-    instant At;
+    double GrowthAtReport = 0;
+    instant ReceivedAt;
   };
 
   /// Flows offered less flows that have ended, since the start.
--- a/src/agent/neighbour_watch.cpp
+++ b/src/agent/neighbour_ring.cpp
@@ -1,8 +1,8 @@
-#include "agent/neighbour_watch.h"
+#include "agent/neighbour_ring.h"
 
 namespace marjoramrail::internal {
 
-void neighbour_watch::takeView(const service_view &View, host_id Self) {
+void neighbour_ring::takeView(const service_view &View, host_id Self) {
   const target *Next = nullptr;
   const target *Least = nullptr;
   for (const target &Target : View.Targets) {
@@ -19,7 +19,7 @@
     Neighbour = Chosen->Agent;
 }
 
-void neighbour_watch::sawBalancer(const endpoint &Balancer, instant Now) {
+void neighbour_ring::noteBalancer(const endpoint &Balancer, instant Now) {
   const auto Found = Balancers.find(Balancer);
   if (Found != Balancers.end())
     Found->second = Now;
@@ -27,17 +27,18 @@
     Balancers.emplace(Balancer, Now);
 }
 
-std::vector<endpoint> neighbour_watch::toTell(bool Doubted, instant Now) {
+std::vector<endpoint> neighbour_ring::balancersToNotify(bool PossiblyDown,
+                                                        instant Now) {
   std::vector<endpoint> Told;
-  if (!Doubted) {
-    LastTold.reset();
+  if (!PossiblyDown) {
+    LastNotified.reset();
     return Told;
   }
-  if (LastTold && Now - *LastTold < TellPeriod)
+  if (LastNotified && Now - *LastNotified < NotifyInterval)
     return Told;
-  LastTold = Now;
+  LastNotified = Now;
   std::erase_if(Balancers, [&](const auto &Item) {
-    return Now - Item.second > BalancerLife;
+    return Now - Item.second > BalancerTimeout;
   });
   for (const auto &[Balancer, Seen] : Balancers)
     Told.push_back(Balancer);
--- a/src/agent/neighbour_watch.h
+++ b/src/agent/neighbour_ring.h
@@ -1,7 +1,7 @@
-//===- neighbour_watch.h - Each agent watches one other ---------*- C++ -*-===//
+//===- neighbour_ring.h - Failure probing around a ring ---------*- C++ -*-===//
 
-#ifndef MARJORAMRAIL_SRC_AGENT_NEIGHBOUR_WATCH_H
-#define MARJORAMRAIL_SRC_AGENT_NEIGHBOUR_WATCH_H
+#ifndef MARJORAMRAIL_SRC_AGENT_NEIGHBOUR_RING_H
+#define MARJORAMRAIL_SRC_AGENT_NEIGHBOUR_RING_H
 
 #include "marjoramrail/routing.h"
 
@@ -19,29 +19,29 @@
 /// The agents of a service form a ring by number, so that each is watched by
 /// one other at a cost that does not grow with the service: ten probes and ten
 /// answers of under 100 bytes a second.
-class neighbour_watch {
+class neighbour_ring {
 public:
   /// A balancer that sent nothing for longer has no flows to lose.
-  static constexpr duration BalancerLife = std::chrono::seconds(10);
+  static constexpr duration BalancerTimeout = std::chrono::seconds(10);
   /// Balancers of the target size, 12,000, and some that were replaced.
   static constexpr std::size_t MaxBalancers = 16384;
-  static constexpr duration TellPeriod = std::chrono::seconds(1);
+  static constexpr duration NotifyInterval = std::chrono::seconds(1);
 
   void takeView(const service_view &View, host_id Self);
   const std::optional<endpoint> &neighbour() const { return Neighbour; }
 
-  void sawBalancer(const endpoint &Balancer, instant Now);
+  void noteBalancer(const endpoint &Balancer, instant Now);
 
   /// The balancers to tell now; none while \p Doubted is false or they have
   /// just been told.
-  std::vector<endpoint> toTell(bool Doubted, instant Now);
+  std::vector<endpoint> balancersToNotify(bool PossiblyDown, instant Now);
 
 private:
   std::optional<endpoint> Neighbour;
   std::map<endpoint, instant> Balancers;
-  std::optional<instant> LastTold;
+  std::optional<instant> LastNotified;
 };
 
 } // namespace marjoramrail::internal
 
-#endif // MARJORAMRAIL_SRC_AGENT_NEIGHBOUR_WATCH_H
+#endif // MARJORAMRAIL_SRC_AGENT_NEIGHBOUR_RING_H
--- a/src/agent/packet_way.cpp
+++ b/src/agent/packet_routing.cpp
@@ -5,9 +5,9 @@
 namespace {
 
 /// SYNs come again after 1, 3 and 7 s; all of these go the same way.
-constexpr duration HandOnLife = std::chrono::seconds(10);
+constexpr duration RedirectLifetime = std::chrono::seconds(10);
 /// A flood of SYNs must not fill the memory; beyond it the way is chosen anew.
-constexpr std::size_t MaxHandOns = 65536;
+constexpr std::size_t MaxRedirects = 65536;
 
 bool takesNewFlows(const target &Target) {
   return Target.State == target_state::Cold ||
@@ -27,11 +27,11 @@
   return true;
 }
 
-void mark(routed_packet &Routed, routed_flag Flag) {
+void setFlag(routed_packet &Routed, routed_flag Flag) {
   Routed.Flags |= static_cast<std::uint8_t>(Flag);
 }
 
-void unmark(routed_packet &Routed, routed_flag Flag) {
+void clearFlag(routed_packet &Routed, routed_flag Flag) {
   Routed.Flags &= static_cast<std::uint8_t>(~static_cast<unsigned>(Flag));
 }
 
@@ -49,9 +49,10 @@
   const flow_match Match = Table.match(Packet, Now);
   if (Match == flow_match::Ours)
     return {packet_action::Deliver, packet_reason::Owned, {}, false};
-  packet_decision Decision = Packet.opensFlow() ? decideSyn(Routed, Packet, Now)
-                                                : passOn(Routed, Packet, Now);
-  Decision.ForgetFlow = Match == flow_match::CompletedElsewhere;
+  packet_decision Decision = Packet.opensFlow()
+                                 ? decideSyn(Routed, Packet, Now)
+                                 : passToNext(Routed, Packet, Now);
+  Decision.DiscardHalfOpen = Match == flow_match::CompletedElsewhere;
   return Decision;
 }
 
@@ -66,7 +67,7 @@
     const target &Target = View->Targets[Position];
     if (Target.Id == Settings.Host)
       Included = true;
-    else if (takesNewFlows(Target) && !Watch.isSuspect(Target.Agent))
+    else if (takesNewFlows(Target) && !Monitor.isSuspect(Target.Agent))
       Others.push_back(Target.Agent);
   }
   return Others;
@@ -76,15 +77,16 @@
                                             const tcp_packet &Packet,
                                             instant Now) {
   if (!Routed.has(routed_flag::LastResort))
-    if (auto Again = repeatHandOn(Routed, Packet, Now))
+    if (auto Again = repeatRedirect(Routed, Packet, Now))
       return *Again;
   if (PerGeneration.empty())
-    return passOn(Routed, Packet, Now);
+    return passToNext(Routed, Packet, Now);
   if (Routed.Position == 0)
     Share.noteOffered();
-  const std::size_t Open = Gate.newestOpen();
+  const std::size_t Active = Activation.newestActive();
   bool Included = false;
-  const std::vector<endpoint> Others = candidates(Packet.Flow, Open, Included);
+  const std::vector<endpoint> Others =
+      candidates(Packet.Flow, Active, Included);
   std::vector<endpoint> Next = Others;
   std::erase_if(Next, [&](const endpoint &Agent) {
     return visited(Routed, std::min(Routed.Position + 1, int(Routed.Count)),
@@ -92,19 +94,19 @@
   });
   const bool MayTake = Included && !IsDraining;
   const bool MustTake = Next.empty() || Routed.has(routed_flag::LastResort);
-  if (MayTake && (MustTake || Share.mayAccept(Table.live(), Now))) {
+  if (MayTake && (MustTake || Share.mayAccept(Table.activeFlows(), Now))) {
     Table.open(Packet, Now);
     Share.noteAccepted();
     return {packet_action::Deliver, packet_reason::Accepted, {}, false};
   }
   if (Next.empty())
-    return lastResort(Routed, Packet, Others, Now);
+    return returnSyn(Routed, Packet, Others, Now);
   packet_reason Reason = packet_reason::OverShare;
   if (IsDraining)
     Reason = packet_reason::Draining;
   else if (!Included)
-    Reason = packet_reason::GenerationNotOpen;
-  return handOn(Routed, Packet, Next, Reason, Now);
+    Reason = packet_reason::GenerationNotActive;
+  return redirectSyn(Routed, Packet, Next, Reason, Now);
 }
 
 /// The end of a SYN's way at an agent that cannot take it. Those before it may
@@ -112,10 +114,10 @@
 /// drains: the caller would see its connection refused by a service that has
 /// room. So they get the SYN back, one after the other and once each, and must
 /// take it.
-packet_decision
-flow_owner::impl::lastResort(const routed_packet &Routed,
-                             const tcp_packet &Packet,
-                             const std::vector<endpoint> &Others, instant Now) {
+packet_decision flow_owner::impl::returnSyn(const routed_packet &Routed,
+                                            const tcp_packet &Packet,
+                                            const std::vector<endpoint> &Others,
+                                            instant Now) {
   routed_packet Back = Routed;
   const auto End = Back.Owners.begin() + Back.Count;
   const auto Next =
@@ -123,39 +125,41 @@
         return std::count(Back.Owners.begin(), End, Agent) <= 1;
       });
   if (Next == Others.end() || Back.Count == MaxRoutedOwners)
-    return passOn(Routed, Packet, Now);
-  mark(Back, routed_flag::LastResort);
+    return passToNext(Routed, Packet, Now);
+  setFlag(Back, routed_flag::LastResort);
   Back.Position = Back.Count;
   Back.Owners[Back.Count++] = *Next;
-  Watch.passedOn(*Next, Now);
+  Monitor.noteSent(*Next, Now);
   return {packet_action::PassOn, packet_reason::Draining, Back, false};
 }
 
 /// A SYN that is resent must not be decided anew: loads have changed by then,
 /// two agents would answer, and the caller would have to sort it out.
 std::optional<packet_decision>
-flow_owner::impl::repeatHandOn(const routed_packet &Routed,
-                               const tcp_packet &Packet, instant Now) {
-  const auto Found = HandOns.find(Packet.Flow);
-  if (Found == HandOns.end())
+flow_owner::impl::repeatRedirect(const routed_packet &Routed,
+                                 const tcp_packet &Packet, instant Now) {
+  const auto Found = Redirects.find(Packet.Flow);
+  if (Found == Redirects.end())
     return std::nullopt;
   const endpoint To = Found->second.To;
   const target *Target = find(To);
   const bool Usable = Found->second.Until > Now && Target &&
                       Target->State != target_state::Down &&
-                      !Watch.isSuspect(To) &&
+                      !Monitor.isSuspect(To) &&
                       !visited(Routed, Routed.Position, To);
   if (!Usable) {
-    HandOns.erase(Found);
+    Redirects.erase(Found);
     return std::nullopt;
   }
-  return handOn(Routed, Packet, {To}, packet_reason::HandedOnAgain, Now);
+  return redirectSyn(Routed, Packet, {To}, packet_reason::RedirectRepeated,
+                     Now);
 }
 
-packet_decision flow_owner::impl::handOn(const routed_packet &Routed,
-                                         const tcp_packet &Packet,
-                                         const std::vector<endpoint> &Next,
-                                         packet_reason Reason, instant Now) {
+packet_decision flow_owner::impl::redirectSyn(const routed_packet &Routed,
+                                              const tcp_packet &Packet,
+                                              const std::vector<endpoint> &Next,
+                                              packet_reason Reason,
+                                              instant Now) {
   packet_decision Decision{packet_action::PassOn, Reason, Routed, false};
   routed_packet &Out = Decision.Routed;
   // What has been visited stays in the list, so that the packet cannot return.
@@ -166,11 +170,12 @@
     append(Out, Agent);
   Out.Position = static_cast<std::uint8_t>(Out.Position + 1);
   if (Out.Position >= Out.Count)
-    return endOfList(Routed, Packet, false, Now);
-  mark(Out, routed_flag::HandedOn);
-  if (HandOns.size() < MaxHandOns)
-    HandOns.try_emplace(Packet.Flow, hand_on{Next.front(), Now + HandOnLife});
-  Watch.passedOn(Out.Owners[Out.Position], Now);
+    return onListExhausted(Routed, Packet, false, Now);
+  setFlag(Out, routed_flag::HandedOn);
+  if (Redirects.size() < MaxRedirects)
+    Redirects.try_emplace(Packet.Flow,
+                          syn_redirect{Next.front(), Now + RedirectLifetime});
+  Monitor.noteSent(Out.Owners[Out.Position], Now);
   return Decision;
 }
 
@@ -179,20 +184,20 @@
 /// costs the packet a detour then, where the flow would be reset by the last
 /// agent, which knows nothing of the suspicion.
 bool flow_owner::impl::skipToNext(routed_packet &Routed,
-                                  bool &SkippedSilent) const {
+                                  bool &SkippedUnresponsive) const {
   const auto Left = Routed.Owners.begin() + Routed.Position + 1;
   const auto End = Routed.Owners.begin() + Routed.Count;
   if (Left < End)
     std::stable_partition(Left, End, [this](const endpoint &Agent) {
-      return !Watch.isSuspect(Agent);
+      return !Monitor.isSuspect(Agent);
     });
   while (Routed.Position + 1 < Routed.Count) {
     const endpoint &Agent = Routed.Owners[Routed.Position + 1];
     const target *Target = find(Agent);
     const bool Usable = Agent != Settings.Self &&
                         !(Target && Target->State == target_state::Down);
-    if (Usable && Watch.isSuspect(Agent)) {
-      SkippedSilent = true;
+    if (Usable && Monitor.isSuspect(Agent)) {
+      SkippedUnresponsive = true;
       return false;
     }
     ++Routed.Position;
@@ -215,32 +220,32 @@
       Added |= append(Routed, Target.Agent);
   }
   Routed.Version = View->Version;
-  unmark(Routed, routed_flag::Stale);
+  clearFlag(Routed, routed_flag::Stale);
   if (Added)
-    mark(Routed, routed_flag::Extended);
+    setFlag(Routed, routed_flag::Extended);
   return Added;
 }
 
-packet_decision flow_owner::impl::passOn(routed_packet Routed,
-                                         const tcp_packet &Packet,
-                                         instant Now) {
-  bool SkippedSilent = false;
+packet_decision flow_owner::impl::passToNext(routed_packet Routed,
+                                             const tcp_packet &Packet,
+                                             instant Now) {
+  bool SkippedUnresponsive = false;
   packet_reason Reason = packet_reason::NotOwned;
-  bool Found = skipToNext(Routed, SkippedSilent);
+  bool Found = skipToNext(Routed, SkippedUnresponsive);
   if (!Found && extend(Routed, Packet.Flow)) {
     Reason = packet_reason::Extended;
-    Found = skipToNext(Routed, SkippedSilent);
+    Found = skipToNext(Routed, SkippedUnresponsive);
   }
   if (!Found)
-    return endOfList(Routed, Packet, SkippedSilent, Now);
-  Watch.passedOn(Routed.Owners[Routed.Position], Now);
+    return onListExhausted(Routed, Packet, SkippedUnresponsive, Now);
+  Monitor.noteSent(Routed.Owners[Routed.Position], Now);
   return {packet_action::PassOn, Reason, Routed, false};
 }
 
-packet_decision flow_owner::impl::endOfList(const routed_packet &Routed,
-                                            const tcp_packet &Packet,
-                                            bool SkippedSilent,
-                                            instant Now) const {
+packet_decision flow_owner::impl::onListExhausted(const routed_packet &Routed,
+                                                  const tcp_packet &Packet,
+                                                  bool SkippedUnresponsive,
+                                                  instant Now) const {
   const auto Drop = [](packet_reason Reason) {
     return packet_decision{packet_action::Drop, Reason, {}, false};
   };
@@ -249,12 +254,12 @@
   };
   if (Packet.Rst)
     return Drop(packet_reason::ResetUnowned);
-  if (!isConfirmed(Now) || Routed.has(routed_flag::Stale))
+  if (!isViewCurrent(Now) || Routed.has(routed_flag::Stale))
     return Drop(packet_reason::Unconfirmed);
-  if (Watch.isLinkSuspect())
+  if (Monitor.isLinkSuspect())
     return Drop(packet_reason::LinkSuspect);
-  if (SkippedSilent)
-    return Reset(packet_reason::OwnerSilent);
+  if (SkippedUnresponsive)
+    return Reset(packet_reason::OwnerUnresponsive);
   return Reset(Packet.opensFlow() ? packet_reason::Refused
                                   : packet_reason::NoOwner);
 }
--- a/src/agent/peer_talk.cpp
+++ b/src/agent/peer_messaging.cpp
@@ -6,7 +6,7 @@
 
 constexpr duration ReportPeriod = std::chrono::seconds(1);
 /// A missing acknowledgement of a generation is asked for this often.
-constexpr duration AskPeriod = std::chrono::milliseconds(200);
+constexpr duration ReportRequestInterval = std::chrono::milliseconds(200);
 
 } // namespace
 
@@ -17,7 +17,7 @@
   Message.Host = Settings.Host;
   Message.Incarnation = Settings.Incarnation;
   Message.Generation = newestGeneration();
-  Message.Flows = static_cast<std::uint32_t>(Table.live());
+  Message.Flows = static_cast<std::uint32_t>(Table.activeFlows());
   Message.Draining = IsDraining;
   return Message;
 }
@@ -30,36 +30,36 @@
   Hooks.Send(To, Message);
 }
 
-void flow_owner::impl::answer(const endpoint &To, instant Now) {
-  const auto [Last, IsNew] = LastHeardSent.try_emplace(To, Now);
-  if (!IsNew && Now - Last->second < HeardPeriod)
+void flow_owner::impl::sendAcknowledgement(const endpoint &To, instant Now) {
+  const auto [Last, IsNew] = LastAcknowledgementSent.try_emplace(To, Now);
+  if (!IsNew && Now - Last->second < AcknowledgementInterval)
     return;
   Last->second = Now;
-  Hooks.Send(To, message(peer_message_kind::Heard));
+  Hooks.Send(To, message(peer_message_kind::Acknowledgement));
 }
 
 /// Also for a sender that this agent's view does not name yet.
 void flow_owner::impl::answerProbe(const peer_message &Probe,
                                    const endpoint &From) const {
-  peer_message Heard = message(peer_message_kind::Heard);
-  Heard.Origin = Probe.Origin;
-  Hooks.Send(From, Heard);
+  peer_message Acknowledgement = message(peer_message_kind::Acknowledgement);
+  Acknowledgement.Origin = Probe.Origin;
+  Hooks.Send(From, Acknowledgement);
 }
 
-void flow_owner::impl::takeReport(const peer_message &Message,
-                                  const endpoint &From, instant Now) {
-  Gate.heard(Message.Host, Message.Incarnation, Message.Generation);
-  Share.report(Message.Host, Message.Flows, Table.live(), Now);
-  NewestKnownToPeers = std::max(NewestKnownToPeers, Message.Generation);
+void flow_owner::impl::handleReport(const peer_message &Message,
+                                    const endpoint &From, instant Now) {
+  Activation.acknowledge(Message.Host, Message.Incarnation, Message.Generation);
+  Share.report(Message.Host, Message.Flows, Table.activeFlows(), Now);
+  NewestPeerGeneration = std::max(NewestPeerGeneration, Message.Generation);
   if (Message.ReplyWanted)
     sendReport(From, false);
   if (Hooks.OnReport)
     Hooks.OnReport(Message);
 }
 
-void flow_owner::impl::takeProbeFor(const peer_message &Message,
-                                    const endpoint &From) {
-  Hooks.Send(From, message(peer_message_kind::Heard));
+void flow_owner::impl::handleIndirectProbe(const peer_message &Message,
+                                           const endpoint &From) {
+  Hooks.Send(From, message(peer_message_kind::Acknowledgement));
   if (!find(Message.Subject))
     return;
   peer_message Probe = message(peer_message_kind::Probe);
@@ -67,13 +67,13 @@
   Hooks.Send(Message.Subject, Probe);
 }
 
-void flow_owner::impl::takeHeard(const peer_message &Message,
-                                 const endpoint &From) {
+void flow_owner::impl::handleAcknowledgement(const peer_message &Message,
+                                             const endpoint &From) {
   if (Message.Origin == endpoint() || !find(Message.Origin))
     return;
-  peer_message Vouch = message(peer_message_kind::Vouch);
-  Vouch.Subject = From;
-  Hooks.Send(Message.Origin, Vouch);
+  peer_message Result = message(peer_message_kind::ProbeSucceeded);
+  Result.Subject = From;
+  Hooks.Send(Message.Origin, Result);
 }
 
 void flow_owner::impl::sendReports(instant Now) {
@@ -85,44 +85,44 @@
     sendReport(Peers[NextReport++ % Peers.size()], false);
 }
 
-void flow_owner::impl::askForWords(instant Now) {
-  if (Now - LastAsked < AskPeriod)
+void flow_owner::impl::requestMissingReports(instant Now) {
+  if (Now - LastReportRequest < ReportRequestInterval)
     return;
-  LastAsked = Now;
-  for (const host_id Host : Gate.awaited())
+  LastReportRequest = Now;
+  for (const host_id Host : Activation.missingHosts())
     if (const target *Target = find(Host))
       sendReport(Target->Agent, true);
 }
 
 void flow_owner::impl::probeNeighbour(instant Now) {
   const std::optional<endpoint> &Neighbour = Ring.neighbour();
-  if (!Neighbour || Watch.isDoubted(*Neighbour))
+  if (!Neighbour || Monitor.isPossiblyDown(*Neighbour))
     return;
-  Watch.passedOn(*Neighbour, Now);
+  Monitor.noteSent(*Neighbour, Now);
   Hooks.Send(*Neighbour, message(peer_message_kind::Probe));
 }
 
 /// Balancers hear of a doubt at once, for they only take a detour; the peers,
 /// which reset flows on it, hear of the conclusion.
-void flow_owner::impl::tellOfNeighbour(bool WasSuspect, instant Now) {
+void flow_owner::impl::reportNeighbour(bool WasSuspect, instant Now) {
   const std::optional<endpoint> &Neighbour = Ring.neighbour();
   if (!Neighbour)
     return;
-  const bool Doubted = Watch.isDoubted(*Neighbour);
-  for (const endpoint &Balancer : Ring.toTell(Doubted, Now))
-    if (Hooks.TellSilence)
-      Hooks.TellSilence(Balancer, {Settings.Service, *Neighbour});
-  if (WasSuspect || !Watch.isSuspect(*Neighbour))
+  const bool PossiblyDown = Monitor.isPossiblyDown(*Neighbour);
+  for (const endpoint &Balancer : Ring.balancersToNotify(PossiblyDown, Now))
+    if (Hooks.ReportUnresponsive)
+      Hooks.ReportUnresponsive(Balancer, {Settings.Service, *Neighbour});
+  if (WasSuspect || !Monitor.isSuspect(*Neighbour))
     return;
-  peer_message Silent = message(peer_message_kind::Silent);
-  Silent.Subject = *Neighbour;
+  peer_message Notice = message(peer_message_kind::Unresponsive);
+  Notice.Subject = *Neighbour;
   for (const endpoint &Peer : Peers)
-    Hooks.Send(Peer, Silent);
+    Hooks.Send(Peer, Notice);
 }
 
 void flow_owner::impl::sendProbes(instant Now) {
-  for (const peer_probe &Probe : Watch.tick(Now)) {
-    peer_message Message = message(Probe.Via ? peer_message_kind::ProbeFor
+  for (const peer_probe &Probe : Monitor.tick(Now)) {
+    peer_message Message = message(Probe.Via ? peer_message_kind::IndirectProbe
                                              : peer_message_kind::Probe);
     Message.Subject = Probe.Subject;
     Hooks.Send(Probe.Via.value_or(Probe.Subject), Message);
--- a/src/agent/peer_watch.h
+++ b/src/agent/peer_monitor.h
@@ -1,7 +1,7 @@
-//===- peer_watch.h - Whether a possible owner still answers ----*- C++ -*-===//
+//===- peer_monitor.h - Failure detection among agents ----------*- C++ -*-===//
 
-#ifndef MARJORAMRAIL_SRC_AGENT_PEER_WATCH_H
-#define MARJORAMRAIL_SRC_AGENT_PEER_WATCH_H
+#ifndef MARJORAMRAIL_SRC_AGENT_PEER_MONITOR_H
+#define MARJORAMRAIL_SRC_AGENT_PEER_MONITOR_H
 
 #include "marjoramrail/base.h"
 
@@ -28,31 +28,31 @@
 /// once. On the other hand an agent whose own link is cut would, by the same
 /// signs, reset the flows of everyone else; so a peer is suspected only if
 /// another peer has answered since the probes began.
-class peer_watch {
+class peer_monitor {
 public:
   /// An answer takes a round trip of at most 10 ms between zones. On links that
   /// drop packets one packet's silence is common, so it only begins the probes;
   /// with these a dead owner is found within 700 ms, and its callers, who send
   /// again within 300 ms, know within a second.
-  static constexpr duration AnswerBound = std::chrono::milliseconds(250);
+  static constexpr duration ResponseTimeout = std::chrono::milliseconds(250);
   /// Probes go out three times, 100 ms apart, directly and through a peer.
-  static constexpr duration ProbePeriod = std::chrono::milliseconds(100);
-  static constexpr int Probes = 3;
+  static constexpr duration ProbeInterval = std::chrono::milliseconds(100);
+  static constexpr int ProbeCount = 3;
 
   /// The live peers of the view.
   void setPeers(const std::vector<endpoint> &Live);
-  void passedOn(const endpoint &Peer, instant Now);
-  void heard(const endpoint &Peer, instant Now);
+  void noteSent(const endpoint &Peer, instant Now);
+  void noteResponse(const endpoint &Peer, instant Now);
 
   /// Probes that are due now; also draws the conclusions.
   std::vector<peer_probe> tick(instant Now);
 
   /// Another peer came to its conclusion, which holds unless this one has heard
   /// from \p Peer meanwhile.
-  void toldSilent(const endpoint &Peer, instant Now);
+  void noteReportedUnresponsive(const endpoint &Peer, instant Now);
 
   /// Probes of the peer are under way, or it is a suspect.
-  bool isDoubted(const endpoint &Peer) const;
+  bool isPossiblyDown(const endpoint &Peer) const;
 
   /// The peer is silent while others answer.
   bool isSuspect(const endpoint &Peer) const;
@@ -61,17 +61,18 @@
 
 private:
   struct peer {
-    std::optional<instant> Unanswered;
+    std::optional<instant> UnansweredSince;
     std::optional<instant> ProbedSince;
     instant LastProbe;
     int Sent = 0;
     bool Suspect = false;
-    std::optional<instant> LastHeard;
+    std::optional<instant> LastResponse;
   };
 
-  bool someoneElseAnswered(const endpoint &Silent, instant Since) const;
-  std::optional<endpoint> helperFor(const endpoint &Subject, int Round) const;
-  void conclude(const endpoint &Address, peer &Peer, instant Now);
+  bool hasOtherPeerAnswered(const endpoint &Excluded, instant Since) const;
+  std::optional<endpoint> selectHelper(const endpoint &Subject,
+                                       int Round) const;
+  void finishProbing(const endpoint &Address, peer &Peer, instant Now);
 
   std::map<endpoint, peer> Peers;
   bool LinkSuspect = false;
@@ -79,4 +80,4 @@
 
 } // namespace marjoramrail::internal
 
-#endif // MARJORAMRAIL_SRC_AGENT_PEER_WATCH_H
+#endif // MARJORAMRAIL_SRC_AGENT_PEER_MONITOR_H
--- a/src/balancer/balancer_core.cpp
+++ b/src/balancer/balancer_core.cpp
@@ -1,6 +1,6 @@
 #include "balancer/owner_cache.h"
 #include "balancer/service_table.h"
-#include "balancer/silent_agents.h"
+#include "balancer/unresponsive_agents.h"
 #include "marjoramrail/balancer.h"
 
 #include <algorithm>
@@ -16,9 +16,9 @@
   balancer_hooks Hooks;
   service_table Services;
   owner_cache Cache;
-  silent_agents Silent;
+  unresponsive_agents Unresponsive;
   balancer_counters Counters;
-  std::optional<instant> LastHeard;
+  std::optional<instant> LastFleetContact;
   std::array<std::uint8_t, MaxRoutedBytes> Buffer{};
 
   impl(const balancer_settings &Settings, balancer_hooks Hooks)
@@ -26,17 +26,18 @@
         Cache(Settings.CachedOwners) {}
 
   bool isStale(instant Now) const;
-  packet_fault takeNotice(const endpoint &From, bytes_view Bytes);
-  packet_fault takeSilence(const endpoint &From, bytes_view Bytes, instant Now);
+  packet_fault handleOwnerNotice(const endpoint &From, bytes_view Bytes);
+  packet_fault handleSilenceNotice(const endpoint &From, bytes_view Bytes,
+                                   instant Now);
   packet_fault route(bytes_view Bytes, instant Now);
   packet_fault send(const service_router &Router, const owner_list &Owners,
                     bytes_view Bytes, instant Now);
-  std::size_t firstOf(const service_router &Router, const owner_list &Owners,
-                      const flow_key &Flow);
+  std::size_t cachedPosition(const service_router &Router,
+                             const owner_list &Owners, const flow_key &Flow);
 };
 
 bool balancer_core::impl::isStale(instant Now) const {
-  return !LastHeard || Now - *LastHeard > Settings.StaleAfter;
+  return !LastFleetContact || Now - *LastFleetContact > Settings.StaleAfter;
 }
 
 //===----------------------------------------------------------------------===//
@@ -45,13 +46,13 @@
 
 /// A notice must come from the agent that it names, and that must be a target
 /// of the service: nobody else may say where a flow's packets go.
-packet_fault balancer_core::impl::takeNotice(const endpoint &From,
-                                             bytes_view Bytes) {
+packet_fault balancer_core::impl::handleOwnerNotice(const endpoint &From,
+                                                    bytes_view Bytes) {
   owner_notice Notice;
   const packet_fault Fault = decodeOwnerNotice(Bytes, Notice);
   if (Fault != packet_fault::None)
     return Fault;
-  const routed_service *Service = Services.findNumber(Notice.Service);
+  const routed_service *Service = Services.findById(Notice.Service);
   if (Service == nullptr)
     return packet_fault::UnknownService;
   if (Service->Address != Notice.Flow.Service)
@@ -61,26 +62,27 @@
   const target *Owner = Service->Router.findAgent(Notice.Owner);
   if (Owner == nullptr)
     return packet_fault::ForeignSender;
-  Cache.remember(Notice.Flow, Owner->Id);
-  ++Counters.NoticesTaken;
+  Cache.store(Notice.Flow, Owner->Id);
+  ++Counters.NoticesAccepted;
   return packet_fault::None;
 }
 
 /// Believed from agents of the service alone, and about their peers.
-packet_fault balancer_core::impl::takeSilence(const endpoint &From,
-                                              bytes_view Bytes, instant Now) {
+packet_fault balancer_core::impl::handleSilenceNotice(const endpoint &From,
+                                                      bytes_view Bytes,
+                                                      instant Now) {
   silence_notice Notice;
   const packet_fault Fault = decodeSilenceNotice(Bytes, Notice);
   if (Fault != packet_fault::None)
     return Fault;
-  const routed_service *Service = Services.findNumber(Notice.Service);
+  const routed_service *Service = Services.findById(Notice.Service);
   if (Service == nullptr)
     return packet_fault::UnknownService;
   if (From == Notice.Silent || !Service->Router.findAgent(From) ||
       !Service->Router.findAgent(Notice.Silent))
     return packet_fault::ForeignSender;
-  Silent.add(Notice.Silent, Now);
-  ++Counters.NoticesTaken;
+  Unresponsive.add(Notice.Silent, Now);
+  ++Counters.NoticesAccepted;
   return packet_fault::None;
 }
 
@@ -89,9 +91,9 @@
 //===----------------------------------------------------------------------===//
 
 /// The place in \p Owners of the owner that an agent named, or 0.
-std::size_t balancer_core::impl::firstOf(const service_router &Router,
-                                         const owner_list &Owners,
-                                         const flow_key &Flow) {
+std::size_t balancer_core::impl::cachedPosition(const service_router &Router,
+                                                const owner_list &Owners,
+                                                const flow_key &Flow) {
   const std::optional<host_id> Named = Cache.find(Flow);
   if (!Named)
     return 0;
@@ -114,7 +116,7 @@
   // A service that seems to call itself would answer itself for ever.
   if (Packet.Flow.Caller == Packet.Flow.Service)
     return packet_fault::ForeignSender;
-  const routed_service *Service = Services.findAddress(Packet.Flow.Service);
+  const routed_service *Service = Services.findByAddress(Packet.Flow.Service);
   if (Service == nullptr)
     return packet_fault::UnknownService;
   const service_router &Router = Service->Router;
@@ -124,8 +126,8 @@
   if (Owners.empty())
     return packet_fault::NoTarget;
   if (!Opens)
-    Owners.moveToFront(firstOf(Router, Owners, Packet.Flow));
-  Silent.demote(Router, Owners, Now);
+    Owners.moveToFront(cachedPosition(Router, Owners, Packet.Flow));
+  Unresponsive.demote(Router, Owners, Now);
   ++(Opens ? Counters.New : Counters.Established);
   return send(Router, Owners, Bytes, Now);
 }
@@ -159,18 +161,20 @@
 balancer_core::~balancer_core() = default;
 
 view_outcome balancer_core::setView(const service_view &View) {
-  return Impl->Services.set(View) ? view_outcome::Taken
+  return Impl->Services.set(View) ? view_outcome::Applied
                                   : view_outcome::NotNewer;
 }
 
 std::uint64_t balancer_core::versionOf(service_id Service) const {
-  const routed_service *Found = Impl->Services.findNumber(Service);
+  const routed_service *Found = Impl->Services.findById(Service);
   return Found == nullptr ? 0 : Found->Router.version();
 }
 
 std::size_t balancer_core::services() const { return Impl->Services.size(); }
 
-void balancer_core::heardOfFleet(instant Now) { Impl->LastHeard = Now; }
+void balancer_core::noteFleetContact(instant Now) {
+  Impl->LastFleetContact = Now;
+}
 
 bool balancer_core::isStale(instant Now) const { return Impl->isStale(Now); }
 
@@ -178,9 +182,9 @@
                                        instant Now) {
   packet_fault Fault = packet_fault::None;
   if (isOwnerNotice(Bytes))
-    Fault = Impl->takeNotice(From, Bytes);
+    Fault = Impl->handleOwnerNotice(From, Bytes);
   else if (isSilenceNotice(Bytes))
-    Fault = Impl->takeSilence(From, Bytes, Now);
+    Fault = Impl->handleSilenceNotice(From, Bytes, Now);
   else
     Fault = Impl->route(Bytes, Now);
   if (Fault != packet_fault::None)
@@ -203,7 +207,7 @@
                         {"address", toText(Service.Address)},
                         {"version", Service.Router.version()},
                         {"targets", Service.Router.targetCount()},
-                        {"withdrawn", !Service.Claims}});
+                        {"withdrawn", !Service.IsActive}});
   const nlohmann::json Status = {{"stale", Impl->isStale(Now)},
                                  {"services", std::move(Services)}};
   return Status.dump();
--- a/src/balancer/owner_cache.cpp
+++ b/src/balancer/owner_cache.cpp
@@ -9,7 +9,7 @@
 
 owner_cache::owner_cache(std::size_t Slots) : Slots(std::bit_ceil(Slots)) {}
 
-void owner_cache::remember(const flow_key &Flow, host_id Owner) {
+void owner_cache::store(const flow_key &Flow, host_id Owner) {
   const std::uint64_t Hash = hashOf(Flow, CacheSeed);
   Slots[Hash & (Slots.size() - 1)] = {Hash, Owner, true};
 }
--- a/src/balancer/owner_cache.h
+++ b/src/balancer/owner_cache.h
@@ -24,7 +24,7 @@
 public:
   explicit owner_cache(std::size_t Slots);
 
-  void remember(const flow_key &Flow, host_id Owner);
+  void store(const flow_key &Flow, host_id Owner);
   std::optional<host_id> find(const flow_key &Flow) const;
 
   std::size_t bytes() const { return Slots.capacity() * sizeof(slot); }
--- a/src/balancer/service_table.cpp
+++ b/src/balancer/service_table.cpp
@@ -3,33 +3,32 @@
 namespace marjoramrail::internal {
 
 bool service_table::set(const service_view &View) {
-  const auto Found = ByNumber.find(View.Id);
-  if (Found != ByNumber.end()) {
+  const auto Found = ById.find(View.Id);
+  if (Found != ById.end()) {
     if (Found->second.Router.version() >= View.Version)
       return false;
-    release(Found->second);
+    releaseAddress(Found->second);
   }
   routed_service Service{service_router(View), View.Address,
                          !View.Generations.empty()};
-  const auto Placed =
-      ByNumber.insert_or_assign(View.Id, std::move(Service)).first;
-  if (Placed->second.Claims)
-    claim(Placed->second);
+  const auto Placed = ById.insert_or_assign(View.Id, std::move(Service)).first;
+  if (Placed->second.IsActive)
+    claimAddress(Placed->second);
   return true;
 }
 
-void service_table::claim(routed_service &Service) {
-  const routed_service *&Holder = ByAddress[Service.Address];
-  const routed_service *Other = Holder;
+void service_table::claimAddress(routed_service &Service) {
+  const routed_service *&AddressOwner = ByAddress[Service.Address];
+  const routed_service *Other = AddressOwner;
   if (Other == nullptr || Service.Router.id() < Other->Router.id())
-    Holder = &Service;
+    AddressOwner = &Service;
   else
     Other = &Service;
   if (Other != nullptr)
     Shadowed.push_back(Other);
 }
 
-void service_table::release(const routed_service &Service) {
+void service_table::releaseAddress(const routed_service &Service) {
   std::erase(Shadowed, &Service);
   const auto Held = ByAddress.find(Service.Address);
   if (Held == ByAddress.end() || Held->second != &Service)
@@ -47,13 +46,13 @@
   Held->second = Next;
 }
 
-const routed_service *service_table::findNumber(service_id Service) const {
-  const auto Found = ByNumber.find(Service);
-  return Found == ByNumber.end() ? nullptr : &Found->second;
+const routed_service *service_table::findById(service_id Service) const {
+  const auto Found = ById.find(Service);
+  return Found == ById.end() ? nullptr : &Found->second;
 }
 
 const routed_service *
-service_table::findAddress(const endpoint &Address) const {
+service_table::findByAddress(const endpoint &Address) const {
   const auto Found = ByAddress.find(Address);
   return Found == ByAddress.end() ? nullptr : Found->second;
 }
@@ -67,8 +66,8 @@
 }
 
 std::size_t service_table::bytes() const {
-  std::size_t Bytes = mapBytes(ByNumber) + mapBytes(ByAddress);
-  for (const auto &[Number, Service] : ByNumber)
+  std::size_t Bytes = mapBytes(ById) + mapBytes(ByAddress);
+  for (const auto &[Number, Service] : ById)
     Bytes += Service.Router.bytes() - sizeof(service_router);
   return Bytes;
 }
--- a/src/balancer/service_table.h
+++ b/src/balancer/service_table.h
@@ -20,7 +20,7 @@
   endpoint Address;
   /// False once a view withdrew the service. The entry stays, so that a late
   /// older view cannot bring it back.
-  bool Claims;
+  bool IsActive;
 };
 
 struct endpoint_hash {
@@ -37,23 +37,23 @@
   /// Returns false if \p View is not newer than the one in force.
   bool set(const service_view &View);
 
-  const routed_service *findNumber(service_id Service) const;
-  const routed_service *findAddress(const endpoint &Address) const;
+  const routed_service *findById(service_id Service) const;
+  const routed_service *findByAddress(const endpoint &Address) const;
 
   /// Services that packets can reach.
   std::size_t size() const { return ByAddress.size(); }
   std::size_t bytes() const;
 
   const std::unordered_map<service_id, routed_service> &all() const {
-    return ByNumber;
+    return ById;
   }
 
 private:
-  void claim(routed_service &Service);
-  void release(const routed_service &Service);
+  void claimAddress(routed_service &Service);
+  void releaseAddress(const routed_service &Service);
 
   /// Nodes of an unordered_map do not move, so the other may point to them.
-  std::unordered_map<service_id, routed_service> ByNumber;
+  std::unordered_map<service_id, routed_service> ById;
   std::unordered_map<endpoint, const routed_service *, endpoint_hash> ByAddress;
   /// Services whose address a lower number has: next to none.
   std::vector<const routed_service *> Shadowed;
--- a/src/balancer/silent_agents.h
+++ b/src/balancer/unresponsive_agents.h
@@ -1,4 +1,4 @@
-//===- silent_agents.h - Agents that a peer found silent --------*- C++ -*-===//
+//===- unresponsive_agents.h - Agents to try last ---------------*- C++ -*-===//
 ///
 /// \file
 /// Agents to try last for a while. Without it a flow's packets go to its dead
@@ -8,21 +8,21 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef MARJORAMRAIL_BALANCER_SILENT_AGENTS_H
-#define MARJORAMRAIL_BALANCER_SILENT_AGENTS_H
+#ifndef MARJORAMRAIL_BALANCER_UNRESPONSIVE_AGENTS_H
+#define MARJORAMRAIL_BALANCER_UNRESPONSIVE_AGENTS_H
 
 #include "marjoramrail/routing.h"
 
 namespace marjoramrail::internal {
 
-class silent_agents {
+class unresponsive_agents {
 public:
   /// The sender repeats itself each second while the silence lasts; twice that
   /// outlives a lost notice.
-  static constexpr duration Life = std::chrono::seconds(2);
+  static constexpr duration EntryLifetime = std::chrono::seconds(2);
   /// A whole zone of the users' largest site may be silent at once; beyond it
   /// the fleet's word must do.
-  static constexpr std::size_t Most = 256;
+  static constexpr std::size_t MaxEntries = 256;
 
   void add(const endpoint &Agent, instant Now);
 
@@ -35,11 +35,11 @@
     instant Until;
   };
 
-  bool isSilent(const endpoint &Agent) const;
+  bool contains(const endpoint &Agent) const;
 
   std::vector<entry> Entries;
 };
 
 } // namespace marjoramrail::internal
 
-#endif // MARJORAMRAIL_BALANCER_SILENT_AGENTS_H
+#endif // MARJORAMRAIL_BALANCER_UNRESPONSIVE_AGENTS_H
--- a/test/agent/agent_group.h
+++ b/test/agent/agent_group.h
@@ -46,7 +46,7 @@
 }
 
 /// Where a packet ended and how it got there.
-struct journey {
+struct packet_trace {
   packet_action Action = packet_action::Drop;
   packet_reason Reason = packet_reason::NoView;
   unsigned Host = 0;
@@ -61,14 +61,14 @@
   std::map<unsigned, std::unique_ptr<flow_owner>> Agents;
   std::set<unsigned> Dead;
   /// Pairs (from, to) between which messages and packets are lost.
-  std::set<std::pair<unsigned, unsigned>> Cut;
+  std::set<std::pair<unsigned, unsigned>> CutLinks;
   std::uint32_t NextInitial = 7'000'000;
 
   explicit agent_group(const service_view &View) {
     for (const target &Target : View.Targets)
       start(static_cast<unsigned>(Target.Id), 1);
-    spread(View);
-    pass(std::chrono::seconds(2));
+    applyView(View);
+    advanceTime(std::chrono::seconds(2));
   }
 
   void start(unsigned Host, std::uint32_t Incarnation) {
@@ -84,13 +84,13 @@
     Agents[Host] = std::make_unique<flow_owner>(Settings, std::move(Hooks));
   }
 
-  void spread(const service_view &View) {
+  void applyView(const service_view &View) {
     for (const auto &[Host, Agent] : Agents)
       Agent->takeView(View, Now);
   }
 
   /// Lets time go by; the fleet confirms every view meanwhile.
-  void pass(duration Time) {
+  void advanceTime(duration Time) {
     for (const instant End = Now + Time; Now < End;) {
       Now += flow_owner::TickPeriod;
       for (const auto &[Host, Agent] : Agents) {
@@ -104,24 +104,24 @@
   }
 
   /// Follows a packet that a balancer sent to the first of \p Routed's owners.
-  journey follow(routed_packet Routed, const tcp_packet &Packet) {
-    journey Journey;
+  packet_trace follow(routed_packet Routed, const tcp_packet &Packet) {
+    packet_trace Trace;
     endpoint From = Balancer;
     while (true) {
       const unsigned Host = hostAt(Routed.Owners[Routed.Position]);
-      Journey.Path.push_back(Host);
+      Trace.Path.push_back(Host);
       if (!reaches(hostAt(From), Host))
-        return Journey;
+        return Trace;
       flow_owner &Agent = *Agents.at(Host);
       const packet_decision Decision = Agent.decide(Routed, Packet, From, Now);
       deliverMessages();
-      Journey.Action = Decision.Action;
-      Journey.Reason = Decision.Reason;
-      Journey.Host = Host;
+      Trace.Action = Decision.Action;
+      Trace.Reason = Decision.Reason;
+      Trace.Host = Host;
       if (Decision.Action == packet_action::Deliver && Packet.opensFlow())
         answerSyn(Agent, Packet);
       if (Decision.Action != packet_action::PassOn)
-        return Journey;
+        return Trace;
       Routed = Decision.Routed;
       From = agentOf(Host);
     }
@@ -143,7 +143,7 @@
 
   bool reaches(unsigned From, unsigned To) const {
     return Agents.contains(To) && !Dead.contains(From) && !Dead.contains(To) &&
-           !Cut.contains({From, To});
+           !CutLinks.contains({From, To});
   }
 
   void deliverMessages() {
--- a/test/agent/flow_owner_test.cpp
+++ b/test/agent/flow_owner_test.cpp
@@ -33,10 +33,10 @@
   routed_packet Routed = routedBy(View, Ack);
   std::reverse(Routed.Owners.begin(), Routed.Owners.begin() + Routed.Count);
 
-  const journey Journey = Group.follow(Routed, Ack);
+  const packet_trace Trace = Group.follow(Routed, Ack);
 
-  CHECK(Journey.Action == packet_action::Deliver);
-  CHECK(Journey.Host == Owner);
+  CHECK(Trace.Action == packet_action::Deliver);
+  CHECK(Trace.Host == Owner);
 }
 
 TEST_CASE("a flow that nobody owns is reset at once") {
@@ -46,10 +46,10 @@
   agent_group Group(View);
   const tcp_packet Ack = ackOf(flowFrom(4000), 1);
 
-  const journey Journey = Group.follow(routedBy(View, Ack), Ack);
+  const packet_trace Trace = Group.follow(routedBy(View, Ack), Ack);
 
-  CHECK(Journey.Action == packet_action::Reset);
-  CHECK(Journey.Reason == packet_reason::NoOwner);
+  CHECK(Trace.Action == packet_action::Reset);
+  CHECK(Trace.Reason == packet_reason::NoOwner);
 }
 
 TEST_CASE("an agent that has not heard of the fleet resets nothing") {
@@ -61,10 +61,10 @@
   Group.Now += seconds(30);
   const tcp_packet Ack = ackOf(flowFrom(4000), 1);
 
-  const journey Journey = Group.follow(routedBy(View, Ack), Ack);
+  const packet_trace Trace = Group.follow(routedBy(View, Ack), Ack);
 
-  CHECK(Journey.Action == packet_action::Drop);
-  CHECK(Journey.Reason == packet_reason::Unconfirmed);
+  CHECK(Trace.Action == packet_action::Drop);
+  CHECK(Trace.Reason == packet_reason::Unconfirmed);
 }
 
 TEST_CASE("a packet of a balancer that is cut off is never answered by reset") {
@@ -89,17 +89,17 @@
   New.Generations = {{2, {}}, Old.Generations[0]};
   for (const unsigned Host : {4, 5, 6})
     New.Generations[0].Members.push_back({host_id(Host), 100});
-  Group.spread(New);
-  Group.pass(seconds(2));
+  Group.applyView(New);
+  Group.advanceTime(seconds(2));
   const flow_key Flow = flowFrom(4000);
   const unsigned Owner = openFlow(Group, New, Flow);
   REQUIRE(Owner >= 4);
   const tcp_packet Ack = ackOf(Flow, Group.Initials[Flow]);
 
-  const journey Journey = Group.follow(routedBy(Old, Ack), Ack);
+  const packet_trace Trace = Group.follow(routedBy(Old, Ack), Ack);
 
-  CHECK(Journey.Action == packet_action::Deliver);
-  CHECK(Journey.Host == Owner);
+  CHECK(Trace.Action == packet_action::Deliver);
+  CHECK(Trace.Host == Owner);
 }
 
 TEST_CASE("a packet visits no agent twice, whatever versions the agents have") {
@@ -115,10 +115,9 @@
   for (std::uint16_t Port = 4000; Port < 4100; ++Port)
     for (const tcp_packet &Packet :
          {synOf(flowFrom(Port)), ackOf(flowFrom(Port), 1)}) {
-      const journey Journey = Group.follow(routedBy(First, Packet), Packet);
-      const std::set<unsigned> Distinct(Journey.Path.begin(),
-                                        Journey.Path.end());
-      CHECK(Distinct.size() == Journey.Path.size());
+      const packet_trace Trace = Group.follow(routedBy(First, Packet), Packet);
+      const std::set<unsigned> Distinct(Trace.Path.begin(), Trace.Path.end());
+      CHECK(Distinct.size() == Trace.Path.size());
     }
 }
 
@@ -133,13 +132,13 @@
   service_view After = View;
   After.Version = 2;
   After.Targets[Owner - 1].Incarnation = 2;
-  Group.spread(After);
-  Group.pass(seconds(4));
+  Group.applyView(After);
+  Group.advanceTime(seconds(4));
   const tcp_packet Ack = ackOf(Flow, Group.Initials[Flow]);
 
-  const journey Journey = Group.follow(routedBy(After, Ack), Ack);
+  const packet_trace Trace = Group.follow(routedBy(After, Ack), Ack);
 
-  CHECK(Journey.Action == packet_action::Reset);
+  CHECK(Trace.Action == packet_action::Reset);
 }
 
 TEST_CASE("an agent that has just started trusts its view only after its "
@@ -153,7 +152,7 @@
   Group.Agents.at(2)->takeView(Newer, Group.Now);
   Group.start(3, 2);
   Group.Agents.at(3)->takeView(View, Group.Now);
-  Group.pass(seconds(4));
+  Group.advanceTime(seconds(4));
   const tcp_packet Ack = ackOf(flowFrom(4000), 1);
   routed_packet Routed = routedBy(View, Ack);
   Routed.Owners[0] = agentOf(3);
@@ -173,9 +172,9 @@
 
   for (std::uint16_t Port = 5000; Port < 5050; ++Port) {
     const tcp_packet Syn = synOf(flowFrom(Port));
-    const journey Journey = Group.follow(routedBy(View, Syn), Syn);
-    CHECK(Journey.Action == packet_action::Deliver);
-    CHECK(Journey.Host != Owner);
+    const packet_trace Trace = Group.follow(routedBy(View, Syn), Syn);
+    CHECK(Trace.Action == packet_action::Deliver);
+    CHECK(Trace.Host != Owner);
   }
 }
 
@@ -188,9 +187,9 @@
   const tcp_packet Syn = synOf(flowFrom(4000));
 
   Group.Agents.at(1)->resume();
-  const journey Journey = Group.follow(routedBy(View, Syn), Syn);
+  const packet_trace Trace = Group.follow(routedBy(View, Syn), Syn);
 
-  CHECK(Journey.Action == packet_action::Deliver);
+  CHECK(Trace.Action == packet_action::Deliver);
 }
 
 TEST_CASE("new flows are refused when every target drains") {
@@ -200,9 +199,9 @@
   Group.Agents.at(2)->drain();
   const tcp_packet Syn = synOf(flowFrom(4000));
 
-  const journey Journey = Group.follow(routedBy(View, Syn), Syn);
+  const packet_trace Trace = Group.follow(routedBy(View, Syn), Syn);
 
-  CHECK(Journey.Reason == packet_reason::Refused);
+  CHECK(Trace.Reason == packet_reason::Refused);
 }
 
 TEST_CASE("a flow needs its generation only while the newest would not find "
@@ -220,16 +219,16 @@
     if (Host != Owner)
       Others.push_back(Host);
   const service_view Without = withGeneration(View, Others);
-  Group.spread(Without);
-  Group.pass(seconds(1));
+  Group.applyView(Without);
+  Group.advanceTime(seconds(1));
   CHECK(Group.Agents.at(Owner)->oldestNeededGeneration() == 1);
   CHECK(Group.Agents.at(Others[0])->oldestNeededGeneration() == 2);
 
   std::vector<unsigned> All = Others;
   All.push_back(Owner);
   std::sort(All.begin(), All.end());
-  Group.spread(withGeneration(Without, All));
-  Group.pass(seconds(1));
+  Group.applyView(withGeneration(Without, All));
+  Group.advanceTime(seconds(1));
 
   // Four choices of all: the owner may or may not be among them again.
   const service_router Newest(withGeneration(Without, All));
@@ -250,8 +249,8 @@
   for (unsigned Host = 1; Host <= 6; ++Host)
     if (Host != Owner)
       Others.push_back(Host);
-  Group.spread(withGeneration(View, Others));
-  Group.pass(seconds(1));
+  Group.applyView(withGeneration(View, Others));
+  Group.advanceTime(seconds(1));
 
   CHECK(Group.Agents.at(Owner)->oldestNeededGeneration() == 2);
 }
--- a/test/agent/handshake_test.cpp
+++ b/test/agent/handshake_test.cpp
@@ -22,7 +22,7 @@
       break;
   }
   // Reports tell everyone how full each is.
-  Group.pass(seconds(2));
+  Group.advanceTime(seconds(2));
   return static_cast<unsigned>(Router.targetAt(First).Id);
 }
 
@@ -35,11 +35,11 @@
   const unsigned Full = fillFirstChoice(Group, View, Flow);
   const tcp_packet Syn = synOf(Flow);
 
-  const journey Journey = Group.follow(routedBy(View, Syn), Syn);
+  const packet_trace Trace = Group.follow(routedBy(View, Syn), Syn);
 
-  CHECK(Journey.Action == packet_action::Deliver);
-  CHECK(Journey.Path[0] == Full);
-  CHECK(Journey.Host != Full);
+  CHECK(Trace.Action == packet_action::Deliver);
+  CHECK(Trace.Path[0] == Full);
+  CHECK(Trace.Host != Full);
 }
 
 TEST_CASE("a SYN that is resent goes the way of the first") {
@@ -51,14 +51,14 @@
   const flow_key Flow = flowFrom(4000);
   const unsigned Full = fillFirstChoice(Group, View, Flow);
   const tcp_packet Syn = synOf(Flow);
-  const journey First = Group.follow(routedBy(View, Syn), Syn);
+  const packet_trace First = Group.follow(routedBy(View, Syn), Syn);
   for (std::uint16_t Port = 10000; Port < 20000; ++Port)
-    Group.Agents.at(Full)->flowGone(flowFrom(Port));
+    Group.Agents.at(Full)->flowRemoved(flowFrom(Port));
 
-  const journey Again = Group.follow(routedBy(View, Syn), Syn);
+  const packet_trace Again = Group.follow(routedBy(View, Syn), Syn);
 
   CHECK(Again.Host == First.Host);
-  CHECK(Group.Agents.at(Full)->count(packet_reason::HandedOnAgain) == 1);
+  CHECK(Group.Agents.at(Full)->count(packet_reason::RedirectRepeated) == 1);
 }
 
 TEST_CASE("of two agents that answered one SYN the completed one keeps it") {
@@ -76,10 +76,10 @@
   REQUIRE(First != Second);
   const tcp_packet Ack = ackOf(Flow, Group.Initials[Flow]);
 
-  const journey Journey = Group.follow(routedBy(View, Ack), Ack);
+  const packet_trace Trace = Group.follow(routedBy(View, Ack), Ack);
 
-  CHECK(Journey.Path == std::vector<unsigned>{First, Second});
-  CHECK(Journey.Action == packet_action::Deliver);
+  CHECK(Trace.Path == std::vector<unsigned>{First, Second});
+  CHECK(Trace.Action == packet_action::Deliver);
   CHECK(Group.Agents.at(First)->flows() == 0);
   CHECK(Group.Agents.at(Second)->flows() == 1);
 }
@@ -97,10 +97,10 @@
   Group.follow(routedBy(View, Late), Late);
   const tcp_packet Ack = ackOf(Flow, Group.Initials[Flow]);
 
-  const journey Journey = Group.follow(routedBy(View, Ack), Ack);
+  const packet_trace Trace = Group.follow(routedBy(View, Ack), Ack);
 
-  CHECK(Journey.Action == packet_action::Deliver);
-  CHECK(Journey.Host == Owner);
+  CHECK(Trace.Action == packet_action::Deliver);
+  CHECK(Trace.Host == Owner);
 }
 
 TEST_CASE("an owner of a dead flow passes the packets of its port's next one") {
@@ -118,10 +118,10 @@
   REQUIRE(NewOwner != OldOwner);
   const tcp_packet Ack = ackOf(Flow, Group.Initials[Flow], 3'000'000'000);
 
-  const journey Journey = Group.follow(routedBy(View, Ack), Ack);
+  const packet_trace Trace = Group.follow(routedBy(View, Ack), Ack);
 
-  CHECK(Journey.Path == std::vector<unsigned>{OldOwner, NewOwner});
-  CHECK(Journey.Action == packet_action::Deliver);
+  CHECK(Trace.Path == std::vector<unsigned>{OldOwner, NewOwner});
+  CHECK(Trace.Action == packet_action::Deliver);
 }
 
 TEST_CASE("a half-open flow that is never completed is forgotten") {
@@ -131,7 +131,7 @@
   const unsigned Owner = Group.follow(routedBy(View, Syn), Syn).Host;
   REQUIRE(Group.Agents.at(Owner)->flows() == 1);
 
-  Group.pass(seconds(30));
+  Group.advanceTime(seconds(30));
 
   CHECK(Group.Agents.at(Owner)->flows() == 0);
 }
@@ -146,7 +146,7 @@
   const tcp_packet Ack = ackOf(Flow, Group.Initials[Flow]);
   CHECK(Group.follow(routedBy(View, Ack), Ack).Host == Owner);
 
-  Group.pass(seconds(40));
+  Group.advanceTime(seconds(40));
 
   CHECK(Group.follow(routedBy(View, Ack), Ack).Action == packet_action::Reset);
 }
--- a/test/agent/peers_test.cpp
+++ b/test/agent/peers_test.cpp
@@ -37,15 +37,15 @@
                      Old.Generations[0]};
   for (const unsigned Host : {1, 2, 4, 5})
     Group.Agents.at(Host)->takeView(New, Group.Now);
-  Group.pass(seconds(2));
+  Group.advanceTime(seconds(2));
   const tcp_packet Syn = synOf(flowFrom(4000));
 
-  const journey Early = Group.follow(routedBy(New, Syn), Syn);
+  const packet_trace Early = Group.follow(routedBy(New, Syn), Syn);
   CHECK(Early.Action == packet_action::Deliver);
   CHECK(Early.Host <= 3);
 
   Group.Agents.at(3)->takeView(New, Group.Now);
-  Group.pass(seconds(1));
+  Group.advanceTime(seconds(1));
   const tcp_packet Next = synOf(flowFrom(4001));
   CHECK(Group.follow(routedBy(New, Next), Next).Host >= 4);
 }
@@ -59,8 +59,8 @@
   service_view New = viewOf(4, 2);
   New.Targets[2].State = target_state::Down;
   New.Generations = {{2, {{host_id(4), 100}}}, Old.Generations[0]};
-  Group.spread(New);
-  Group.pass(seconds(1));
+  Group.applyView(New);
+  Group.advanceTime(seconds(1));
   const tcp_packet Syn = synOf(flowFrom(4000));
 
   CHECK(Group.follow(routedBy(New, Syn), Syn).Host == 4);
@@ -72,8 +72,8 @@
   const service_view Old = viewOf(3);
   agent_group Group(Old);
   service_view New = withGeneration(Old, {1, 2});
-  Group.spread(New);
-  Group.pass(seconds(1));
+  Group.applyView(New);
+  Group.advanceTime(seconds(1));
   Group.start(3, 2);
   Group.Agents.at(3)->takeView(Old, Group.Now);
   service_view After = New;
@@ -97,11 +97,11 @@
   const routed_packet Routed = through(View, otherThan(Owner, 4), Owner);
   CHECK(Group.follow(Routed, Ack).Action == packet_action::PassOn);
 
-  Group.pass(milliseconds(900));
+  Group.advanceTime(milliseconds(900));
 
-  const journey Journey = Group.follow(Routed, Ack);
-  CHECK(Journey.Action == packet_action::Reset);
-  CHECK(Journey.Reason == packet_reason::OwnerSilent);
+  const packet_trace Trace = Group.follow(Routed, Ack);
+  CHECK(Trace.Action == packet_action::Reset);
+  CHECK(Trace.Reason == packet_reason::OwnerUnresponsive);
 }
 
 TEST_CASE("an agent whose own link is cut resets nobody") {
@@ -113,12 +113,12 @@
   const unsigned Owner = openFlow(Group, View, Flow);
   const unsigned Via = otherThan(Owner, 4);
   for (unsigned Host = 1; Host <= 4; ++Host)
-    Group.Cut.insert({Host, Via});
+    Group.CutLinks.insert({Host, Via});
   const tcp_packet Ack = ackOf(Flow, Group.Initials[Flow]);
   const routed_packet Routed = through(View, Via, Owner);
   CHECK(Group.follow(Routed, Ack).Action == packet_action::Deliver);
 
-  Group.pass(seconds(2));
+  Group.advanceTime(seconds(2));
 
   routed_packet Only = Routed;
   Only.Count = 1;
@@ -133,13 +133,13 @@
   const flow_key Flow = flowFrom(4000);
   const unsigned Owner = openFlow(Group, View, Flow);
   const unsigned Via = otherThan(Owner, 4);
-  Group.Cut.insert({Owner, Via});
-  Group.Cut.insert({Via, Owner});
+  Group.CutLinks.insert({Owner, Via});
+  Group.CutLinks.insert({Via, Owner});
   const tcp_packet Ack = ackOf(Flow, Group.Initials[Flow]);
   const routed_packet Routed = through(View, Via, Owner);
   Group.follow(Routed, Ack);
 
-  Group.pass(seconds(2));
+  Group.advanceTime(seconds(2));
 
   CHECK(Group.follow(Routed, Ack).Action == packet_action::PassOn);
 }
@@ -153,18 +153,18 @@
   const tcp_packet Ack = ackOf(Flow, Group.Initials[Flow]);
   const routed_packet Routed = through(View, otherThan(Owner, 4), Owner);
   Group.follow(Routed, Ack);
-  Group.pass(seconds(1));
+  Group.advanceTime(seconds(1));
   REQUIRE(Group.follow(Routed, Ack).Action == packet_action::Reset);
 
   Group.Dead.clear();
-  Group.pass(seconds(2));
+  Group.advanceTime(seconds(2));
 
   CHECK(Group.follow(Routed, Ack).Host == Owner);
 }
 
 TEST_CASE("a message between agents survives its encoding") {
   peer_message Message;
-  Message.Kind = peer_message_kind::Vouch;
+  Message.Kind = peer_message_kind::ProbeSucceeded;
   Message.Service = Ledger;
   Message.Host = host_id(7);
   Message.Incarnation = 1'800'000'000;
--- a/test/balancer/balancer_core_test.cpp
+++ b/test/balancer/balancer_core_test.cpp
@@ -45,7 +45,7 @@
   service_view Older = sampleView(7);
   Older.Version = 4;
 
-  CHECK(Core.setView(Newer) == view_outcome::Taken);
+  CHECK(Core.setView(Newer) == view_outcome::Applied);
   CHECK(Core.setView(Older) == view_outcome::NotNewer);
   CHECK(Core.setView(Newer) == view_outcome::NotNewer);
 
@@ -120,7 +120,7 @@
   send(sampleFlow(1), AckBit);
   CHECK(Routed.has(routed_flag::Stale));
 
-  Core.heardOfFleet(Now);
+  Core.noteFleetContact(Now);
   send(sampleFlow(1), AckBit);
   CHECK_FALSE(Routed.has(routed_flag::Stale));
 }
@@ -133,7 +133,7 @@
   const routed_packet Before = Routed;
   const endpoint Owner = Before.Owners[2];
 
-  REQUIRE(name(Flow, Owner, Owner) == packet_fault::None);
+  REQUIRE(sendOwnerNotice(Flow, Owner, Owner) == packet_fault::None);
   send(Flow, AckBit);
 
   CHECK(To == Owner);
@@ -151,7 +151,7 @@
   send(Flow, SynBit);
   const endpoint First = To;
   send(Flow, AckBit);
-  name(Flow, Routed.Owners[2], Routed.Owners[2]);
+  sendOwnerNotice(Flow, Routed.Owners[2], Routed.Owners[2]);
 
   send(Flow, SynBit);
 
@@ -164,7 +164,7 @@
   const flow_key Flow = sampleFlow(1);
   send(Flow, AckBit);
   const endpoint Owner = Routed.Owners[2];
-  name(Flow, Owner, Owner);
+  sendOwnerNotice(Flow, Owner, Owner);
   service_view View = sampleView(7);
   View.Version = 2;
   for (target &Target : View.Targets)
@@ -189,16 +189,17 @@
   flow_key Other = Flow;
   Other.Service.Port = 80;
 
-  CHECK(name(Flow, Agent, Stranger) == packet_fault::ForeignSender);
-  CHECK(name(Flow, Stranger, Stranger) == packet_fault::ForeignSender);
-  CHECK(name(Other, Agent, Agent) == packet_fault::ServiceMismatch);
-  CHECK(name(Flow, Agent, Agent, service_id(8)) ==
+  CHECK(sendOwnerNotice(Flow, Agent, Stranger) == packet_fault::ForeignSender);
+  CHECK(sendOwnerNotice(Flow, Stranger, Stranger) ==
+        packet_fault::ForeignSender);
+  CHECK(sendOwnerNotice(Other, Agent, Agent) == packet_fault::ServiceMismatch);
+  CHECK(sendOwnerNotice(Flow, Agent, Agent, service_id(8)) ==
         packet_fault::UnknownService);
 
   send(Flow, AckBit);
   CHECK(To == First);
   CHECK(Core.counters().dropped(packet_fault::ForeignSender) == 2);
-  CHECK(Core.counters().NoticesTaken == 0);
+  CHECK(Core.counters().NoticesAccepted == 0);
 }
 
 TEST_CASE_FIXTURE(
@@ -236,9 +237,9 @@
   const std::size_t Before = Core.bytes();
   for (std::uint32_t I = 0; I < 5000; ++I) {
     send(sampleFlow(I), AckBit);
-    name(sampleFlow(I), Routed.Owners[1], Routed.Owners[1]);
+    sendOwnerNotice(sampleFlow(I), Routed.Owners[1], Routed.Owners[1]);
   }
-  CHECK(Core.counters().NoticesTaken == 5000);
+  CHECK(Core.counters().NoticesAccepted == 5000);
   CHECK(Core.bytes() == Before);
 }
 
--- a/test/balancer/core_fixture.h
+++ b/test/balancer/core_fixture.h
@@ -37,22 +37,23 @@
 
   core_fixture() {
     Core.setView(sampleView(7));
-    Core.heardOfFleet(Now);
+    Core.noteFleetContact(Now);
   }
 
   packet_fault send(const flow_key &Flow, std::uint8_t Flags) {
     return Core.onDatagram(Fabric, samplePacket(Flow, Flags), Now);
   }
 
-  packet_fault tellSilence(const endpoint &Silent, const endpoint &From,
-                           service_id Service = service_id(1)) {
+  packet_fault sendSilenceNotice(const endpoint &Silent, const endpoint &From,
+                                 service_id Service = service_id(1)) {
     byte_string Notice(SilenceNoticeBytes);
     encodeSilenceNotice({Service, Silent}, Notice);
     return Core.onDatagram(From, Notice, Now);
   }
 
-  packet_fault name(const flow_key &Flow, const endpoint &Owner,
-                    const endpoint &From, service_id Service = service_id(1)) {
+  packet_fault sendOwnerNotice(const flow_key &Flow, const endpoint &Owner,
+                               const endpoint &From,
+                               service_id Service = service_id(1)) {
     byte_string Notice(OwnerNoticeBytes);
     encodeOwnerNotice({Service, 1, Flow, Owner}, Notice);
     return Core.onDatagram(From, Notice, Now);
--- a/test/balancer/mutation_test.cpp
+++ b/test/balancer/mutation_test.cpp
@@ -158,10 +158,10 @@
     Core.onDatagram(sampleTarget(1).Agent, Bytes, instant());
   }
 
-  std::uint64_t Told = Core.counters().NoticesTaken;
+  std::uint64_t Counted = Core.counters().NoticesAccepted;
   for (const std::uint64_t Count : Core.counters().Dropped)
-    Told += Count;
-  CHECK(Sent + Told == Rounds);
+    Counted += Count;
+  CHECK(Sent + Counted == Rounds);
   CHECK(Sent > Rounds / 20);
-  CHECK(Core.counters().NoticesTaken > 0);
+  CHECK(Core.counters().NoticesAccepted > 0);
 }
--- a/test/balancer/silence_test.cpp
+++ b/test/balancer/unresponsive_agents_test.cpp
@@ -13,7 +13,7 @@
   const endpoint Second = Routed.Owners[1];
   const std::uint8_t Count = Routed.Count;
 
-  REQUIRE(tellSilence(Dead, Second) == packet_fault::None);
+  REQUIRE(sendSilenceNotice(Dead, Second) == packet_fault::None);
   send(Flow, AckBit);
   CHECK(To == Second);
   CHECK(Routed.Count == Count);
@@ -32,9 +32,9 @@
   const endpoint Other = Routed.Owners[1];
   const endpoint Stranger{0x0a0f0099, 7000};
 
-  CHECK(tellSilence(Agent, Stranger) == packet_fault::ForeignSender);
-  CHECK(tellSilence(Stranger, Agent) == packet_fault::ForeignSender);
-  CHECK(tellSilence(Agent, Agent) == packet_fault::ForeignSender);
-  CHECK(tellSilence(Agent, Other, service_id(8)) ==
+  CHECK(sendSilenceNotice(Agent, Stranger) == packet_fault::ForeignSender);
+  CHECK(sendSilenceNotice(Stranger, Agent) == packet_fault::ForeignSender);
+  CHECK(sendSilenceNotice(Agent, Agent) == packet_fault::ForeignSender);
+  CHECK(sendSilenceNotice(Agent, Other, service_id(8)) ==
         packet_fault::UnknownService);
 }
--- a/test/path/burst_test.cpp
+++ b/test/path/burst_test.cpp
@@ -20,11 +20,11 @@
     for (std::uint32_t I = 0; I < 280; ++I) {
       World.openFlow(I);
       if (I % 4 == 3)
-        World.pass(path_world::Turn);
+        World.advanceTime(path_world::Step);
     }
-    World.pass(seconds(3));
+    World.advanceTime(seconds(3));
 
-    CHECK(World.verdict().Opened == 280);
+    CHECK(World.outcome().Opened == 280);
     CHECK(World.imbalance() <= 1.2);
   }
 }
--- a/test/path/owner_death_test.cpp
+++ b/test/path/owner_death_test.cpp
@@ -7,24 +7,24 @@
 using std::chrono::seconds;
 
 /// Kills a host of 300 flows; the fleet needs four seconds to agree on it.
-static world_verdict killOne(std::uint64_t Seed) {
+static world_outcome killOne(std::uint64_t Seed) {
   CAPTURE(Seed);
   world_settings Settings;
   Settings.Seed = Seed;
   path_world World(Settings);
   for (std::uint32_t I = 0; I < 300; ++I)
     World.openFlow(I);
-  World.pass(seconds(3));
+  World.advanceTime(seconds(3));
   const std::size_t Owned = World.flowsOf(2);
 
-  World.pass(Seed * path_world::Turn * 2);
+  World.advanceTime(Seed * path_world::Step * 2);
   World.killHost(2, seconds(4));
-  World.pass(seconds(15));
+  World.advanceTime(seconds(15));
 
   CHECK(Owned > 20);
-  CHECK(World.verdict().BrokenByDeath == Owned);
+  CHECK(World.outcome().BrokenByDeath == Owned);
   CHECK(World.establishedFlows() == 300 - Owned);
-  return World.verdict();
+  return World.outcome();
 }
 
 TEST_CASE("an owner's death breaks its own flows alone, and tells them soon") {
@@ -32,10 +32,10 @@
   // it is dead. Its callers' amendments would hang until their own timeouts,
   // and other hosts' flows must not suffer from the doubt.
   for (const std::uint64_t Seed : {1, 2, 3, 4, 5, 6}) {
-    const world_verdict Verdict = killOne(Seed);
-    CHECK(Verdict.BrokenPlanned == 0);
-    CHECK(Verdict.Misrouted == 0);
-    CHECK(Verdict.LongestUntold <= seconds(1));
+    const world_outcome Outcome = killOne(Seed);
+    CHECK(Outcome.BrokenPlanned == 0);
+    CHECK(Outcome.Misrouted == 0);
+    CHECK(Outcome.MaxResetDelay <= seconds(1));
   }
 }
 
@@ -50,14 +50,14 @@
     path_world World(Settings);
     for (std::uint32_t I = 0; I < 300; ++I)
       World.openFlow(I);
-    World.pass(seconds(3));
+    World.advanceTime(seconds(3));
 
     for (int Time = 0; Time < 10; ++Time) {
       World.freezeHost(2, std::chrono::milliseconds(300));
-      World.pass(seconds(2));
+      World.advanceTime(seconds(2));
     }
 
     CHECK(World.establishedFlows() == 300);
-    CHECK(World.verdict().BrokenPlanned == 0);
+    CHECK(World.outcome().BrokenPlanned == 0);
   }
 }
--- a/test/path/path_world.cpp
+++ b/test/path/path_world.cpp
@@ -23,14 +23,14 @@
     Core.Self = balancerOf(I);
     Balancer.Core = std::make_unique<balancer_core>(
         Core, balancer_hooks{[this, I](const endpoint &To, bytes_view Bytes) {
-          put({cargo::Routed,
-               balancerOf(I),
-               To,
-               {Bytes.begin(), Bytes.end()},
-               {},
-               0,
-               0},
-              true);
+          enqueue({datagram_kind::Routed,
+                   balancerOf(I),
+                   To,
+                   {Bytes.begin(), Bytes.end()},
+                   {},
+                   0,
+                   0},
+                  true);
         }});
     Balancer.Core->setView(Newest.View);
     Balancer.Version = Newest.View.Version;
@@ -38,7 +38,7 @@
   }
   for (host &Host : Hosts)
     Host.NextView = Now;
-  pass(seconds(5));
+  advanceTime(seconds(5));
 }
 
 path_world::~path_world() = default;
@@ -51,7 +51,7 @@
 // The bag
 //===----------------------------------------------------------------------===//
 
-void path_world::put(parcel Parcel, bool MayBeLost) {
+void path_world::enqueue(queued_datagram Datagram, bool MayBeLost) {
   constexpr std::uint64_t Scale = 100000;
   const auto Hits = [&](double Percent) {
     return static_cast<double>(below(Scale)) < Percent * Scale / 100;
@@ -60,40 +60,41 @@
     return;
   const auto Delay = [&] {
     return milliseconds(1) + duration(below(static_cast<std::uint64_t>(
-                                 Settings.MostDelay.count())));
+                                 Settings.MaxDelay.count())));
   };
-  if (MayBeLost && Hits(Settings.DoublePercent))
-    Bag.emplace(Now + Delay(), Parcel);
-  Bag.emplace(Now + Delay(), std::move(Parcel));
+  if (MayBeLost && Hits(Settings.DuplicatePercent))
+    InFlight.emplace(Now + Delay(), Datagram);
+  InFlight.emplace(Now + Delay(), std::move(Datagram));
 }
 
-void path_world::deliver(const parcel &Parcel) {
-  if (Parcel.Kind == cargo::ToCaller)
-    return callerReceives(Parcel);
-  if (Parcel.Kind == cargo::ToBalancer || Parcel.Kind == cargo::Notice) {
-    Balancers[Parcel.To.Address - balancerOf(0).Address].Core->onDatagram(
-        Parcel.From, Parcel.Bytes, Now);
+void path_world::deliver(const queued_datagram &Datagram) {
+  if (Datagram.Kind == datagram_kind::ToCaller)
+    return callerReceives(Datagram);
+  if (Datagram.Kind == datagram_kind::ToBalancer ||
+      Datagram.Kind == datagram_kind::Notice) {
+    Balancers[Datagram.To.Address - balancerOf(0).Address].Core->onDatagram(
+        Datagram.From, Datagram.Bytes, Now);
     return;
   }
-  const auto Number = hostAt(Parcel.To);
+  const auto Number = hostAt(Datagram.To);
   if (!Number || !Hosts[*Number].Core)
     return;
   if (Hosts[*Number].FrozenUntil > Now) {
-    Bag.emplace(Hosts[*Number].FrozenUntil, Parcel);
+    InFlight.emplace(Hosts[*Number].FrozenUntil, Datagram);
     return;
   }
-  if (Parcel.Kind == cargo::Peer)
-    Hosts[*Number].Core->receive(Parcel.Message, Parcel.From, Now);
+  if (Datagram.Kind == datagram_kind::Peer)
+    Hosts[*Number].Core->receive(Datagram.Message, Datagram.From, Now);
   else
-    takeRouted(Hosts[*Number], *Number, Parcel);
+    takeRouted(Hosts[*Number], *Number, Datagram);
 }
 
-void path_world::pass(duration Time) {
+void path_world::advanceTime(duration Time) {
   for (const instant End = Now + Time; Now < End;) {
-    Now += Turn;
+    Now += Step;
     if (Now - LastPlan >= PlanPeriod)
       plan();
-    spreadViews();
+    distributeViews();
     if (Now.time_since_epoch() % flow_owner::TickPeriod == duration(0))
       for (host &Host : Hosts)
         if (Host.Alive && Host.Core && Host.FrozenUntil <= Now) {
@@ -101,11 +102,11 @@
           Host.Core->confirmView(Now);
           Host.Core->tick(Now);
         }
-    callersTurn();
-    while (!Bag.empty() && Bag.begin()->first <= Now) {
-      const parcel Parcel = std::move(Bag.begin()->second);
-      Bag.erase(Bag.begin());
-      deliver(Parcel);
+    stepCallers();
+    while (!InFlight.empty() && InFlight.begin()->first <= Now) {
+      const queued_datagram Datagram = std::move(InFlight.begin()->second);
+      InFlight.erase(InFlight.begin());
+      deliver(Datagram);
     }
   }
 }
@@ -131,14 +132,21 @@
   Core.Incarnation = Host.Incarnation;
   flow_owner_hooks Hooks;
   Hooks.Send = [this, Number](const endpoint &To, const peer_message &Message) {
-    put({cargo::Peer, Hosts[Number].Agent, To, {}, Message, 0, 0}, true);
+    enqueue({datagram_kind::Peer, Hosts[Number].Agent, To, {}, Message, 0, 0},
+            true);
   };
-  Hooks.TellSilence = [this, Number](const endpoint &To,
-                                     const silence_notice &Notice) {
+  Hooks.ReportUnresponsive = [this, Number](const endpoint &To,
+                                            const silence_notice &Notice) {
     std::vector<std::uint8_t> Bytes(SilenceNoticeBytes);
     encodeSilenceNotice(Notice, Bytes);
-    put({cargo::Notice, Hosts[Number].Agent, To, std::move(Bytes), {}, 0, 0},
-        true);
+    enqueue({datagram_kind::Notice,
+             Hosts[Number].Agent,
+             To,
+             std::move(Bytes),
+             {},
+             0,
+             0},
+            true);
   };
   Host.Core = std::make_unique<flow_owner>(Core, std::move(Hooks));
   if (Host.Draining)
@@ -146,17 +154,17 @@
 }
 
 void path_world::takeRouted(host &Host, std::uint32_t Number,
-                            const parcel &Parcel) {
+                            const queued_datagram &Datagram) {
   routed_packet Routed;
   tcp_packet Packet;
-  if (decodeRouted(Parcel.Bytes, Routed) != packet_fault::None ||
+  if (decodeRouted(Datagram.Bytes, Routed) != packet_fault::None ||
       parseTcpPacket(Routed.Packet, Packet) != packet_fault::None)
     return;
   if (!Packet.opensFlow())
-    ++Verdict.Visits;
+    ++Outcome.Visits;
   const packet_decision Decision =
-      Host.Core->decide(Routed, Packet, Parcel.From, Now);
-  if (Decision.ForgetFlow)
+      Host.Core->decide(Routed, Packet, Datagram.From, Now);
+  if (Decision.DiscardHalfOpen)
     Host.Stack.erase(Packet.Flow);
   switch (Decision.Action) {
   case packet_action::Deliver:
@@ -166,27 +174,27 @@
     Next.Packet = Routed.Packet;
     std::vector<std::uint8_t> Bytes(MaxRoutedBytes);
     Bytes.resize(encodeRouted(Next, Bytes));
-    put({cargo::Routed,
-         Host.Agent,
-         Next.Owners[Next.Position],
-         std::move(Bytes),
-         {},
-         0,
-         0},
-        true);
+    enqueue({datagram_kind::Routed,
+             Host.Agent,
+             Next.Owners[Next.Position],
+             std::move(Bytes),
+             {},
+             0,
+             0},
+            true);
     return;
   }
   case packet_action::Reset: {
     std::vector<std::uint8_t> Bytes(64);
     Bytes.resize(writeReset(Packet, Bytes));
-    put({cargo::ToCaller,
-         Host.Agent,
-         {},
-         std::move(Bytes),
-         {},
-         Number,
-         Host.Incarnation},
-        true);
+    enqueue({datagram_kind::ToCaller,
+             Host.Agent,
+             {},
+             std::move(Bytes),
+             {},
+             Number,
+             Host.Incarnation},
+            true);
     return;
   }
   case packet_action::Drop:
@@ -202,34 +210,34 @@
   tcp_packet Answer;
   parseAnswer(Bytes, Answer);
   Host.Core->noteAnswer(Answer, Now);
-  put({cargo::ToCaller,
-       Host.Agent,
-       {},
-       std::move(Bytes),
-       {},
-       Number,
-       Host.Incarnation},
-      true);
+  enqueue({datagram_kind::ToCaller,
+           Host.Agent,
+           {},
+           std::move(Bytes),
+           {},
+           Number,
+           Host.Incarnation},
+          true);
 }
 
 /// A TCP stack as far as the core can tell it from lwIP.
 void path_world::takeIntoStack(host &Host, std::uint32_t Number,
                                const tcp_packet &Packet,
                                const routed_packet &Routed) {
-  judge(Packet, Number);
+  checkOwner(Packet, Number);
   if (Routed.Position > 0 && !Packet.opensFlow()) {
     std::vector<std::uint8_t> Bytes(OwnerNoticeBytes);
     encodeOwnerNotice(
         {Routed.Service, Host.Core->viewVersion(), Packet.Flow, Host.Agent},
         Bytes);
-    put({cargo::Notice,
-         Host.Agent,
-         Routed.Balancer,
-         std::move(Bytes),
-         {},
-         0,
-         0},
-        true);
+    enqueue({datagram_kind::Notice,
+             Host.Agent,
+             Routed.Balancer,
+             std::move(Bytes),
+             {},
+             0,
+             0},
+            true);
   }
   if (Packet.Syn) {
     held_flow &Held = Host.Stack[Packet.Flow];
@@ -242,14 +250,14 @@
   if (Found == Host.Stack.end()) {
     std::vector<std::uint8_t> Bytes(64);
     Bytes.resize(writeReset(Packet, Bytes));
-    put({cargo::ToCaller,
-         Host.Agent,
-         {},
-         std::move(Bytes),
-         {},
-         Number,
-         Host.Incarnation},
-        true);
+    enqueue({datagram_kind::ToCaller,
+             Host.Agent,
+             {},
+             std::move(Bytes),
+             {},
+             Number,
+             Host.Incarnation},
+            true);
     return;
   }
   held_flow &Held = Found->second;
@@ -262,20 +270,20 @@
   if (!Packet.Fin || !Held.Established)
     return;
   Host.Core->flowClosing(Packet.Flow, Now);
-  Host.Core->flowGone(Packet.Flow);
+  Host.Core->flowRemoved(Packet.Flow);
   Host.Stack.erase(Found);
 }
 
-void path_world::judge(const tcp_packet &Packet, std::uint32_t Host) {
+void path_world::checkOwner(const tcp_packet &Packet, std::uint32_t Host) {
   const auto Found = Callers.find(numberOf(Packet.Flow));
   if (Packet.opensFlow() || Found == Callers.end())
     return;
-  ++Verdict.Deliveries;
+  ++Outcome.Deliveries;
   const caller &Caller = Found->second;
   const bool OfThisFlow = Packet.Sequence - Caller.Initial < 1U << 20;
   if (Caller.State == caller_state::Established && OfThisFlow &&
       Packet.Payload > 0 && Caller.Owner != Host)
-    ++Verdict.Misrouted;
+    ++Outcome.Misrouted;
 }
 
 void path_world::addHost() {
@@ -410,13 +418,13 @@
   return std::next(First, static_cast<std::ptrdiff_t>(below(Count)))->first;
 }
 
-void path_world::spreadViews() {
+void path_world::distributeViews() {
   const auto NextTime = [this] {
     return Now + duration(below(static_cast<std::uint64_t>(
-                     std::max<duration::rep>(1, Settings.MostLag.count()))));
+                     std::max<duration::rep>(1, Settings.MaxViewLag.count()))));
   };
   for (balancer &Balancer : Balancers) {
-    Balancer.Core->heardOfFleet(Now);
+    Balancer.Core->noteFleetContact(Now);
     if (Now < Balancer.NextView)
       continue;
     Balancer.NextView = NextTime();
--- a/test/path/path_world.h
+++ b/test/path/path_world.h
@@ -29,17 +29,17 @@
   std::uint32_t Hosts = 7;
   std::uint32_t Balancers = 3;
   double LossPercent = 0;
-  double DoublePercent = 0;
+  double DuplicatePercent = 0;
   /// One way, evenly spread from 1 ms; more than a turn apart means reordered.
-  duration MostDelay = std::chrono::milliseconds(10);
+  duration MaxDelay = std::chrono::milliseconds(10);
   /// Between two packets of a caller.
   duration SendPeriod = std::chrono::milliseconds(250);
   /// How long a node may be behind the newest view.
-  duration MostLag = std::chrono::seconds(5);
+  duration MaxViewLag = std::chrono::seconds(5);
 };
 
 /// What the callers saw, against what the world knows.
-struct world_verdict {
+struct world_outcome {
   std::uint64_t Opened = 0;
   /// Flows reset although their owner lives: the system's fault.
   std::uint64_t BrokenPlanned = 0;
@@ -51,7 +51,7 @@
   std::uint64_t RefusedOpen = 0;
   /// From an owner's death, or the flow's first packet after it if that was
   /// later, to the reset: the longest.
-  duration LongestUntold{};
+  duration MaxResetDelay{};
   /// Packets of established flows that reached an agent, and all the agents
   /// that they visited.
   std::uint64_t Deliveries = 0;
@@ -60,19 +60,19 @@
 
 class path_world {
 public:
-  static constexpr duration Turn = std::chrono::milliseconds(10);
+  static constexpr duration Step = std::chrono::milliseconds(10);
 
   explicit path_world(const world_settings &Settings);
   ~path_world();
 
   instant now() const { return Now; }
-  void pass(duration Time);
+  void advanceTime(duration Time);
 
   void openFlow(std::uint32_t Number);
   void closeFlow(std::uint32_t Number);
   /// Callers open again what was reset, and leave a host that drains within
   /// some seconds, as HTTP/2 callers do on GOAWAY; from the same port.
-  void setMoving(bool On) { Moving = On; }
+  void setReconnecting(bool On) { Reconnecting = On; }
 
   void addHost();
   void drainHost(std::uint32_t Host);
@@ -104,7 +104,7 @@
   std::size_t generations() const;
   std::uint64_t fromCache() const;
 
-  const world_verdict &verdict() const { return Verdict; }
+  const world_outcome &outcome() const { return Outcome; }
 
 private:
   struct held_flow {
@@ -135,7 +135,7 @@
     std::uint32_t Expected = 0;
     bool Unacknowledged = false;
     instant LastSend;
-    instant AskedSince;
+    instant WaitingSince;
     std::uint32_t Owner = 0;
     std::uint32_t OwnerIncarnation = 0;
   };
@@ -144,9 +144,9 @@
     std::uint64_t Version = 0;
     instant NextView;
   };
-  enum class cargo { ToBalancer, Routed, Peer, ToCaller, Notice };
-  struct parcel {
-    cargo Kind;
+  enum class datagram_kind { ToBalancer, Routed, Peer, ToCaller, Notice };
+  struct queued_datagram {
+    datagram_kind Kind;
     endpoint From;
     endpoint To;
     std::vector<std::uint8_t> Bytes;
@@ -156,44 +156,45 @@
   };
 
   std::uint64_t below(std::uint64_t Bound);
-  void put(parcel Parcel, bool MayBeLost);
-  void deliver(const parcel &Parcel);
+  void enqueue(queued_datagram Datagram, bool MayBeLost);
+  void deliver(const queued_datagram &Datagram);
 
   void startCore(std::uint32_t Host);
   std::optional<std::uint32_t> hostAt(const endpoint &Agent) const;
-  void takeRouted(host &Host, std::uint32_t Number, const parcel &Parcel);
+  void takeRouted(host &Host, std::uint32_t Number,
+                  const queued_datagram &Datagram);
   void takeIntoStack(host &Host, std::uint32_t Number, const tcp_packet &Packet,
                      const routed_packet &Routed);
   void answer(host &Host, std::uint32_t Number, const flow_key &Flow,
               std::uint8_t Flags, std::uint32_t Sequence,
               std::uint32_t Acknowledged);
-  void judge(const tcp_packet &Packet, std::uint32_t Host);
+  void checkOwner(const tcp_packet &Packet, std::uint32_t Host);
 
   void callerSends(caller &Caller, std::uint8_t Flags, std::size_t Payload);
-  void callerReceives(const parcel &Parcel);
+  void callerReceives(const queued_datagram &Datagram);
   void callerReset(caller &Caller);
-  void callersTurn();
-  bool leavesNow(const caller &Caller);
+  void stepCallers();
+  bool leavesDrainingHost(const caller &Caller);
 
   void plan();
-  void spreadViews();
+  void distributeViews();
   std::uint64_t laterVersion(std::uint64_t Held);
 
   world_settings Settings;
   std::mt19937_64 Random;
   instant Now{std::chrono::seconds(1000)};
-  std::multimap<instant, parcel> Bag;
+  std::multimap<instant, queued_datagram> InFlight;
   std::vector<host> Hosts;
   std::vector<balancer> Balancers;
   std::unordered_map<std::uint32_t, caller> Callers;
-  bool Moving = false;
+  bool Reconnecting = false;
 
   /// Every view ever written, by version; the newest last.
   std::map<std::uint64_t, membership> Views;
   membership Newest;
   instant LastGeneration;
   instant LastPlan;
-  world_verdict Verdict;
+  world_outcome Outcome;
 };
 
 } // namespace marjoramrail::test
--- a/test/path/planned_changes_test.cpp
+++ b/test/path/planned_changes_test.cpp
@@ -19,7 +19,7 @@
       World.addHost();
     else
       World.drainHost(anyServing());
-    World.pass(std::chrono::milliseconds(500 + Random() % 3000));
+    World.advanceTime(std::chrono::milliseconds(500 + Random() % 3000));
   }
 
   /// Flows come and go; drained hosts that are empty are stopped.
@@ -29,13 +29,13 @@
     for (std::uint32_t I = 0; I < World.hosts(); ++I)
       if (World.isDraining(I))
         World.removeHost(I);
-    World.pass(std::chrono::milliseconds(Random() % 1000));
+    World.advanceTime(std::chrono::milliseconds(Random() % 1000));
   }
 
   void open(std::uint32_t Flows) {
     for (std::uint32_t I = 0; I < Flows; ++I) {
       World.openFlow(NextFlow++);
-      World.pass(path_world::Turn);
+      World.advanceTime(path_world::Step);
     }
   }
 
@@ -66,14 +66,14 @@
   world_settings Settings;
   Settings.Seed = Seed;
   Settings.LossPercent = 1;
-  Settings.DoublePercent = 2;
+  Settings.DuplicatePercent = 2;
   return Settings;
 }
 
 static void checkUnbroken(const path_world &World) {
-  CHECK(World.verdict().BrokenPlanned == 0);
-  CHECK(World.verdict().Misrouted == 0);
-  CHECK(World.verdict().RefusedOpen == 0);
+  CHECK(World.outcome().BrokenPlanned == 0);
+  CHECK(World.outcome().Misrouted == 0);
+  CHECK(World.outcome().RefusedOpen == 0);
   CHECK(World.stuckFlows(seconds(5)) == 0);
 }
 
@@ -90,9 +90,9 @@
 
     for (int Change = 0; Change < 6; ++Change)
       History.change();
-    World.pass(seconds(10));
+    World.advanceTime(seconds(10));
 
-    CHECK(World.verdict().Opened == 150);
+    CHECK(World.outcome().Opened == 150);
     CHECK(World.establishedFlows() == 150);
     checkUnbroken(World);
   }
@@ -102,7 +102,7 @@
 static void replaceHosts(std::uint64_t Seed) {
   CAPTURE(Seed);
   path_world World(badNetwork(Seed));
-  World.setMoving(true);
+  World.setReconnecting(true);
   history History(World, Seed);
   History.open(100);
 
@@ -111,9 +111,9 @@
     for (int I = 0; I < 10; ++I)
       History.churn();
   }
-  World.pass(seconds(15));
+  World.advanceTime(seconds(15));
 
-  CHECK(World.verdict().Opened > 150);
+  CHECK(World.outcome().Opened > 150);
   checkUnbroken(World);
 }
 
--- a/test/path/world_callers.cpp
+++ b/test/path/world_callers.cpp
@@ -21,7 +21,7 @@
   Caller.Initial = static_cast<std::uint32_t>(Random());
   Caller.Next = Caller.Initial + 1;
   Caller.State = caller_state::SynSent;
-  Caller.AskedSince = Now;
+  Caller.WaitingSince = Now;
   callerSends(Caller, SynBit, 0);
 }
 
@@ -41,18 +41,18 @@
       (Flags & SynBit) != 0 ? Caller.Initial : Caller.Next;
   const auto To =
       balancerOf(static_cast<std::uint32_t>(below(Settings.Balancers)));
-  put({cargo::ToBalancer,
-       {},
-       To,
-       samplePacket(Caller.Flow, Flags, Payload, Sequence, Caller.Expected),
-       {},
-       0,
-       0},
-      true);
+  enqueue({datagram_kind::ToBalancer,
+           {},
+           To,
+           samplePacket(Caller.Flow, Flags, Payload, Sequence, Caller.Expected),
+           {},
+           0,
+           0},
+          true);
   Caller.LastSend = Now;
 }
 
-bool path_world::leavesNow(const caller &Caller) {
+bool path_world::leavesDrainingHost(const caller &Caller) {
   if (Caller.State == caller_state::Reset)
     return true;
   // One turn in 300 of 10 ms: after 3 s on average.
@@ -61,12 +61,12 @@
          Hosts[Caller.Owner].Draining && below(Turns) == 0;
 }
 
-void path_world::callersTurn() {
+void path_world::stepCallers() {
   for (auto &[Number, Caller] : Callers) {
     if (Caller.State == caller_state::SynSent &&
         Now - Caller.LastSend >= SynResendAfter)
       callerSends(Caller, SynBit, 0);
-    if (Moving && leavesNow(Caller)) {
+    if (Reconnecting && leavesDrainingHost(Caller)) {
       closeFlow(Number);
       openFlow(Number);
     }
@@ -76,21 +76,21 @@
     if (Quiet < (Caller.Unacknowledged ? ResendAfter : Settings.SendPeriod))
       continue;
     if (!std::exchange(Caller.Unacknowledged, true))
-      Caller.AskedSince = Now;
+      Caller.WaitingSince = Now;
     callerSends(Caller, AckBit, PayloadBytes);
   }
 }
 
-void path_world::callerReceives(const parcel &Parcel) {
+void path_world::callerReceives(const queued_datagram &Datagram) {
   tcp_packet Packet;
-  if (parseAnswer(Parcel.Bytes, Packet) != packet_fault::None)
+  if (parseAnswer(Datagram.Bytes, Packet) != packet_fault::None)
     return;
   caller &Caller = Callers[numberOf(Packet.Flow)];
   if (Caller.State == caller_state::SynSent) {
     if (Packet.Acknowledged != Caller.Initial + 1 || !Packet.Ack)
       return;
     if (Packet.Rst) {
-      ++Verdict.RefusedOpen;
+      ++Outcome.RefusedOpen;
       Caller.State = caller_state::Reset;
       return;
     }
@@ -98,10 +98,10 @@
       return;
     Caller.State = caller_state::Established;
     Caller.Expected = Packet.Sequence + 1;
-    Caller.Owner = Parcel.Host;
-    Caller.OwnerIncarnation = Parcel.Incarnation;
+    Caller.Owner = Datagram.Host;
+    Caller.OwnerIncarnation = Datagram.Incarnation;
     Caller.Unacknowledged = false;
-    ++Verdict.Opened;
+    ++Outcome.Opened;
     return callerSends(Caller, AckBit, 0);
   }
   if (Caller.State != caller_state::Established)
@@ -124,12 +124,12 @@
   const host &Owner = Hosts[Caller.Owner];
   Caller.State = caller_state::Reset;
   if (Owner.Alive && Owner.Incarnation == Caller.OwnerIncarnation) {
-    ++Verdict.BrokenPlanned;
+    ++Outcome.BrokenPlanned;
     return;
   }
-  ++Verdict.BrokenByDeath;
-  const instant Since = std::max(Owner.DiedAt, Caller.AskedSince);
-  Verdict.LongestUntold = std::max(Verdict.LongestUntold, Now - Since);
+  ++Outcome.BrokenByDeath;
+  const instant Since = std::max(Owner.DiedAt, Caller.WaitingSince);
+  Outcome.MaxResetDelay = std::max(Outcome.MaxResetDelay, Now - Since);
 }
 
 std::size_t path_world::establishedFlows() const {
@@ -146,7 +146,7 @@
         const bool Waits = Caller.State == caller_state::SynSent ||
                            (Caller.State == caller_state::Established &&
                             Caller.Unacknowledged);
-        return Waits && Now - Caller.AskedSince > Time;
+        return Waits && Now - Caller.WaitingSince > Time;
       }));
 }
 
