--- a/include/marjoramrail/agent.h
+++ b/include/marjoramrail/agent.h
@@ -1,15 +1,17 @@
-//===- agent.h - Who owns a flow, decided beside the target -----*- C++ -*-===//
+//===- agent.h - Flow ownership on the target's host ------------*- C++ -*-===//
 ///
 /// \file
-/// The core of the agent: for every packet that a balancer or another agent
-/// sent here it decides whether the packet is for a flow of its own, goes on to
-/// the next possible owner, or is answered with a reset because nobody owns the
-/// flow any more. Pure code: no sockets, clocks or lwIP; the time comes as an
-/// argument and messages to other agents leave through a hook.
+/// The core of the agent. For every packet that it receives from a balancer or
+/// another agent, it decides whether to deliver the packet to a flow of its
+/// own, to pass it to the next owner candidate, or to answer with a reset
+/// because no agent owns the flow any more. It uses no sockets, clocks or lwIP:
+/// the caller passes the time, and messages to other agents leave through a
+/// hook.
 ///
-/// Why an agent and not the balancers: any packet may land on any balancer and
-/// balancers share no flow tables, so their list of possible owners may be
-/// long, old, or both. Only the agent knows which flows it accepted.
+/// Agents decide this and not balancers because any packet may reach any
+/// balancer and balancers share no flow tables. A balancer's list of owner
+/// candidates may therefore be long or outdated. Only the agent knows which
+/// flows it accepted.
 ///
 /// Usage:
 /// \code
@@ -19,7 +21,7 @@
 ///                       Socket.send(To, encodePeerMessage(M)); }});
 ///   Owner.takeView(View, Now);
 ///   packet_decision What = Owner.decide(Routed, Packet, From, Now);
-///   switch (What.Action) { ... }       // give to the stack, send on, reset
+///   switch (What.Action) { ... }       // deliver, pass on, reset
 ///   Owner.noteAnswer(AnswerOfStack, Now);
 ///   Timers.every(flow_owner::TickPeriod, [&] { Owner.tick(Timers.now()); });
 /// \endcode
@@ -44,17 +46,18 @@
 //===----------------------------------------------------------------------===//
 
 enum class peer_message_kind : std::uint8_t {
-  /// Load and the newest generation known; about one a second to each peer.
+  /// Load and the newest known generation; sent to each peer about once a
+  /// second.
   Report,
-  /// "Your packet or probe has reached me."
+  /// The sender received a passed packet or a probe from the receiver.
   Acknowledgement,
-  /// Asks for Heard.
+  /// Requests an Acknowledgement.
   Probe,
-  /// Asks the receiver to probe Subject on the sender's behalf.
+  /// Requests that the receiver probe Subject on the sender's behalf.
   IndirectProbe,
-  /// "Subject has answered my probe for you."
+  /// Subject answered an indirect probe that the receiver requested.
   ProbeSucceeded,
-  /// "Subject answers neither me nor those that I asked to probe it."
+  /// Subject answered neither the sender's probes nor the indirect ones.
   Unresponsive,
 };
 
@@ -67,37 +70,39 @@
     {peer_message_kind::Unresponsive, "silent"},
 }};
 
-/// How busy the target beside an agent is, for the relay of requests.
+/// Load of the target on an agent's host, used to relay requests.
 struct peer_load {
-  /// Share of the slots in use, smoothed over about a second.
+  /// Fraction of the slots in use, smoothed over about a second.
   double Busy = 0;
   /// (running + waiting) / slots.
   double Pressure = 0;
   double Slots = 1;
-  /// False while it drains or starts.
+  /// False while the target drains or starts.
   bool Accepting = true;
-  /// How long a request holds a slot, on average.
+  /// Mean time for which a request occupies a slot.
   duration Service = std::chrono::milliseconds(20);
 
   bool operator==(const peer_load &) const = default;
 };
 
-/// One datagram from agent to agent, CBOR behind a magic number of its own.
+/// One datagram between agents: a magic number followed by CBOR.
 struct peer_message {
   peer_message_kind Kind = peer_message_kind::Report;
   service_id Service{};
   host_id Host{};
   std::uint32_t Incarnation = 0;
-  /// The newest generation that the sender knows: its acknowledgement.
+  /// The newest generation that the sender knows. Peers take it as the
+  /// sender's acknowledgement of that generation.
   std::uint64_t Generation = 0;
   /// Flows that are not closing.
   std::uint32_t Flows = 0;
   bool Draining = false;
-  /// The sender waits for the receiver's Report.
+  /// Requests a Report from the receiver.
   bool ReplyWanted = false;
-  /// IndirectProbe and Vouch: the agent in question.
+  /// IndirectProbe, ProbeSucceeded and Unresponsive: the agent concerned.
   endpoint Subject;
-  /// Probe and Heard: the agent that asked, if not the sender of the probe.
+  /// Probe and Acknowledgement: the agent that requested an indirect probe.
+  /// Empty for a direct probe.
   endpoint Origin;
   peer_load Load;
 
@@ -117,9 +122,9 @@
 //===----------------------------------------------------------------------===//
 
 enum class packet_action {
-  /// Give the packet to the stack.
+  /// Deliver the packet to the local TCP stack.
   Deliver,
-  /// Send Routed to Routed.Owners[Routed.Position].
+  /// Send packet_decision::Routed to its Owners[Position].
   PassOn,
   /// Answer with writeReset().
   Reset,
@@ -131,28 +136,29 @@
   /// A new flow, accepted.
   Accepted,
   NotOwned,
-  /// This agent's newer view added owners to the list.
+  /// This agent's view is newer and added owner candidates to the list.
   Extended,
   OverShare,
   Draining,
-  /// Not everyone who must know the newest generation does yet.
+  /// A host that must acknowledge the newest generation has not done so yet.
   GenerationNotActive,
-  /// A SYN that was resent goes where the first one went.
+  /// A retransmitted SYN, passed to the same agent as the first one.
   RedirectRepeated,
-  /// Nobody in the list owns the flow.
+  /// No agent in the list owns the flow.
   NoOwner,
-  /// The possible owners that are left do not answer.
+  /// The remaining owner candidates do not respond.
   OwnerUnresponsive,
-  /// No target takes new flows.
+  /// No target accepts new flows.
   Refused,
   NoView,
   WrongService,
   WrongAddress,
-  /// Nobody owns the flow as far as is known, which may not be far enough.
+  /// No owner was found, but the view may be too old to conclude that there is
+  /// none.
   Unconfirmed,
-  /// No peer answers: this agent's own link may be the cause.
+  /// No peer responds, so this agent's own link may be down.
   LinkSuspect,
-  /// A reset for a flow that nobody owns.
+  /// The packet is itself a reset, for a flow that no agent owns.
   ResetUnowned,
 };
 
@@ -178,43 +184,44 @@
     {packet_reason::ResetUnowned, "reset_unowned"},
 }};
 
+/// What to do with one packet, and why.
 struct packet_decision {
   packet_action Action = packet_action::Drop;
   packet_reason Reason = packet_reason::NoView;
-  /// With PassOn: the packet as it is to be sent.
+  /// For PassOn: the packet to send.
   routed_packet Routed;
-  /// A half-open flow here turned out to be another agent's; the stack must
-  /// forget it before anything else.
+  /// The caller completed the handshake with another agent. The local stack
+  /// must discard its half-open flow before Action is carried out.
   bool DiscardHalfOpen = false;
 };
 
 struct flow_owner_settings {
   service_id Service{};
   host_id Host{};
-  /// Where this agent takes routed packets, as views name it.
+  /// The address at which this agent receives routed packets, as in views.
   endpoint Self;
   std::uint32_t Incarnation = 0;
   /// See service_spec::MaxSharePercent.
   std::uint32_t MaxSharePercent = 105;
-  /// A view not heard of for longer is no ground for a reset. Three times the
-  /// period at which balancers answer announcements, and some slack.
+  /// A view that was not confirmed for longer does not justify a reset. Three
+  /// times the period at which balancers answer heartbeats, plus a margin.
   duration MaxViewAge = std::chrono::seconds(5);
-  /// Peers that get a report each second; the others' turn comes later.
+  /// Number of peers that receive a report each second, in rotation.
   std::size_t ReportFanout = 16;
 };
 
 struct flow_owner_hooks {
   std::function<void(const endpoint &To, const peer_message &)> Send;
-  /// The target's load for reports; may be empty.
+  /// Returns the target's load for reports; may be empty.
   std::function<peer_load()> Load;
-  /// Tells a balancer that a peer may be dead; may be empty.
+  /// Notifies a balancer that a peer may be dead; may be empty.
   std::function<void(const endpoint &Balancer, const silence_notice &)>
       ReportUnresponsive;
-  /// A peer's report, for the relay of requests; may be empty.
+  /// Receives each peer's report, for the relay of requests; may be empty.
   std::function<void(const peer_message &)> OnReport;
 };
 
-/// Owns the flows of one agent.
+/// Keeps track of the flows that one agent owns, and decides on packets.
 class flow_owner {
 public:
   static constexpr duration TickPeriod = std::chrono::milliseconds(100);
@@ -224,51 +231,52 @@
   flow_owner(const flow_owner &) = delete;
   flow_owner &operator=(const flow_owner &) = delete;
 
-  /// Takes a view of the service; an older one is ignored.
+  /// Applies a view of the service. An older one is ignored.
   void takeView(const service_view &View, instant Now);
-  /// The fleet has said that the view still stands.
+  /// A balancer confirmed that the view is still the newest.
   void confirmView(instant Now);
 
   /// See service_spec::MaxSharePercent.
   void setMaxShare(std::uint32_t Percent);
 
-  /// From now on accepts no new flows.
+  /// Stops accepting new flows.
   void drain();
-  /// Takes drain() back.
+  /// Accepts new flows again after drain().
   void resume();
 
-  /// Forgets every flow: the fleet held this agent for dead and has answered
-  /// for it, so it goes on as another incarnation.
+  /// Removes every flow and continues as another incarnation. Needed when this
+  /// agent was declared dead: others have answered for its flows since.
   void restart(std::uint32_t Incarnation);
 
-  /// Decides on \p Packet, which came as \p Routed from \p From.
+  /// Decides on \p Packet, which was received as \p Routed from \p From.
   packet_decision decide(const routed_packet &Routed, const tcp_packet &Packet,
                          const endpoint &From, instant Now);
 
-  /// Must see every packet that the stack sends.
+  /// Records an outgoing packet. Must be called for every packet that the stack
+  /// sends.
   void noteAnswer(const tcp_packet &Answer, instant Now);
 
-  /// The application is done with \p Flow; the stack still answers for it.
+  /// The application closed \p Flow; the stack still answers its packets.
   void flowClosing(const flow_key &Flow, instant Now);
-  /// The stack holds nothing of \p Flow any more.
+  /// The stack has released all state of \p Flow.
   void flowRemoved(const flow_key &Flow);
 
   void receive(const peer_message &Message, const endpoint &From, instant Now);
 
-  /// Sends what is due and forgets what is over. Call it every TickPeriod.
+  /// Sends due messages and removes expired entries. Call it every TickPeriod.
   void tick(instant Now);
 
   /// Flows that are not closing.
   std::size_t flows() const;
 
-  /// The oldest generation that this agent's flows or its next new flow need.
-  /// A flow whose owner is among the newest generation's choices needs none
-  /// older. 0 without a view.
+  /// The oldest generation that is needed to route packets to this agent's
+  /// flows or to its next new flow. A flow whose owner is among the newest
+  /// generation's choices needs no older one. 0 without a view.
   std::uint64_t oldestNeededGeneration() const;
 
   std::uint64_t viewVersion() const;
 
-  /// Decisions made for \p Reason since the start.
+  /// Number of decisions made for \p Reason since the start.
   std::uint64_t count(packet_reason Reason) const;
 
 private:
--- a/include/marjoramrail/balancer.h
+++ b/include/marjoramrail/balancer.h
@@ -1,11 +1,12 @@
-//===- balancer.h - A caller's packet in, a routed packet out ---*- C++ -*-===//
+//===- balancer.h - Routing of callers' packets to agents -------*- C++ -*-===//
 ///
 /// \file
-/// The core of a balancer: finds the service of a caller's packet, the agents
-/// that may own its flow, and frames the packet for them. What it needs of the
-/// fleet are the services' views; what it remembers of flows is a bounded cache
-/// of owners that agents have named, and losing that breaks nothing. No
-/// sockets, clocks or threads: the time comes as an argument.
+/// The core of a balancer: finds the service of a caller's packet and the
+/// agents that may own its flow, and encapsulates the packet for them. Its
+/// input are the services' views, which the fleet library replicates. Its only
+/// per-flow state is a bounded cache of owners reported by agents; losing it
+/// breaks no flow. It uses no sockets, clocks or threads: the caller passes the
+/// time.
 ///
 /// Usage:
 /// \code
@@ -35,37 +36,39 @@
 namespace marjoramrail {
 
 struct balancer_settings {
-  /// Where agents send their notices; without it they send none.
+  /// The address to which agents send notices. If empty, they send none.
   endpoint Self = {};
-  /// Packets are marked routed_flag::Stale when nothing was heard of the fleet
-  /// for longer. A few heartbeats: shorter would mark packets at each lost one.
+  /// Packets are marked routed_flag::Stale after this time without contact to
+  /// the fleet. It spans a few heartbeats; a shorter time would mark packets
+  /// whenever one heartbeat is lost.
   duration StaleAfter = std::chrono::seconds(10);
-  /// Owners remembered at a time, rounded up to a power of two. Only flows
-  /// whose owner is not their first choice are named, so this is far above
-  /// what a balancer of today's sizes needs; 16 bytes each.
+  /// Capacity of the owner cache, rounded up to a power of two; 16 bytes per
+  /// entry. Agents report only flows whose owner is not the first choice, so
+  /// the default is far above the need of current site sizes.
   std::size_t CachedOwners = 65536;
 };
 
 struct balancer_hooks {
-  /// Sends a routed packet to an agent; \p Bytes are valid during the call.
+  /// Sends a routed packet to an agent. \p Bytes are valid only during the
+  /// call.
   std::function<void(const endpoint &Agent, bytes_view Bytes)> Send;
 };
 
-/// What setView() did.
+/// Result of setView().
 enum class view_outcome {
   Applied,
-  /// It is not newer than the one in force, which therefore stays.
+  /// The view is not newer than the applied one, which stays in effect.
   NotNewer,
 };
 
 struct balancer_counters {
-  /// Packets that open flows, and all others, that went to an agent.
+  /// Packets sent to agents: those that open flows, and all others.
   std::uint64_t New = 0;
   std::uint64_t Established = 0;
-  /// Packets that went first to an owner out of the cache.
+  /// Packets sent first to an owner from the cache.
   std::uint64_t FromCache = 0;
   std::uint64_t NoticesAccepted = 0;
-  /// Packets dropped, by packet_fault.
+  /// Dropped packets by packet_fault.
   std::array<std::uint64_t, PacketFaultNames.size()> Dropped{};
 
   std::uint64_t dropped(packet_fault Fault) const {
@@ -73,6 +76,7 @@
   }
 };
 
+/// Routes callers' packets of all services.
 class balancer_core {
 public:
   balancer_core(const balancer_settings &Settings, balancer_hooks Hooks);
@@ -80,33 +84,34 @@
   balancer_core(const balancer_core &) = delete;
   balancer_core &operator=(const balancer_core &) = delete;
 
-  /// Routes by \p View from now on, unless it is not newer than the one in
-  /// force: views reach a balancer by several ways, and the late one must not
-  /// undo a change. A view without generations withdraws the service.
+  /// Applies \p View if it is newer than the one in effect. Views reach a
+  /// balancer over several paths, and a late older one must not undo a change.
+  /// A view without generations withdraws the service.
   ///
-  /// If two services claim one address, the lower number has it. Operators'
-  /// changes are checked for this, but two that race may both be accepted, and
-  /// balancers that took one each would tear flows apart.
+  /// If two services have the same address, the one with the lower number gets
+  /// the packets. Operators' changes are checked for this conflict, but two
+  /// concurrent changes may both be accepted. If balancers then chose different
+  /// services, packets of one flow would reach both.
   view_outcome setView(const service_view &View);
 
-  /// The version in force for a service; 0 if there is none.
+  /// The version of the applied view of a service; 0 if there is none.
   std::uint64_t versionOf(service_id Service) const;
   std::size_t services() const;
 
-  /// Something of the fleet was heard: views are as new as they can be.
+  /// Records contact with the fleet, which keeps the views up to date.
   void noteFleetContact(instant Now);
   bool isStale(instant Now) const;
 
-  /// Takes a datagram of the fabric or an agent's notice. Returns the reason
-  /// why it was dropped, or None.
+  /// Handles a packet from the fabric or a notice from an agent. Returns the
+  /// reason for which it was dropped, or None.
   packet_fault onDatagram(const endpoint &From, bytes_view Bytes, instant Now);
 
   const balancer_counters &counters() const;
 
-  /// Bytes held for views and cached owners.
+  /// Memory used by views and the owner cache.
   std::size_t bytes() const;
 
-  /// What is in force, as one JSON object, for the status page.
+  /// The applied views as one JSON object, for the status page.
   std::string statusJson(instant Now) const;
 
 private:
--- a/src/agent/flow_owner.cpp
+++ b/src/agent/flow_owner.cpp
@@ -4,12 +4,12 @@
 
 namespace {
 
-/// An agent that has just started may hold an old view; its peers tell it
-/// within a report's period if they know a newer one.
+/// An agent that has just started may have an outdated view. If its peers know
+/// a newer one, their reports say so within one report period.
 constexpr duration StartupGracePeriod = std::chrono::seconds(3);
 
-/// One generation's choices regardless of their states: who may hold flows
-/// that were opened under it.
+/// A router over one generation that ignores the targets' states: it lists the
+/// agents that may own flows opened under that generation.
 service_router routerOf(const service_view &View, std::size_t Generation) {
   service_view One = View;
   One.Generations = {View.Generations[Generation]};
@@ -45,13 +45,15 @@
   Share.takeView(Newer);
   Monitor.setPeers(Peers);
   Ring.takeView(Newer, Settings.Host);
-  // Peers that wait for this agent's word should not wait for its next turn.
+  // Peers may be waiting for this agent's acknowledgement of a generation, so
+  // it does not wait for the next periodic report.
   for (const endpoint &Peer : Peers)
     sendReport(Peer, false);
 }
 
-/// Whether "nobody owns this flow" may be said aloud. A reset on the ground of
-/// an old view would end a healthy flow; a dropped packet only delays one.
+/// Whether the view is current enough to conclude that no agent owns a flow. A
+/// reset based on an outdated view would break a healthy flow, while a dropped
+/// packet only delays it.
 bool flow_owner::impl::isViewCurrent(instant Now) const {
   if (!View || Now - ViewConfirmedAt > Settings.MaxViewAge)
     return false;
@@ -83,7 +85,8 @@
 // Generations
 //===----------------------------------------------------------------------===//
 
-/// The position of the newest generation under which this agent is found.
+/// Position of the newest generation whose choices for \p Flow include this
+/// agent.
 std::size_t flow_owner::impl::neededPosition(const flow_key &Flow) const {
   for (std::size_t I = 0; I < PerGeneration.size(); ++I)
     for (const std::uint16_t Position : PerGeneration[I].choices(Flow))
@@ -95,13 +98,13 @@
 std::uint64_t flow_owner::impl::oldestNeeded() const {
   if (PerGeneration.empty())
     return 0;
-  // The next flow may still be opened under the generation that is open.
+  // The next flow may still be opened under the active generation.
   std::size_t Oldest = Activation.newestActive();
-  // Flows that later joins pushed out of their newest choices would keep old
-  // generations for as long as they last. With all of them in use no new one
-  // could come, the newest one's hosts would drain away under it, and callers
-  // would be refused although new hosts stand ready. Where every packet names
-  // every target, no flow needs a generation to be found.
+  // If every packet lists every target, owners are found without older
+  // generations. Keeping them here for flows whose owner is no longer among the
+  // newest choices could use up all generations for as long as those flows
+  // last. No new generation could be added then: the newest one's hosts would
+  // drain, and callers would be refused although new hosts are ready.
   if (Router->listsEveryTarget())
     return View->Generations[Oldest].Number;
   Table.forEach([&](const flow_key &Flow) {
@@ -143,8 +146,8 @@
 packet_decision flow_owner::decide(const routed_packet &Routed,
                                    const tcp_packet &Packet,
                                    const endpoint &From, instant Now) {
-  // An agent that has just joined passes packets on to peers whose view does
-  // not name it yet; unanswered, it would take them for dead.
+  // An agent that has just joined may pass packets to peers whose view does not
+  // contain it yet. Without an acknowledgement it would suspect them.
   const bool PassedOn = Routed.Service == Impl->Settings.Service &&
                         Routed.Balancer != endpoint() &&
                         Routed.Balancer != From;
@@ -152,7 +155,7 @@
     Impl->Ring.noteBalancer(From, Now);
   if (Impl->View && (PassedOn || Impl->find(From)))
     Impl->sendAcknowledgement(From, Now);
-  // A forged position past the list must not wrap around to its start.
+  // A forged position beyond the list must not wrap around to its start.
   routed_packet Bounded = Routed;
   Bounded.Position =
       std::min(Routed.Position,
--- a/src/agent/flow_owner_state.h
+++ b/src/agent/flow_owner_state.h
@@ -1,9 +1,9 @@
-//===- flow_owner_state.h - The inside of flow_owner ------------*- C++ -*-===//
+//===- flow_owner_state.h - Implementation of flow_owner --------*- C++ -*-===//
 ///
 /// \file
-/// Declares what the sources of flow_owner share: the view and the public calls
-/// (flow_owner), the way of a packet (packet_routing), talk with peers
-/// (peer_messaging).
+/// Declares the state that the source files of flow_owner share: flow_owner.cpp
+/// (views and public functions), packet_routing.cpp (decisions on packets) and
+/// peer_messaging.cpp (messages to and from other agents).
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,11 +25,11 @@
 
 namespace internal {
 
-/// One answer to passed-on packets serves all of this time.
+/// Passed packets of one sender are acknowledged at most this often.
 inline constexpr duration AcknowledgementInterval =
     std::chrono::milliseconds(50);
 
-/// Where a SYN was handed on to.
+/// The agent to which the SYN of a flow was passed.
 struct syn_redirect {
   endpoint To;
   instant Until;
@@ -47,7 +47,7 @@
   neighbour_ring Ring;
 
   std::optional<service_view> View;
-  /// All generations at once, and each for itself, newest first.
+  /// Routers over all generations together, and over each one, newest first.
   std::optional<service_router> Router;
   std::vector<service_router> PerGeneration;
   std::vector<endpoint> Peers;
--- a/src/agent/flow_table.cpp
+++ b/src/agent/flow_table.cpp
@@ -27,7 +27,7 @@
       Entry.State = flow_state::Established;
     return flow_match::Ours;
   }
-  // A packet of an older flow from the same port must not end this one.
+  // A packet of an earlier flow from the same port must not end this flow.
   return MatchesInitial ? flow_match::CompletedElsewhere : flow_match::NotOurs;
 }
 
@@ -38,8 +38,9 @@
   entry &Entry = Found->second;
   flow_match Match = flow_match::NotOurs;
   if (Packet.opensFlow()) {
-    // A new number while half open: the caller gave the first try up. In the
-    // other states the stack answers, so that a forged SYN ends nothing.
+    // A different sequence number while half-open means that the caller has
+    // abandoned its first attempt. In the other states the stack answers, so
+    // that a forged SYN cannot end a flow.
     const bool GivenUp = Entry.State == flow_state::HalfOpen &&
                          Packet.Sequence != Entry.CallerInitial;
     Match = GivenUp ? flow_match::CompletedElsewhere : flow_match::Ours;
--- a/src/agent/flow_table.h
+++ b/src/agent/flow_table.h
@@ -1,4 +1,9 @@
-//===- flow_table.h - The flows that one agent accepted ---------*- C++ -*-===//
+//===- flow_table.h - Flows that one agent accepted -------------*- C++ -*-===//
+///
+/// \file
+/// Matches packets with an agent's own flows by sequence number.
+///
+//===----------------------------------------------------------------------===//
 
 #ifndef MARJORAMRAIL_SRC_AGENT_FLOW_TABLE_H
 #define MARJORAMRAIL_SRC_AGENT_FLOW_TABLE_H
@@ -11,34 +16,35 @@
 
 enum class flow_state { HalfOpen, Established, Closing };
 
-/// Whose a packet is, as far as one agent can tell.
+/// Whether a packet belongs to a flow of this agent.
 enum class flow_match {
   NotOurs,
   Ours,
-  /// Of a flow that we answered too, but the caller has completed another
-  /// agent's handshake.
+  /// The flow was half-open here, but the caller completed the handshake with
+  /// another agent.
   CompletedElsewhere,
 };
 
-/// The flows that this agent accepted, told apart not by their five-tuple alone
-/// but also by sequence numbers.
+/// The flows that this agent accepted, identified by their five-tuple and their
+/// sequence numbers.
 ///
-/// What goes wrong without the numbers: a SYN that was resent may reach two
-/// agents, and both hold a half-open flow; a caller may use its port again and
-/// get another owner, while the old owner still holds the old flow. In both
-/// cases the wrong agent takes the new flow's packets and the caller sees a
-/// connection that hangs or is reset.
+/// The five-tuple alone is not enough. A retransmitted SYN may reach a second
+/// agent, so that both have a half-open flow. A caller may also reuse its port
+/// and get another owner while the old owner still has the old flow. In both
+/// cases the wrong agent would accept the new flow's packets, and the caller's
+/// connection would hang or be reset.
 class flow_table {
 public:
-  /// lwIP gives a half-open flow up after 20 s.
+  /// lwIP aborts a half-open flow after 20 s.
   static constexpr duration HalfOpenLifetime = std::chrono::seconds(25);
-  /// A closing flow is kept this long after its last packet, so that a resent
-  /// FIN is not answered with a reset. Longer than a caller's first five
-  /// retransmissions.
+  /// A closing flow is kept this long after its last packet, so that a
+  /// retransmitted FIN is not answered with a reset. Longer than a caller's
+  /// first five retransmissions.
   static constexpr duration ClosingLifetime = std::chrono::seconds(30);
-  /// How far a packet's numbers may be from the flow's. 64 KB windows and
-  /// duplicates of some windows ago fit; a new flow's random number does so in
-  /// one case of 2,000, and both of its numbers in one of four million.
+  /// Maximum distance of a packet's sequence numbers from those expected. It
+  /// covers 64 KB windows and duplicates that are some windows old. A new
+  /// flow's random sequence number is within it in one case of 2,000, and both
+  /// of its numbers in one case of four million.
   static constexpr std::int32_t MaxSequenceDistance = 1 << 20;
 
   flow_match match(const tcp_packet &Packet, instant Now);
@@ -49,7 +55,7 @@
   void expire(instant Now);
   void clear();
 
-  /// Flows that are not closing.
+  /// Number of flows that are not closing.
   std::size_t activeFlows() const { return Flows.size() - Closing; }
 
   template <typename Visitor> void forEach(Visitor Visit) const {
@@ -63,8 +69,8 @@
     std::uint32_t CallerInitial = 0;
     std::uint32_t OurInitial = 0;
     bool Answered = false;
-    /// The next numbers, as our stack's own packets give them: a forged packet
-    /// cannot move them.
+    /// The next sequence numbers, taken only from packets of the local stack,
+    /// so that a forged packet cannot change them.
     std::uint32_t CallerNext = 0;
     std::uint32_t OurNext = 0;
     instant LastPacket;
--- a/src/agent/generation_activation.h
+++ b/src/agent/generation_activation.h
@@ -1,4 +1,10 @@
-//===- generation_activation.h - When a generation takes new flows *- C++ -*-===//
+//===- generation_activation.h - When a generation takes new flows *- C++
+//-*-===//
+///
+/// \file
+/// Tracks which agents have acknowledged which generation of a service.
+///
+//===----------------------------------------------------------------------===//
 
 #ifndef MARJORAMRAIL_SRC_AGENT_GENERATION_ACTIVATION_H
 #define MARJORAMRAIL_SRC_AGENT_GENERATION_ACTIVATION_H
@@ -10,35 +16,36 @@
 
 namespace marjoramrail::internal {
 
-/// Decides under which generation an agent may accept new flows: the newest one
-/// that every live member of the generation before has acknowledged.
+/// Selects the generation under which an agent may accept new flows: the newest
+/// one that every live member of the preceding generation has acknowledged.
 ///
-/// What goes wrong without it: a flow is opened under generation 8 while a
-/// balancer knows only 7. The flow's next packet, by that balancer, reaches a
-/// member of 7. If that agent does not know 8 either, it finds nobody who owns
-/// the flow and resets it: a broken flow in the middle of a planned change. One
-/// would see it as resets with reason no_owner right after each change.
+/// Without this rule, planned changes would break flows. Suppose a flow is
+/// opened under generation 8 while a balancer knows only 7. That balancer sends
+/// the flow's next packet to a member of 7. If this member does not know 8
+/// either, it finds no owner and resets the flow. The symptom would be resets
+/// with reason no_owner right after each change.
 ///
-/// With the gate, members of 7 know 8 before the first flow of 8 exists, so
-/// they can add its owners to the list; and by induction members of 6 lead to
-/// those of 7. Members that the view declares down get no packets and are not
-/// waited for.
+/// With the rule, members of 7 know 8 before the first flow of 8 exists, so
+/// they can add its owners to the list. By induction, members of 6 know those
+/// of 7. Members that the view marks as down receive no packets, so their
+/// acknowledgement is not required.
 class generation_activation {
 public:
   explicit generation_activation(host_id Self) : Self(Self) {}
 
   void takeView(const service_view &View);
 
-  /// \p Host, in \p Incarnation, knows \p Generation. A restarted agent has
-  /// forgotten what it knew, so its former word does not count.
+  /// Records that \p Host, in \p Incarnation, knows \p Generation. A restarted
+  /// agent has lost its views, so acknowledgements of earlier incarnations do
+  /// not count.
   void acknowledge(host_id Host, std::uint32_t Incarnation,
                    std::uint64_t Generation);
 
-  /// The position in the view's generations of the newest that is open. The
-  /// oldest always is.
+  /// Position, in the view's generations, of the newest active one. The oldest
+  /// is always active.
   std::size_t newestActive() const { return ActivePosition; }
 
-  /// Members whose word is still missing for some generation.
+  /// Members that have yet to acknowledge the next generation.
   const std::vector<host_id> &missingHosts() const { return MissingHosts; }
 
 private:
--- a/src/agent/load_share.h
+++ b/src/agent/load_share.h
@@ -1,4 +1,9 @@
-//===- load_share.h - Whether an agent may accept one more flow -*- C++ -*-===//
+//===- load_share.h - Limit on an agent's share of flows --------*- C++ -*-===//
+///
+/// \file
+/// Decides whether an agent may accept one more flow.
+///
+//===----------------------------------------------------------------------===//
 
 #ifndef MARJORAMRAIL_SRC_AGENT_LOAD_SHARE_H
 #define MARJORAMRAIL_SRC_AGENT_LOAD_SHARE_H
@@ -10,22 +15,23 @@
 namespace marjoramrail::internal {
 
 /// Bounded load for consistent hashing: an agent accepts a new flow while it
-/// has less than a share of its service's flows, and hands the SYN on to the
-/// flow's next choice otherwise.
+/// owns less than its share of the service's flows. Otherwise it passes the SYN
+/// to the flow's next choice.
 ///
-/// The load pattern it answers: flows last for hours, so whatever the hash
-/// spreads unevenly, and the hole that a restarted host leaves, stays for hours
-/// too: one host answers late while another idles.
+/// It handles long-lived flows. Flows last for hours, so an uneven spread by
+/// the hash, or the lack of flows on a restarted host, would last for hours
+/// too: one host would answer late while another is idle.
 ///
-/// Counts come from reports up to a second old. While thousands of flows a
-/// second come in, old counts would make everyone look over its share; so each
-/// peer is taken to have grown meanwhile by as many flows as were offered to
-/// us, weighed, less what ended here. Our own growth would not do for that: an
-/// agent that refuses does not grow, so it would go on refusing until the next
-/// reports while the others take all of a burst.
+/// Peers' flow counts come from reports that are up to a second old. When
+/// thousands of flows arrive per second, outdated counts would make every agent
+/// appear to be over its share. Each peer is therefore assumed to have grown
+/// since its report by the number of flows offered to this agent, in proportion
+/// to the weights, less the flows that ended here. This agent's own growth is
+/// no substitute: an agent that accepts no flows does not grow, so it would
+/// accept none until the next reports while the others take the whole burst.
 class load_share {
 public:
-  /// A peer that has not reported for longer says nothing about the mean.
+  /// Older reports are left out of the mean.
   static constexpr duration ReportLifetime = std::chrono::seconds(5);
 
   load_share(host_id Self, std::uint32_t MaxPercent)
@@ -35,7 +41,7 @@
   void takeView(const service_view &View);
   void report(host_id Host, std::uint32_t Flows, std::size_t OwnFlows,
               instant Now);
-  /// A new flow came whose first choice is this agent.
+  /// Counts a new flow whose first choice is this agent.
   void noteOffered() { ++Offered; }
   void noteAccepted() { ++Accepted; }
   bool mayAccept(std::size_t OwnFlows, instant Now) const;
@@ -43,19 +49,19 @@
 private:
   struct peer {
     double Flows = 0;
-    /// What expectedGrowth() counted when the report came.
+    /// The value of expectedGrowth() when the report was received.
     double GrowthAtReport = 0;
     instant ReceivedAt;
   };
 
-  /// Flows offered less flows that have ended, since the start.
+  /// Flows offered minus flows ended, since the start.
   double expectedGrowth(std::size_t OwnFlows) const;
 
   host_id Self;
   std::uint32_t MaxPercent;
   std::uint64_t Offered = 0;
   std::uint64_t Accepted = 0;
-  /// Weights of the members that take new flows.
+  /// Weights of the members that accept new flows.
   std::map<host_id, double> Weights;
   std::map<host_id, peer> Peers;
 };
--- a/src/agent/neighbour_ring.h
+++ b/src/agent/neighbour_ring.h
@@ -1,4 +1,9 @@
 //===- neighbour_ring.h - Failure probing around a ring ---------*- C++ -*-===//
+///
+/// \file
+/// Selects the agent that this agent probes, and the balancers to notify.
+///
+//===----------------------------------------------------------------------===//
 
 #ifndef MARJORAMRAIL_SRC_AGENT_NEIGHBOUR_RING_H
 #define MARJORAMRAIL_SRC_AGENT_NEIGHBOUR_RING_H
@@ -10,20 +15,23 @@
 
 namespace marjoramrail::internal {
 
-/// Whom this agent watches, and which balancers should hear of a doubt.
+/// Selects the neighbour that this agent probes, and the balancers to notify
+/// when it may be dead.
 ///
-/// What goes wrong without it: most flows are owned by the first agent in their
-/// packets' lists. When its VM dies their packets vanish there, no other agent
-/// sees one, and callers wait until the fleet has declared the host down.
+/// Most flows are owned by the first agent in their packets' lists. When that
+/// agent's VM dies, their packets are lost there and no other agent sees one.
+/// Without regular probes, callers would wait until the fleet has declared the
+/// host dead.
 ///
-/// The agents of a service form a ring by number, so that each is watched by
-/// one other at a cost that does not grow with the service: ten probes and ten
-/// answers of under 100 bytes a second.
+/// The agents of a service form a ring ordered by host number. Each is probed
+/// by one other, so the cost does not grow with the service: ten probes and ten
+/// acknowledgements of under 100 bytes a second.
 class neighbour_ring {
 public:
-  /// A balancer that sent nothing for longer has no flows to lose.
+  /// A balancer that sent no packets for longer need not be notified.
   static constexpr duration BalancerTimeout = std::chrono::seconds(10);
-  /// Balancers of the target size, 12,000, and some that were replaced.
+  /// The 12,000 balancers of the largest planned site, plus some that were
+  /// replaced.
   static constexpr std::size_t MaxBalancers = 16384;
   static constexpr duration NotifyInterval = std::chrono::seconds(1);
 
@@ -32,8 +40,8 @@
 
   void noteBalancer(const endpoint &Balancer, instant Now);
 
-  /// The balancers to tell now; none while \p Doubted is false or they have
-  /// just been told.
+  /// The balancers to notify now. Empty if \p PossiblyDown is false or if they
+  /// were notified within NotifyInterval.
   std::vector<endpoint> balancersToNotify(bool PossiblyDown, instant Now);
 
 private:
--- a/src/agent/packet_routing.cpp
+++ b/src/agent/packet_routing.cpp
@@ -4,9 +4,10 @@
 
 namespace {
 
-/// SYNs come again after 1, 3 and 7 s; all of these go the same way.
+/// SYNs are retransmitted after 1, 3 and 7 s; all of these follow the first.
 constexpr duration RedirectLifetime = std::chrono::seconds(10);
-/// A flood of SYNs must not fill the memory; beyond it the way is chosen anew.
+/// Bounds the memory that a SYN flood can use. Retransmitted SYNs beyond this
+/// limit are decided anew.
 constexpr std::size_t MaxRedirects = 65536;
 
 bool takesNewFlows(const target &Target) {
@@ -56,8 +57,8 @@
   return Decision;
 }
 
-/// The agents that may take a new flow under \p Generation, in the flow's
-/// order, this one left out; \p Included tells whether it is among them.
+/// The other agents that may accept a new flow under \p Generation, in the
+/// flow's order of preference. \p Included is set if this agent is a choice.
 std::vector<endpoint> flow_owner::impl::candidates(const flow_key &Flow,
                                                    std::size_t Generation,
                                                    bool &Included) const {
@@ -109,11 +110,12 @@
   return redirectSyn(Routed, Packet, Next, Reason, Now);
 }
 
-/// The end of a SYN's way at an agent that cannot take it. Those before it may
-/// have had too much and taken this one for able, not knowing yet that it
-/// drains: the caller would see its connection refused by a service that has
-/// room. So they get the SYN back, one after the other and once each, and must
-/// take it.
+/// Handles a SYN that has no next choice at an agent that cannot accept it.
+/// Earlier agents may have been over their share and passed the SYN here
+/// without knowing that this agent drains. The caller's connection would then
+/// be refused by a service that has capacity. The SYN is therefore returned to
+/// the earlier agents, one after the other and once each, and they must accept
+/// it.
 packet_decision flow_owner::impl::returnSyn(const routed_packet &Routed,
                                             const tcp_packet &Packet,
                                             const std::vector<endpoint> &Others,
@@ -133,8 +135,8 @@
   return {packet_action::PassOn, packet_reason::Draining, Back, false};
 }
 
-/// A SYN that is resent must not be decided anew: loads have changed by then,
-/// two agents would answer, and the caller would have to sort it out.
+/// Passes a retransmitted SYN to the same agent as the first one. If it were
+/// decided anew, after loads have changed, two agents could answer the caller.
 std::optional<packet_decision>
 flow_owner::impl::repeatRedirect(const routed_packet &Routed,
                                  const tcp_packet &Packet, instant Now) {
@@ -162,7 +164,7 @@
                                               instant Now) {
   packet_decision Decision{packet_action::PassOn, Reason, Routed, false};
   routed_packet &Out = Decision.Routed;
-  // What has been visited stays in the list, so that the packet cannot return.
+  // Visited agents stay in the list, so that the packet cannot return to them.
   Out.Count = static_cast<std::uint8_t>(
       std::min(Out.Position + 1, int(MaxRoutedOwners) - 1));
   Out.Owners[Out.Count - 1] = Settings.Self;
@@ -179,10 +181,10 @@
   return Decision;
 }
 
-/// Moves on to the next agent in the list that is worth a try. Silent ones move
-/// to the list's end instead of out of it: who of the others suspects wrongly
-/// costs the packet a detour then, where the flow would be reset by the last
-/// agent, which knows nothing of the suspicion.
+/// Advances to the next agent in the list that may own the flow. Suspect agents
+/// are moved to the end of the list instead of being removed. A false suspicion
+/// then costs the packet only a detour. If they were removed, the last agent,
+/// which does not know of the suspicion, would reset the flow.
 bool flow_owner::impl::skipToNext(routed_packet &Routed,
                                   bool &SkippedUnresponsive) const {
   const auto Left = Routed.Owners.begin() + Routed.Position + 1;
@@ -207,8 +209,9 @@
   return false;
 }
 
-/// Adds the owners that a newer view knows. The packet then counts as routed by
-/// that view, so agents that have it too do not extend it again.
+/// Adds the owner candidates of this agent's view if that is newer than the
+/// packet's. The packet then carries the newer version, so agents with the same
+/// view do not extend the list again.
 bool flow_owner::impl::extend(routed_packet &Routed,
                               const flow_key &Flow) const {
   if (View->Version <= Routed.Version)
--- a/src/agent/peer_message.cpp
+++ b/src/agent/peer_message.cpp
@@ -40,7 +40,8 @@
 
 namespace {
 
-/// Reads the fields in order and remembers whether each had its type and range.
+/// Reads fields in order and records whether each has the expected type and
+/// range.
 class field_reader {
 public:
   explicit field_reader(const json &Fields) : Fields(Fields) {}
@@ -93,7 +94,7 @@
 
 result<peer_message> decodePeerMessage(bytes_view Bytes) {
   const auto Refused = [] {
-    return fail(step::DecodeMessage, "", "not a message between agents");
+    return fail(step::DecodeMessage, "", "not a valid message between agents");
   };
   if (!isPeerMessage(Bytes))
     return Refused();
--- a/src/agent/peer_messaging.cpp
+++ b/src/agent/peer_messaging.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 constexpr duration ReportPeriod = std::chrono::seconds(1);
-/// A missing acknowledgement of a generation is asked for this often.
+/// Interval at which missing acknowledgements of a generation are requested.
 constexpr duration ReportRequestInterval = std::chrono::milliseconds(200);
 
 } // namespace
@@ -38,7 +38,7 @@
   Hooks.Send(To, message(peer_message_kind::Acknowledgement));
 }
 
-/// Also for a sender that this agent's view does not name yet.
+/// Called even if this agent's view does not contain the sender yet.
 void flow_owner::impl::answerProbe(const peer_message &Probe,
                                    const endpoint &From) const {
   peer_message Acknowledgement = message(peer_message_kind::Acknowledgement);
@@ -102,8 +102,9 @@
   Hooks.Send(*Neighbour, message(peer_message_kind::Probe));
 }
 
-/// Balancers hear of a doubt at once, for they only take a detour; the peers,
-/// which reset flows on it, hear of the conclusion.
+/// Balancers are notified as soon as the neighbour may be dead, since a false
+/// report costs them only a detour. Peers reset flows on such a report, so they
+/// are notified only once the neighbour is suspect.
 void flow_owner::impl::reportNeighbour(bool WasSuspect, instant Now) {
   const std::optional<endpoint> &Neighbour = Ring.neighbour();
   if (!Neighbour)
--- a/src/agent/peer_monitor.cpp
+++ b/src/agent/peer_monitor.cpp
@@ -52,7 +52,7 @@
     Peer.Suspect = true;
   else
     LinkSuspect = true;
-  // It is asked again after a pause, so that a suspicion ends.
+  // The peer is probed again after a pause, so that a suspicion can end.
   Peer.ProbedSince.reset();
   Peer.Sent = 0;
   Peer.UnansweredSince = Now + std::chrono::seconds(1);
@@ -90,7 +90,7 @@
   if (Suspected.LastResponse && Now - *Suspected.LastResponse < ResponseTimeout)
     return;
   Suspected.Suspect = true;
-  // This one asks for itself too, so that a suspicion ends.
+  // This agent probes the peer itself too, so that a suspicion can end.
   if (!Suspected.UnansweredSince)
     Suspected.UnansweredSince = Now;
 }
--- a/src/agent/peer_monitor.h
+++ b/src/agent/peer_monitor.h
@@ -1,4 +1,9 @@
 //===- peer_monitor.h - Failure detection among agents ----------*- C++ -*-===//
+///
+/// \file
+/// Detects peers that do not respond to passed packets.
+///
+//===----------------------------------------------------------------------===//
 
 #ifndef MARJORAMRAIL_SRC_AGENT_PEER_MONITOR_H
 #define MARJORAMRAIL_SRC_AGENT_PEER_MONITOR_H
@@ -11,7 +16,7 @@
 
 namespace marjoramrail::internal {
 
-/// A probe of \p Subject that is due: to itself, or through another peer.
+/// A due probe of Subject: direct, or indirect through the peer Via.
 struct peer_probe {
   endpoint Subject;
   std::optional<endpoint> Via;
@@ -19,44 +24,46 @@
   bool operator==(const peer_probe &) const = default;
 };
 
-/// Finds peers that do not answer passed-on packets, sooner than the fleet
+/// Detects peers that do not respond to passed packets, earlier than the fleet
 /// does.
 ///
-/// What goes wrong without it: the VM of a flow's owner dies. Until the fleet
-/// has declared it down, seconds later, packets passed on to it vanish, and the
-/// caller hears nothing instead of a reset that would let it open a new flow at
-/// once. On the other hand an agent whose own link is cut would, by the same
-/// signs, reset the flows of everyone else; so a peer is suspected only if
-/// another peer has answered since the probes began.
+/// When the VM of a flow's owner dies, the fleet needs seconds to declare it
+/// dead. Until then packets passed to it would be lost, and the caller would
+/// get no reset that lets it open a new flow at once. On the other hand, an
+/// agent whose own link is down sees the same symptoms and would reset the
+/// flows of all its peers. A peer is therefore suspected only if another peer
+/// has responded since the probes began.
 class peer_monitor {
 public:
-  /// An answer takes a round trip of at most 10 ms between zones. On links that
-  /// drop packets one packet's silence is common, so it only begins the probes;
-  /// with these a dead owner is found within 700 ms, and its callers, who send
-  /// again within 300 ms, know within a second.
+  /// The round trip between zones takes at most 10 ms. On lossy links a single
+  /// packet often gets no response, so this timeout only starts the probes.
+  /// With them a dead owner is detected within 700 ms. Its callers retransmit
+  /// within 300 ms and so get a reset within a second.
   static constexpr duration ResponseTimeout = std::chrono::milliseconds(250);
-  /// Probes go out three times, 100 ms apart, directly and through a peer.
+  /// Probes are sent three times, 100 ms apart, both directly and through a
+  /// peer.
   static constexpr duration ProbeInterval = std::chrono::milliseconds(100);
   static constexpr int ProbeCount = 3;
 
-  /// The live peers of the view.
+  /// Sets the peers to monitor: those that the view does not mark as down.
   void setPeers(const std::vector<endpoint> &Live);
   void noteSent(const endpoint &Peer, instant Now);
   void noteResponse(const endpoint &Peer, instant Now);
 
-  /// Probes that are due now; also draws the conclusions.
+  /// Returns the probes that are due and updates the state of peers whose
+  /// probes have all been sent.
   std::vector<peer_probe> tick(instant Now);
 
-  /// Another peer came to its conclusion, which holds unless this one has heard
-  /// from \p Peer meanwhile.
+  /// Another agent reported \p Peer as unresponsive. Ignored if \p Peer has
+  /// responded to this agent within ResponseTimeout.
   void noteReportedUnresponsive(const endpoint &Peer, instant Now);
 
-  /// Probes of the peer are under way, or it is a suspect.
+  /// The peer is being probed or is suspect.
   bool isPossiblyDown(const endpoint &Peer) const;
 
-  /// The peer is silent while others answer.
+  /// The peer does not respond while others do.
   bool isSuspect(const endpoint &Peer) const;
-  /// Nobody answered the probes: it may be us.
+  /// No peer responded during the probes, so this agent's own link may be down.
   bool isLinkSuspect() const { return LinkSuspect; }
 
 private:
--- a/src/balancer/balancer_core.cpp
+++ b/src/balancer/balancer_core.cpp
@@ -41,11 +41,12 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Notices of owners
+// Notices from agents
 //===----------------------------------------------------------------------===//
 
-/// A notice must come from the agent that it names, and that must be a target
-/// of the service: nobody else may say where a flow's packets go.
+/// An owner notice is accepted only from the agent that it names, and only if
+/// that agent is a target of the service. Otherwise a forged notice could
+/// redirect a flow's packets.
 packet_fault balancer_core::impl::handleOwnerNotice(const endpoint &From,
                                                     bytes_view Bytes) {
   owner_notice Notice;
@@ -67,7 +68,7 @@
   return packet_fault::None;
 }
 
-/// Believed from agents of the service alone, and about their peers.
+/// Accepted only from agents of the service, and only about their peers.
 packet_fault balancer_core::impl::handleSilenceNotice(const endpoint &From,
                                                       bytes_view Bytes,
                                                       instant Now) {
@@ -90,7 +91,7 @@
 // Callers' packets
 //===----------------------------------------------------------------------===//
 
-/// The place in \p Owners of the owner that an agent named, or 0.
+/// Position in \p Owners of the cached owner, or 0 if there is none.
 std::size_t balancer_core::impl::cachedPosition(const service_router &Router,
                                                 const owner_list &Owners,
                                                 const flow_key &Flow) {
@@ -113,7 +114,8 @@
   const packet_fault Fault = parseTcpPacket(Bytes, Packet);
   if (Fault != packet_fault::None)
     return Fault;
-  // A service that seems to call itself would answer itself for ever.
+  // A packet with a service as its own caller would cause an endless loop of
+  // answers.
   if (Packet.Flow.Caller == Packet.Flow.Service)
     return packet_fault::ForeignSender;
   const routed_service *Service = Services.findByAddress(Packet.Flow.Service);
--- a/src/balancer/owner_cache.cpp
+++ b/src/balancer/owner_cache.cpp
@@ -4,7 +4,7 @@
 
 namespace marjoramrail::internal {
 
-/// A seed of its own, so that slots do not follow the hosts' scores.
+/// A separate seed, so that slots do not correlate with the hosts' scores.
 static constexpr std::uint64_t CacheSeed = 0x6361636865;
 
 owner_cache::owner_cache(std::size_t Slots) : Slots(std::bit_ceil(Slots)) {}
--- a/src/balancer/owner_cache.h
+++ b/src/balancer/owner_cache.h
@@ -1,10 +1,11 @@
-//===- owner_cache.h - Owners that agents have named ------------*- C++ -*-===//
+//===- owner_cache.h - Flow owners reported by agents -----------*- C++ -*-===//
 ///
 /// \file
-/// A bounded memory of the owners of flows. Without it each packet of a flow
-/// that its first choice handed on would pass that agent for hours. It is a
-/// hint alone: the balancer only moves a host forward that is in the list of
-/// owners anyway, so a lost, old or forged entry costs a detour at most.
+/// A bounded cache of flow owners. Without it, each packet of a flow that its
+/// first choice passed to another agent would make a detour through that first
+/// choice, for hours. An entry is only a hint: the balancer moves a host to the
+/// front only if it is in the list of owner candidates. A lost, outdated or
+/// forged entry costs at most a detour.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -18,8 +19,9 @@
 
 namespace marjoramrail::internal {
 
-/// One slot for each hash; a newer flow takes the slot of an older one. Flows
-/// are told apart by 64 bits of hash: two alike would share a hint.
+/// A direct-mapped cache: a newer flow replaces an older one in the same slot.
+/// Flows are identified by a 64-bit hash; two flows with the same hash would
+/// share a hint.
 class owner_cache {
 public:
   explicit owner_cache(std::size_t Slots);
--- a/src/balancer/service_table.cpp
+++ b/src/balancer/service_table.cpp
@@ -57,8 +57,8 @@
   return Found == ByAddress.end() ? nullptr : Found->second;
 }
 
-/// Node and bucket of an unordered_map, as the C++ library lays them out: the
-/// value, a link, a pointer in the table; and the allocator's own word.
+/// Memory of an unordered_map in the layout of the C++ library: per node the
+/// value, a link and one word of the allocator; per bucket a pointer.
 template <typename Map> static std::size_t mapBytes(const Map &Entries) {
   constexpr std::size_t NodeBytes =
       sizeof(typename Map::value_type) + 2 * sizeof(void *);
--- a/src/balancer/service_table.h
+++ b/src/balancer/service_table.h
@@ -1,7 +1,7 @@
-//===- service_table.h - The services that a balancer routes ----*- C++ -*-===//
+//===- service_table.h - Services that a balancer routes --------*- C++ -*-===//
 ///
 /// \file
-/// The views in force, found by number and by the address that callers use.
+/// The applied views, by service number and by the address that callers use.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -14,12 +14,12 @@
 
 namespace marjoramrail::internal {
 
-/// A view in force.
+/// An applied view.
 struct routed_service {
   service_router Router;
   endpoint Address;
-  /// False once a view withdrew the service. The entry stays, so that a late
-  /// older view cannot bring it back.
+  /// False if the view withdrew the service. The entry is kept so that a late
+  /// older view cannot restore the service.
   bool IsActive;
 };
 
@@ -32,15 +32,16 @@
   }
 };
 
+/// The applied views of all services.
 class service_table {
 public:
-  /// Returns false if \p View is not newer than the one in force.
+  /// Applies \p View. Returns false if it is not newer than the applied one.
   bool set(const service_view &View);
 
   const routed_service *findById(service_id Service) const;
   const routed_service *findByAddress(const endpoint &Address) const;
 
-  /// Services that packets can reach.
+  /// Number of services that receive packets.
   std::size_t size() const { return ByAddress.size(); }
   std::size_t bytes() const;
 
@@ -52,10 +53,10 @@
   void claimAddress(routed_service &Service);
   void releaseAddress(const routed_service &Service);
 
-  /// Nodes of an unordered_map do not move, so the other may point to them.
+  /// ByAddress points into this map. Nodes of an unordered_map do not move.
   std::unordered_map<service_id, routed_service> ById;
   std::unordered_map<endpoint, const routed_service *, endpoint_hash> ByAddress;
-  /// Services whose address a lower number has: next to none.
+  /// Services whose address is in use by a service with a lower number. Rare.
   std::vector<const routed_service *> Shadowed;
 };
 
--- a/src/balancer/unresponsive_agents.h
+++ b/src/balancer/unresponsive_agents.h
@@ -1,10 +1,11 @@
 //===- unresponsive_agents.h - Agents to try last ---------------*- C++ -*-===//
 ///
 /// \file
-/// Agents to try last for a while. Without it a flow's packets go to its dead
-/// owner until the fleet has declared that down, seconds later, and its caller
-/// hears nothing; with it they reach an agent that tells the caller. An agent
-/// that is silent in error costs its flows a detour at most.
+/// Agents that a peer reported as unresponsive and that are tried last for a
+/// while. Otherwise a flow's packets would go to its dead owner until the fleet
+/// declares it dead, seconds later, and the caller would get no response. With
+/// this list they reach another agent, which resets the flow. A false report
+/// costs the agent's flows at most a detour.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -15,18 +16,19 @@
 
 namespace marjoramrail::internal {
 
+/// A bounded list of agents that were reported as unresponsive.
 class unresponsive_agents {
 public:
-  /// The sender repeats itself each second while the silence lasts; twice that
-  /// outlives a lost notice.
+  /// The reporting agent repeats its notice each second while the agent does
+  /// not respond. Twice that time bridges one lost notice.
   static constexpr duration EntryLifetime = std::chrono::seconds(2);
-  /// A whole zone of the users' largest site may be silent at once; beyond it
-  /// the fleet's word must do.
+  /// Enough for a whole zone of the largest site to fail at once. Further
+  /// agents are handled only once the fleet declares them dead.
   static constexpr std::size_t MaxEntries = 256;
 
   void add(const endpoint &Agent, instant Now);
 
-  /// Moves silent agents to the end of \p Owners.
+  /// Moves unresponsive agents to the end of \p Owners.
   void demote(const service_router &Router, owner_list &Owners, instant Now);
 
 private:
