--- a/test/agent/agent_group.h
+++ b/test/agent/agent_group.h
@@ -1,4 +1,9 @@
-//===- agent_group.h - The agents of one service, for tests -----*- C++ -*-===//
+//===- agent_group.h - Agents of one service for tests ----------*- C++ -*-===//
+///
+/// \file
+/// Simulates the agents of one service and the packets between them.
+///
+//===----------------------------------------------------------------------===//
 
 #ifndef MARJORAMRAIL_TEST_AGENT_AGENT_GROUP_H
 #define MARJORAMRAIL_TEST_AGENT_AGENT_GROUP_H
@@ -17,7 +22,7 @@
 
 inline endpoint agentOf(unsigned Host) { return {0x0a000100 + Host, 4790}; }
 
-/// A view of hosts 1 to \p Hosts with one generation of all.
+/// A view of hosts 1 to \p Hosts with one generation that contains all.
 inline service_view viewOf(unsigned Hosts, std::uint64_t Version = 1) {
   service_view View;
   View.Id = Ledger;
@@ -34,7 +39,7 @@
   return View;
 }
 
-/// \p View with a new generation of \p Members in front.
+/// \p View with \p Members added as the newest generation.
 inline service_view withGeneration(service_view View,
                                    const std::vector<unsigned> &Members) {
   generation Next{View.Generations.front().Number + 1, {}};
@@ -45,7 +50,7 @@
   return View;
 }
 
-/// Where a packet ended and how it got there.
+/// The agents that a packet visited and the last decision on it.
 struct packet_trace {
   packet_action Action = packet_action::Drop;
   packet_reason Reason = packet_reason::NoView;
@@ -53,8 +58,8 @@
   std::vector<unsigned> Path;
 };
 
-/// Several agents, the packets and messages between them and the time, all
-/// moved by the test. An agent in Dead takes and sends nothing.
+/// Several agents with the packets and messages between them. The test advances
+/// the time. An agent in Dead receives and sends nothing.
 class agent_group {
 public:
   instant Now{std::chrono::seconds(100)};
@@ -89,7 +94,7 @@
       Agent->takeView(View, Now);
   }
 
-  /// Lets time go by; the fleet confirms every view meanwhile.
+  /// Advances the time. All views are confirmed throughout.
   void advanceTime(duration Time) {
     for (const instant End = Now + Time; Now < End;) {
       Now += flow_owner::TickPeriod;
@@ -127,7 +132,7 @@
     }
   }
 
-  /// The number with which \p Flow's last SYN was answered.
+  /// The initial sequence number in the answer to each flow's last SYN.
   std::map<flow_key, std::uint32_t> Initials;
 
 private:
@@ -183,7 +188,8 @@
   return Packet;
 }
 
-/// The caller's first packet after the handshake that gave \p Initial.
+/// The caller's first packet after a handshake in which the agent's initial
+/// sequence number was \p Initial.
 inline tcp_packet ackOf(const flow_key &Flow, std::uint32_t Initial,
                         std::uint32_t Sequence = CallerInitial) {
   tcp_packet Packet;
@@ -194,7 +200,7 @@
   return Packet;
 }
 
-/// As a balancer with \p View would send it.
+/// \p Packet as a balancer with \p View would send it.
 inline routed_packet routedBy(const service_view &View,
                               const tcp_packet &Packet) {
   const service_router Router(View);
@@ -208,7 +214,7 @@
   return Routed;
 }
 
-/// Opens \p Flow by a balancer with \p View; returns the owner.
+/// Opens \p Flow through a balancer with \p View and returns the owner.
 inline unsigned openFlow(agent_group &Group, const service_view &View,
                          const flow_key &Flow) {
   const tcp_packet Syn = synOf(Flow);
--- a/test/agent/flow_owner_test.cpp
+++ b/test/agent/flow_owner_test.cpp
@@ -8,9 +8,10 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST_CASE("a packet for another service is dropped, whatever its list says") {
-  // A balancer with a mixed-up table names this agent as the owner of another
-  // service's flow. Taken in, a message for ledger would run at archive.
+TEST_CASE("a packet for another service is dropped even if its list names this "
+          "agent") {
+  // A faulty balancer lists this agent as an owner of another service's flow.
+  // If accepted, a message for ledger would be processed by archive.
   const service_view View = viewOf(3);
   agent_group Group(View);
   tcp_packet Syn = synOf(flowFrom(4000));
@@ -24,7 +25,7 @@
   CHECK(Group.follow(Routed, Syn).Reason == packet_reason::WrongAddress);
 }
 
-TEST_CASE("a packet finds its owner at any place in the list") {
+TEST_CASE("a packet reaches its owner at any position in the list") {
   const service_view View = viewOf(4);
   agent_group Group(View);
   const flow_key Flow = flowFrom(4000);
@@ -39,9 +40,9 @@
   CHECK(Trace.Host == Owner);
 }
 
-TEST_CASE("a flow that nobody owns is reset at once") {
-  // The owner died and its flows with it. Without a reset the caller would go
-  // on sending into silence for minutes.
+TEST_CASE("a flow that no agent owns is reset at once") {
+  // The owner died and its flows are lost. Without a reset the caller would
+  // retransmit for minutes without a response.
   const service_view View = viewOf(4);
   agent_group Group(View);
   const tcp_packet Ack = ackOf(flowFrom(4000), 1);
@@ -52,10 +53,10 @@
   CHECK(Trace.Reason == packet_reason::NoOwner);
 }
 
-TEST_CASE("an agent that has not heard of the fleet resets nothing") {
-  // The agent was cut off and the flow's owner joined meanwhile. A reset on
-  // the ground of its old view would end a healthy flow; a dropped packet is
-  // sent again and takes another way.
+TEST_CASE("an agent whose view was not confirmed sends no resets") {
+  // The agent was disconnected while the flow's owner joined. A reset based on
+  // its old view would break a healthy flow. A dropped packet is retransmitted
+  // and may take another path.
   const service_view View = viewOf(4);
   agent_group Group(View);
   Group.Now += seconds(30);
@@ -67,7 +68,8 @@
   CHECK(Trace.Reason == packet_reason::Unconfirmed);
 }
 
-TEST_CASE("a packet of a balancer that is cut off is never answered by reset") {
+TEST_CASE(
+    "a packet from a disconnected balancer is not answered with a reset") {
   const service_view View = viewOf(4);
   agent_group Group(View);
   const tcp_packet Ack = ackOf(flowFrom(4000), 1);
@@ -77,10 +79,12 @@
   CHECK(Group.follow(Routed, Ack).Reason == packet_reason::Unconfirmed);
 }
 
-TEST_CASE("an agent with a newer view leads an old balancer's packet on") {
-  // Hosts 4 to 6 replaced 1 to 3 and took new flows; one balancer has not
-  // heard of it. Its packets reach agents that no longer take flows, and the
-  // caller's session would be reset in the middle of a planned change.
+TEST_CASE(
+    "an agent with a newer view extends the list of an outdated balancer") {
+  // Hosts 4 to 6 replaced 1 to 3 and accepted new flows, but one balancer still
+  // has the old view. Its packets reach agents that accept no flows any more.
+  // Without the extension the caller's session would be reset during a planned
+  // change.
   const service_view Old = viewOf(3);
   agent_group Group(Old);
   for (const unsigned Host : {4, 5, 6})
@@ -102,9 +106,10 @@
   CHECK(Trace.Host == Owner);
 }
 
-TEST_CASE("a packet visits no agent twice, whatever versions the agents have") {
-  // Agents with different views each think that another one owns the flow. If
-  // they sent it back and forth, a few packets would fill their links.
+TEST_CASE(
+    "a packet visits no agent twice whatever view versions the agents have") {
+  // Agents with different views may each consider another one the owner. If
+  // they passed a packet back and forth, a few packets would fill their links.
   const service_view First = viewOf(6);
   agent_group Group(First);
   service_view View = First;
@@ -121,9 +126,9 @@
     }
 }
 
-TEST_CASE("an agent that started again answers for none of its old flows") {
-  // The agent's process was restarted and knows no flows. The caller has to
-  // learn that its session is over instead of waiting for an answer.
+TEST_CASE("a restarted agent resets its old flows") {
+  // The restarted process has no flows. The caller must get a reset instead of
+  // waiting for a response.
   const service_view View = viewOf(3);
   agent_group Group(View);
   const flow_key Flow = flowFrom(4000);
@@ -141,10 +146,10 @@
   CHECK(Trace.Action == packet_action::Reset);
 }
 
-TEST_CASE("an agent that has just started trusts its view only after its "
-          "peers have spoken") {
-  // It was handed an old view by a balancer that lags. Its peers know newer
-  // owners; a reset before they have said so would end a healthy flow.
+TEST_CASE("an agent that has just started sends no resets while its peers "
+          "know a newer generation") {
+  // The agent got an old view from a lagging balancer, and its peers know newer
+  // owners. A reset based on the old view would break a healthy flow.
   const service_view View = viewOf(3);
   agent_group Group(View);
   const service_view Newer = withGeneration(View, {1, 2, 3});
@@ -161,7 +166,7 @@
   CHECK(Group.follow(Routed, Ack).Reason == packet_reason::Unconfirmed);
 }
 
-TEST_CASE("a draining agent keeps its flows and hands new ones on") {
+TEST_CASE("a draining agent keeps its flows and passes new ones to its peers") {
   const service_view View = viewOf(3);
   agent_group Group(View);
   const flow_key Kept = flowFrom(4000);
@@ -178,9 +183,9 @@
   }
 }
 
-TEST_CASE("an agent whose drain was taken back accepts new flows") {
-  // A drained host that stayed closed after its operator took the drain back
-  // would leave its share of the callers to the others for good.
+TEST_CASE("an agent whose drain was undone accepts new flows") {
+  // If the agent kept refusing flows after the operator undid the drain, the
+  // other hosts would have to serve its share permanently.
   const service_view View = viewOf(1);
   agent_group Group(View);
   Group.Agents.at(1)->drain();
@@ -204,11 +209,12 @@
   CHECK(Trace.Reason == packet_reason::Refused);
 }
 
-TEST_CASE("a flow needs its generation only while the newest would not find "
-          "its owner") {
-  // Old generations make lists long. One may go when every flow opened under
-  // it would be found without it, and not a moment before: its flows' packets
-  // would find nobody. The service has more targets than a list can name.
+TEST_CASE("a flow needs its generation only while the newest one does not "
+          "contain its owner") {
+  // Old generations make owner lists long. A generation may be removed only
+  // when the owner of every flow opened under it is found without it; otherwise
+  // those flows would be reset. The service has more targets than fit in a
+  // list.
   constexpr unsigned ManyHosts = owner_list::Capacity + 4;
   const service_view View = viewOf(ManyHosts);
   agent_group Group(View);
@@ -230,7 +236,7 @@
   Group.applyView(withGeneration(Without, All));
   Group.advanceTime(seconds(1));
 
-  // Four choices of all: the owner may or may not be among them again.
+  // The owner may or may not be among the four choices of the new generation.
   const service_router Newest(withGeneration(Without, All));
   bool Found = false;
   for (const std::uint16_t Position : Newest.choices(Flow))
@@ -239,9 +245,9 @@
 }
 
 TEST_CASE(
-    "a service whose targets fit one list keeps no generation for flows") {
-  // Kept for flows of hours, eight generations would be in use after eight
-  // joins, and no new host could come.
+    "a service whose targets fit in one list keeps no generation for flows") {
+  // If flows that last for hours kept their generations, all eight would be in
+  // use after eight joins, and no new host could join.
   const service_view View = viewOf(6);
   agent_group Group(View);
   const unsigned Owner = openFlow(Group, View, flowFrom(4000));
--- a/test/agent/handshake_test.cpp
+++ b/test/agent/handshake_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Fills the first choice of \p Flow until it hands new flows on.
+/// Opens flows at the first choice of \p Flow until it passes new ones on.
 unsigned fillFirstChoice(agent_group &Group, const service_view &View,
                          const flow_key &Flow) {
   const service_router Router(View);
@@ -21,14 +21,14 @@
     if (Group.follow(routedBy(View, Syn), Syn).Path.size() > 1)
       break;
   }
-  // Reports tell everyone how full each is.
+  // Wait for reports, so that all agents know the flow counts.
   Group.advanceTime(seconds(2));
   return static_cast<unsigned>(Router.targetAt(First).Id);
 }
 
 } // namespace
 
-TEST_CASE("an agent over its share hands a new flow to the next choice") {
+TEST_CASE("an agent over its share passes a new flow to the next choice") {
   const service_view View = viewOf(4);
   agent_group Group(View);
   const flow_key Flow = flowFrom(4000);
@@ -42,10 +42,10 @@
   CHECK(Trace.Host != Full);
 }
 
-TEST_CASE("a SYN that is resent goes the way of the first") {
-  // The first choice was full and handed the SYN on; the answer was lost. By
-  // the time the caller sends it again the first choice has room. If it took
-  // the flow now, two agents would hold it.
+TEST_CASE("a retransmitted SYN is passed to the same agent as the first") {
+  // The first choice was over its share and passed the SYN on; the answer was
+  // lost. When the caller retransmits, the first choice has capacity. If it
+  // accepted the flow now, two agents would have it.
   const service_view View = viewOf(4);
   agent_group Group(View);
   const flow_key Flow = flowFrom(4000);
@@ -61,10 +61,11 @@
   CHECK(Group.Agents.at(Full)->count(packet_reason::RedirectRepeated) == 1);
 }
 
-TEST_CASE("of two agents that answered one SYN the completed one keeps it") {
-  // A SYN that is resent reaches another balancer whose view is older, and a
-  // second agent answers it. The caller completes one handshake; the other
-  // agent must let go, or it would take the flow's packets and reset it.
+TEST_CASE("if two agents answer one SYN, the one whose handshake completes "
+          "keeps it") {
+  // A retransmitted SYN reaches a balancer with an older view, and a second
+  // agent answers it. The caller completes one handshake. The other agent must
+  // discard its half-open flow, or it would receive the packets and reset it.
   const service_view View = viewOf(4);
   agent_group Group(View);
   const flow_key Flow = flowFrom(4000);
@@ -85,9 +86,10 @@
 }
 
 TEST_CASE("an old flow's late packet does not end a new one's handshake") {
-  // The caller used its port again while packets of the old flow were under
-  // way. One arrives between the new SYN and its completion. Mistaken for the
-  // caller's choice of another agent, it would cost the new flow its owner.
+  // The caller reuses its port while packets of the old flow are in transit.
+  // One arrives between the new SYN and the end of the handshake. If it were
+  // taken as a handshake completed elsewhere, the new flow would lose its
+  // owner.
   const service_view View = viewOf(4);
   agent_group Group(View);
   const flow_key Flow = flowFrom(4000);
@@ -103,10 +105,11 @@
   CHECK(Trace.Host == Owner);
 }
 
-TEST_CASE("an owner of a dead flow passes the packets of its port's next one") {
-  // A caller's VM was replaced and its successor opened a flow from the same
-  // port, which another agent took. The old owner, first in the list, still
-  // holds the old flow; if it took the packets the new flow would hang.
+TEST_CASE(
+    "the owner of an old flow passes on packets of a new flow from its port") {
+  // A caller's VM was replaced, and its successor opened a flow from the same
+  // port at another agent. The old owner, first in the list, still has the old
+  // flow. If it accepted the packets, the new flow would hang.
   const service_view View = viewOf(4);
   agent_group Group(View);
   const flow_key Flow = flowFrom(4000);
@@ -124,7 +127,7 @@
   CHECK(Trace.Action == packet_action::Deliver);
 }
 
-TEST_CASE("a half-open flow that is never completed is forgotten") {
+TEST_CASE("a half-open flow that is never completed expires") {
   const service_view View = viewOf(2);
   agent_group Group(View);
   const tcp_packet Syn = synOf(flowFrom(4000));
@@ -136,7 +139,7 @@
   CHECK(Group.Agents.at(Owner)->flows() == 0);
 }
 
-TEST_CASE("a closing flow takes late packets and does not count") {
+TEST_CASE("a closing flow accepts late packets and is not counted") {
   const service_view View = viewOf(2);
   agent_group Group(View);
   const flow_key Flow = flowFrom(4000);
--- a/test/agent/peers_test.cpp
+++ b/test/agent/peers_test.cpp
@@ -24,10 +24,10 @@
 
 } // namespace
 
-TEST_CASE("no flow is opened under a generation before all know of it") {
-  // Host 3 has not heard that hosts 4 and 5 joined. If they took flows now, a
-  // balancer as old as host 3 would send their packets to it, and it would
-  // find no owner and reset them.
+TEST_CASE("no flow is opened under a generation before all members know it") {
+  // Host 3 does not know yet that hosts 4 and 5 joined. If they accepted flows
+  // now, a balancer with the same old view would send their packets to host 3,
+  // which would find no owner and reset the flows.
   const service_view Old = viewOf(3);
   agent_group Group(Old);
   Group.start(4, 1);
@@ -50,8 +50,8 @@
   CHECK(Group.follow(routedBy(New, Next), Next).Host >= 4);
 }
 
-TEST_CASE("a member that is down is not waited for") {
-  // Otherwise one dead VM would keep every later change from taking effect.
+TEST_CASE("the acknowledgement of a member that is down is not required") {
+  // Otherwise one dead VM would prevent all later changes from taking effect.
   const service_view Old = viewOf(3);
   agent_group Group(Old);
   Group.start(4, 1);
@@ -66,9 +66,9 @@
   CHECK(Group.follow(routedBy(New, Syn), Syn).Host == 4);
 }
 
-TEST_CASE("the word of an agent that started again counts no more") {
-  // Host 3 knew generation 2, was restarted and was handed an old view. It has
-  // forgotten, so flows must not be opened on the strength of its former word.
+TEST_CASE("acknowledgements from before an agent's restart do not count") {
+  // Host 3 knew generation 2, was restarted and got an old view. It does not
+  // know generation 2 any more, so no flow may be opened under it.
   const service_view Old = viewOf(3);
   agent_group Group(Old);
   service_view New = withGeneration(Old, {1, 2});
@@ -84,10 +84,10 @@
   CHECK(Group.Agents.at(1)->oldestNeededGeneration() == 1);
 }
 
-TEST_CASE("an owner that died is found out and its flows are reset within a "
+TEST_CASE("an owner's death is detected and its flows are reset within a "
           "second") {
-  // The owner's VM is gone and the fleet has not noticed. Packets that are
-  // passed on to it vanish; the caller would hear nothing for seconds.
+  // The owner's VM died and the fleet has not detected it yet. Packets passed
+  // to it are lost, and the caller would get no response for seconds.
   const service_view View = viewOf(4);
   agent_group Group(View);
   const flow_key Flow = flowFrom(4000);
@@ -104,9 +104,9 @@
   CHECK(Trace.Reason == packet_reason::OwnerUnresponsive);
 }
 
-TEST_CASE("an agent whose own link is cut resets nobody") {
-  // Seen from an agent without a link, everyone else has died. If it believed
-  // that, one bad cable would end the flows of all.
+TEST_CASE("an agent whose own link is down resets no flows") {
+  // To an agent without a link all peers appear dead. If it acted on that, one
+  // faulty cable would break the flows of all agents.
   const service_view View = viewOf(4);
   agent_group Group(View);
   const flow_key Flow = flowFrom(4000);
@@ -125,9 +125,9 @@
   CHECK(Group.follow(Only, Ack).Reason == packet_reason::LinkSuspect);
 }
 
-TEST_CASE("an owner that another peer can reach is not given up") {
-  // Only the link between two agents is bad. The owner lives and serves its
-  // flows by other ways; to reset them would break them for nothing.
+TEST_CASE("an owner that another peer can reach is not suspected") {
+  // Only the link between two agents is down. The owner is alive and serves its
+  // flows over other paths, so a reset would break healthy flows.
   const service_view View = viewOf(4);
   agent_group Group(View);
   const flow_key Flow = flowFrom(4000);
@@ -144,7 +144,7 @@
   CHECK(Group.follow(Routed, Ack).Action == packet_action::PassOn);
 }
 
-TEST_CASE("a peer that answers again is trusted again") {
+TEST_CASE("a peer that responds again is no longer suspect") {
   const service_view View = viewOf(4);
   agent_group Group(View);
   const flow_key Flow = flowFrom(4000);
@@ -162,7 +162,7 @@
   CHECK(Group.follow(Routed, Ack).Host == Owner);
 }
 
-TEST_CASE("a message between agents survives its encoding") {
+TEST_CASE("a peer message is unchanged by encoding and decoding") {
   peer_message Message;
   Message.Kind = peer_message_kind::ProbeSucceeded;
   Message.Service = Ledger;
@@ -182,14 +182,14 @@
   CHECK(Back.value() == Message);
 }
 
-TEST_CASE("a message that claims to be larger than any memory is refused") {
-  // Twelve forged bytes would otherwise end the agent and all its flows.
+TEST_CASE("a message that declares a huge size is rejected") {
+  // Otherwise twelve forged bytes could crash the agent and end all its flows.
   const std::vector<std::uint8_t> Forged = {0x4d, 0x41, 0x9b, 0xff, 0xff, 0xff,
                                             0xff, 0xff, 0xff, 0xff, 0xff, 0x01};
   CHECK(!decodePeerMessage(Forged));
 }
 
-TEST_CASE("bytes that are no message between agents are refused") {
+TEST_CASE("bytes that are not a valid peer message are rejected") {
   const auto Good = encodePeerMessage({});
   for (std::size_t Size = 0; Size < Good.size(); ++Size)
     CHECK(failureOf([&]() -> result<void> {
--- a/test/balancer/balancer_core_test.cpp
+++ b/test/balancer/balancer_core_test.cpp
@@ -38,8 +38,8 @@
 }
 
 TEST_CASE_FIXTURE(core_fixture, "setView keeps the newer of two views") {
-  // Views come from the platform and from peers, so an old one may come last.
-  // Taken, it would undo an accepted change on this balancer alone.
+  // Views come from the platform and from peers, so an old one may arrive last.
+  // If applied, it would undo an accepted change on this balancer alone.
   service_view Newer = sampleView(3);
   Newer.Version = 5;
   service_view Older = sampleView(7);
@@ -55,9 +55,10 @@
 }
 
 TEST_CASE_FIXTURE(core_fixture,
-                  "a withdrawn service is not brought back by an older view") {
-  // The operator deleted the service; a peer that was cut off still tells its
-  // former view. Callers would reach a service that must not run any more.
+                  "a withdrawn service is not restored by an older view") {
+  // The operator deleted the service, but a peer that was disconnected still
+  // sends the previous view. If applied, callers would reach a service that
+  // must not run any more.
   service_view Withdrawn = sampleView(0);
   Withdrawn.Version = 9;
   Withdrawn.Generations.clear();
@@ -71,7 +72,7 @@
 
 TEST_CASE_FIXTURE(
     core_fixture,
-    "a service that moves to another address leaves its former one") {
+    "a service that moves to another address releases its previous one") {
   service_view Moved = sampleView(7);
   Moved.Version = 2;
   Moved.Address.Port = 444;
@@ -84,11 +85,12 @@
   CHECK(send(Flow, SynBit) == packet_fault::None);
 }
 
-TEST_CASE_FIXTURE(core_fixture,
-                  "of two services with one address the lower number has it") {
-  // Two operators create services with one address in the same moment and both
-  // pass the check. Balancers that each took the one they heard of first would
-  // tear the callers' flows apart.
+TEST_CASE_FIXTURE(
+    core_fixture,
+    "of two services with one address the lower number receives the packets") {
+  // Two operators create services with the same address concurrently and both
+  // pass the check. If each balancer used the one that it received first,
+  // packets of one flow would reach both services.
   service_view Higher = sampleView(7);
   Higher.Id = service_id(2);
   service_view Lower = sampleView(7);
@@ -108,10 +110,11 @@
   CHECK(Routed.Service == service_id(1));
 }
 
-TEST_CASE_FIXTURE(core_fixture,
-                  "packets are marked once the fleet was not heard for long") {
-  // A balancer that is cut off from the others routes by views that may be
-  // old. Without the mark an agent would reset flows that still have an owner.
+TEST_CASE_FIXTURE(
+    core_fixture,
+    "packets are marked stale after a time without contact to the fleet") {
+  // A disconnected balancer may route by outdated views. Without the mark an
+  // agent would reset flows that still have an owner.
   Now += seconds(10);
   send(sampleFlow(1), AckBit);
   CHECK_FALSE(Routed.has(routed_flag::Stale));
@@ -127,7 +130,7 @@
 
 TEST_CASE_FIXTURE(
     core_fixture,
-    "an owner that an agent named gets the flow's packets first") {
+    "an owner reported by an agent gets the flow's packets first") {
   const flow_key Flow = sampleFlow(1);
   send(Flow, AckBit);
   const routed_packet Before = Routed;
@@ -144,9 +147,9 @@
 }
 
 TEST_CASE_FIXTURE(core_fixture,
-                  "a new flow of the same ports goes by its choices") {
-  // A caller reuses its port while the balancer still remembers the former
-  // flow's owner, which may be full or leaving by now.
+                  "a new flow from the same port ignores the cached owner") {
+  // A caller reuses its port while the balancer still caches the previous
+  // flow's owner, which may be full or draining by now.
   const flow_key Flow = sampleFlow(1);
   send(Flow, SynBit);
   const endpoint First = To;
@@ -158,9 +161,7 @@
   CHECK(To == First);
 }
 
-TEST_CASE_FIXTURE(
-    core_fixture,
-    "an owner named for a former view is forgotten when it goes down") {
+TEST_CASE_FIXTURE(core_fixture, "a cached owner is ignored once it is down") {
   const flow_key Flow = sampleFlow(1);
   send(Flow, AckBit);
   const endpoint Owner = Routed.Owners[2];
@@ -177,10 +178,9 @@
   CHECK(To != Owner);
 }
 
-TEST_CASE_FIXTURE(core_fixture,
-                  "forged notices change nothing and are counted") {
-  // Whoever can send to the balancer's port could otherwise draw a flow's
-  // packets to a host of another service, or to its own.
+TEST_CASE_FIXTURE(core_fixture, "forged notices are ignored and counted") {
+  // Otherwise anyone who can send to the balancer's port could redirect a
+  // flow's packets to a host of another service, or to their own.
   const flow_key Flow = sampleFlow(1);
   send(Flow, AckBit);
   const endpoint First = To;
@@ -222,8 +222,9 @@
   CHECK(Core.counters().dropped(packet_fault::Truncated) == 1);
 }
 
-TEST_CASE_FIXTURE(core_fixture,
-                  "a service whose targets all left drops packets as such") {
+TEST_CASE_FIXTURE(
+    core_fixture,
+    "a service without ready targets drops SYNs with reason NoTarget") {
   service_view View = sampleView(1);
   View.Version = 2;
   View.Targets[0].State = target_state::Draining;
--- a/test/balancer/core_fixture.h
+++ b/test/balancer/core_fixture.h
@@ -1,7 +1,8 @@
-//===- core_fixture.h - A balancer's core for tests -------------*- C++ -*-===//
+//===- core_fixture.h - Balancer core for tests -----------------*- C++ -*-===//
 ///
 /// \file
-/// A core that routes seven hosts and keeps what it sent last.
+/// A balancer core with a service of seven hosts that records the last packet
+/// sent.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,7 +22,7 @@
 inline const endpoint Fabric{0x0a0f0001, 9000};
 inline const endpoint Self{0x0a0f0002, 4000};
 
-/// A core that keeps what it sent last.
+/// A balancer core and the last packet that it sent.
 struct core_fixture {
   endpoint To;
   byte_string Sent;
--- a/test/balancer/mutation_test.cpp
+++ b/test/balancer/mutation_test.cpp
@@ -9,8 +9,9 @@
 using namespace marjoramrail;
 using namespace marjoramrail::test;
 
-// A small fuzzer with a fixed seed, so that CI repeats what failed once. The
-// sanitizers of the check script see what these checks do not.
+// A small fuzzer with a fixed seed, so that CI reproduces failures. Memory
+// errors that these checks miss are found by the sanitizers of the check
+// script.
 
 namespace {
 
@@ -78,8 +79,8 @@
   return Bytes;
 }
 
-/// Short ones are cut by few mutations, long ones have room for a list of
-/// owners that has grown.
+/// Short packets are truncated by few mutations; long ones have room for a list
+/// of owners that mutations extended.
 std::vector<byte_string> seeds() {
   const byte_string Short = samplePacket(sampleFlow(1), AckBit, 40);
   const byte_string Long = samplePacket(sampleFlow(3), AckBit, 1200);
@@ -87,7 +88,8 @@
           sampleRouted(Long), sampleNotice()};
 }
 
-/// A copy without spare room, so that reading past its end is seen.
+/// A copy in an allocation of exactly its size, so that sanitizers detect reads
+/// past its end.
 struct exact_copy {
   explicit exact_copy(const byte_string &Bytes)
       : Data(new std::uint8_t[Bytes.size()]), Size(Bytes.size()) {
@@ -106,9 +108,9 @@
 
 } // namespace
 
-TEST_CASE("decoders take any bytes and stay within them") {
-  // Whoever can reach a port can send anything to it. One read past the end of
-  // a datagram would end the process and with it all flows of its host.
+TEST_CASE("decoders accept any bytes without reading past their end") {
+  // Anyone who can reach a port can send any bytes to it. A read past the end
+  // of a datagram could crash the process and end all flows of its host.
   mutator Mutator(20261202);
   const std::vector<byte_string> Seeds = seeds();
   int Accepted = 0;
@@ -132,13 +134,13 @@
     if (isOwnerNotice(Bytes))
       decodeOwnerNotice(Bytes, Notice);
   }
-  // Else the mutations would hit nothing but the first check.
+  // Otherwise the mutations would be rejected by the first check only.
   CHECK(Accepted > Rounds / 20);
 }
 
-TEST_CASE("a balancer routes or counts whatever it gets") {
-  // A packet that is neither sent on nor counted is one that operators cannot
-  // explain; one sent on outside the service's agents is misrouted.
+TEST_CASE("a balancer routes or counts every datagram") {
+  // Operators could not explain a packet that is neither sent nor counted. A
+  // packet sent to anything but the service's agents is misrouted.
   mutator Mutator(3);
   std::uint64_t Sent = 0;
   const service_view View = sampleView(7);
--- a/test/balancer/unresponsive_agents_test.cpp
+++ b/test/balancer/unresponsive_agents_test.cpp
@@ -3,10 +3,11 @@
 using namespace marjoramrail;
 using namespace marjoramrail::test;
 
-TEST_CASE_FIXTURE(core_fixture,
-                  "an agent that its peers find silent is tried last") {
-  // The owner's VM has died and the fleet does not know it yet. Sent there, the
-  // flow's packets vanish and its caller hears nothing for seconds.
+TEST_CASE_FIXTURE(
+    core_fixture,
+    "an agent that a peer reports as unresponsive is tried last") {
+  // The owner's VM died and the fleet has not detected it yet. Packets sent to
+  // it are lost, and the caller gets no response for seconds.
   const flow_key Flow = sampleFlow(1);
   send(Flow, AckBit);
   const endpoint Dead = To;
@@ -24,9 +25,10 @@
   CHECK(To == Dead);
 }
 
-TEST_CASE_FIXTURE(core_fixture,
-                  "silence is believed from the service's agents alone") {
-  // Anyone else could make every flow of a host take a detour.
+TEST_CASE_FIXTURE(
+    core_fixture,
+    "silence notices are accepted only from the service's agents") {
+  // Otherwise anyone could force a detour on every flow of a host.
   send(sampleFlow(1), AckBit);
   const endpoint Agent = Routed.Owners[0];
   const endpoint Other = Routed.Owners[1];
