--- a/bench/agent/bench_caller.cpp
+++ b/bench/agent/bench_caller.cpp
@@ -71,8 +71,8 @@
 }
 
 void bench_caller::echo(std::size_t Rounds) {
-  // As many under way as a burst of the socket takes, so that the agent works
-  // in batches as it would under load.
+  // As many messages in transit as the socket receives in one batch, so that
+  // the agent works in batches as under load.
   constexpr std::size_t UnderWay = 64;
   const std::string Message(EchoBytes, 'e');
   const std::uint64_t Before = Received;
@@ -100,7 +100,7 @@
     h2_session Session(h2_role::Client, h2_settings(), std::move(Hooks));
     Session.flush();
   }
-  // Each session answers at least with its settings.
+  // Each session answers with at least its settings.
   constexpr std::size_t LeastAnswer = 20;
   runUntil([&] { return Received - Before >= Flows.size() * LeastAnswer; });
 }
--- a/bench/agent/bench_caller.h
+++ b/bench/agent/bench_caller.h
@@ -1,4 +1,9 @@
-//===- bench_caller.h - Callers and the fabric in one process ---*- C++ -*-===//
+//===- bench_caller.h - Callers for the agent benchmark ---------*- C++ -*-===//
+///
+/// \file
+/// Simulates callers, a balancer and the fabric in one process.
+///
+//===----------------------------------------------------------------------===//
 
 #ifndef MARJORAMRAIL_BENCH_AGENT_BENCH_CALLER_H
 #define MARJORAMRAIL_BENCH_AGENT_BENCH_CALLER_H
@@ -8,23 +13,24 @@
 
 namespace marjoramrail::bench {
 
-/// Opens flows to the agent, whose packets it frames as a balancer would.
+/// Opens flows to the agent and encapsulates their packets as a balancer does.
 class bench_caller {
 public:
   bench_caller();
 
   result<void> open();
 
-  /// Opens \p Count flows beyond those there are and waits for them.
+  /// Opens \p Count more flows and waits until they are connected.
   void openFlows(std::size_t Count);
 
-  /// Sends 100 bytes on \p Rounds flows in turn and waits for each echo.
+  /// Sends 100 bytes \p Rounds times, on the flows in rotation, and waits for
+  /// the echoes.
   void echo(std::size_t Rounds);
 
-  /// Asks for \p Bytes on a flow of its own; returns the time they took.
+  /// Requests \p Bytes on a new flow and returns the transfer time.
   duration receive(std::uint64_t Bytes);
 
-  /// Starts an HTTP/2 session on every flow and lets it settle.
+  /// Starts an HTTP/2 session on every flow and waits for its settings.
   void startSessions();
 
   std::size_t openCount() const { return Connected; }
--- a/bench/agent/bench_children.cpp
+++ b/bench/agent/bench_children.cpp
@@ -14,7 +14,8 @@
 
 constexpr std::size_t ChunkBytes = 128 * 1024;
 
-/// One connection of the target: echoes, or sends as many bytes as asked.
+/// One connection of the target: echoes, or sends the requested number of
+/// bytes.
 class target_connection {
 public:
   explicit target_connection(std::unique_ptr<tcp_stream> Taken)
--- a/bench/agent/main.cpp
+++ b/bench/agent/main.cpp
@@ -1,9 +1,9 @@
-//===- main.cpp - What an agent costs ---------------------------*- C++ -*-===//
+//===- main.cpp - Benchmark of the agent ------------------------*- C++ -*-===//
 ///
 /// \file
-/// Measures one agent process over loopback: one stream through it, memory of
-/// idle flows, processor time of an echo and how it grows with the flows that
-/// are open. Callers are lwIP too, in a process of their own.
+/// Measures one agent process over loopback: the throughput of one stream, the
+/// memory of idle flows, and the CPU time of an echo and how it grows with the
+/// number of open flows. Callers use lwIP too, in a separate process.
 ///
 //===----------------------------------------------------------------------===//
 
--- a/bench/balancer/main.cpp
+++ b/bench/balancer/main.cpp
@@ -1,5 +1,5 @@
-// Packets a second through the daemon's own socket and core on one thread, over
-// loopback, and the memory that flows cost it.
+// Measures the packets per second that the daemon's socket and core handle on
+// one thread over loopback, and the memory that flows need.
 
 #include "bench/balancer/packet_source.h"
 #include "packet_port.h"
@@ -20,7 +20,7 @@
   View.Id = service_id(1);
   View.Address = Ledger;
   View.Version = 1;
-  // A view after some days of changes: more generations than is usual.
+  // More generations than usual, as after several days of changes.
   constexpr std::uint64_t Generations = 4;
   for (std::uint32_t I = 0; I < Hosts; ++I)
     View.Targets.push_back({host_id(I), Agents, zone_id(0), {}, 1});
@@ -78,8 +78,8 @@
               Count / (threadSeconds() - FirstCpu));
 }
 
-/// Bytes held before and after half a million flows whose owners all named
-/// themselves, which fills the cache many times over.
+/// Measures the memory before and after half a million flows whose owners were
+/// all reported. They exceed the cache capacity many times over.
 static void measureMemory() {
   constexpr std::uint32_t Flows = 500000;
   const endpoint Agent{0x0a010001, 7000};
--- a/bench/balancer/packet_source.h
+++ b/bench/balancer/packet_source.h
@@ -1,8 +1,8 @@
-//===- packet_source.h - As many packets as a core can send -----*- C++ -*-===//
+//===- packet_source.h - Load for the balancer benchmark --------*- C++ -*-===//
 ///
 /// \file
-/// The load of the balancer's bench: callers' packets over loopback, in
-/// batches, from a thread of its own, and a socket in place of the agents.
+/// Sends callers' packets over loopback in batches, as fast as one thread can,
+/// and provides a socket in place of the agents.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -16,13 +16,13 @@
 
 namespace marjoramrail::bench {
 
-/// One caller's packet with \p Payload bytes; \p Number tells flows apart.
+/// Returns a caller's packet with \p Payload bytes; \p Number selects the flow.
 std::vector<std::uint8_t> callerPacket(const endpoint &Service,
                                        std::uint32_t Number, bool Syn,
                                        std::size_t Payload);
 
-/// A bound socket that takes what agents would take and reads nothing: its full
-/// buffer drops packets as cheaply as can be.
+/// A bound socket that receives the agents' packets and never reads them. Its
+/// full buffer drops packets at minimal cost.
 class deaf_socket {
 public:
   deaf_socket();
@@ -36,7 +36,7 @@
   int Socket;
 };
 
-/// Sends \p Packets over and over to one address until it is destroyed.
+/// Sends packets repeatedly to one address until it is destroyed.
 class packet_source {
 public:
   packet_source(const endpoint &To,
--- a/test/path/addresses.h
+++ b/test/path/addresses.h
@@ -1,7 +1,7 @@
-//===- addresses.h - Addresses of the path world ----------------*- C++ -*-===//
+//===- addresses.h - Addresses in the path simulation -----------*- C++ -*-===//
 ///
 /// \file
-/// Hosts, balancers and callers by number.
+/// Maps numbers of hosts, balancers and callers to addresses.
 ///
 //===----------------------------------------------------------------------===//
 
--- a/test/path/burst_test.cpp
+++ b/test/path/burst_test.cpp
@@ -6,11 +6,11 @@
 using namespace marjoramrail::test;
 using std::chrono::seconds;
 
-TEST_CASE("a burst of new flows spreads evenly before any report of it") {
-  // All callers come back within a second, after an outage of their own. Agents
-  // hear of each other's load once a second; on old news some would refuse
-  // nearly all of the burst and others hold twice their share for hours, and
-  // answer their drivers late.
+TEST_CASE("a burst of new flows spreads evenly before any report counts it") {
+  // All callers reconnect within a second after an outage. Agents report their
+  // load to each other once a second. If they relied on outdated counts, some
+  // would pass on nearly all of the burst, while others would have twice their
+  // share for hours and answer late.
   for (const std::uint64_t Seed : {1, 2, 3}) {
     CAPTURE(Seed);
     world_settings Settings;
--- a/test/path/owner_death_test.cpp
+++ b/test/path/owner_death_test.cpp
@@ -6,7 +6,8 @@
 using namespace marjoramrail::test;
 using std::chrono::seconds;
 
-/// Kills a host of 300 flows; the fleet needs four seconds to agree on it.
+/// Opens 300 flows and kills one host. The fleet needs four seconds to declare
+/// it dead.
 static world_outcome killOne(std::uint64_t Seed) {
   CAPTURE(Seed);
   world_settings Settings;
@@ -27,10 +28,10 @@
   return World.outcome();
 }
 
-TEST_CASE("an owner's death breaks its own flows alone, and tells them soon") {
-  // A host's VM ends without a word, and the fleet needs seconds to agree that
-  // it is dead. Its callers' amendments would hang until their own timeouts,
-  // and other hosts' flows must not suffer from the doubt.
+TEST_CASE("an owner's death breaks only its own flows and resets them soon") {
+  // A host's VM dies without notice, and the fleet needs seconds to declare it
+  // dead. Without an early reset its callers' requests would hang until their
+  // own timeouts. Other hosts' flows must not be affected.
   for (const std::uint64_t Seed : {1, 2, 3, 4, 5, 6}) {
     const world_outcome Outcome = killOne(Seed);
     CHECK(Outcome.BrokenPlanned == 0);
@@ -39,9 +40,9 @@
   }
 }
 
-TEST_CASE("a host that stands still for a moment keeps its flows") {
-  // A VM pauses while it is moved. Taken for dead too soon, it would lose two
-  // thousand sessions that only had to wait.
+TEST_CASE("a host that pauses for a moment keeps its flows") {
+  // A VM pauses while it is migrated. If it were suspected too early, two
+  // thousand sessions that only had to wait would be reset.
   for (const std::uint64_t Seed : {1, 2, 3, 4}) {
     CAPTURE(Seed);
     world_settings Settings;
--- a/test/path/packet_size_test.cpp
+++ b/test/path/packet_size_test.cpp
@@ -6,11 +6,12 @@
 
 using namespace marjoramrail;
 
-TEST_CASE("a caller's longest packet still fits a link behind its owners") {
-  // The agent's TCP tells callers how long their packets may be. With eight
-  // generations the list of owners is at its longest; a datagram over the
-  // link's 1,500 bytes would be cut into fragments, and one that is lost loses
-  // the packet: large amendments would crawl while small ones pass.
+TEST_CASE(
+    "a caller's longest packet and its longest owner list fit the link MTU") {
+  // The agent's TCP stack limits the size of callers' packets. With eight
+  // generations the list of owners has its maximum length. A datagram over the
+  // link's 1,500 bytes would be fragmented, and one lost fragment loses the
+  // packet: large requests would be slow while small ones are not.
   constexpr std::size_t LinkBytes = 1500;
   constexpr std::size_t Ipv4AndUdpBytes = 28;
   constexpr std::size_t OwnerBytes = 6;
--- a/test/path/path_world.cpp
+++ b/test/path/path_world.cpp
@@ -48,7 +48,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// The bag
+// The network
 //===----------------------------------------------------------------------===//
 
 void path_world::enqueue(queued_datagram Datagram, bool MayBeLost) {
@@ -98,7 +98,7 @@
     if (Now.time_since_epoch() % flow_owner::TickPeriod == duration(0))
       for (host &Host : Hosts)
         if (Host.Alive && Host.Core && Host.FrozenUntil <= Now) {
-          // Balancers answer announcements whatever view they have.
+          // Balancers answer heartbeats whatever view they have.
           Host.Core->confirmView(Now);
           Host.Core->tick(Now);
         }
@@ -220,7 +220,7 @@
           true);
 }
 
-/// A TCP stack as far as the core can tell it from lwIP.
+/// A minimal TCP stack that the core cannot distinguish from lwIP.
 void path_world::takeIntoStack(host &Host, std::uint32_t Number,
                                const tcp_packet &Packet,
                                const routed_packet &Routed) {
@@ -408,7 +408,7 @@
   Views[Newest.View.Version] = Newest;
 }
 
-/// Some version after the one held: nodes skip versions, or stay behind.
+/// A random version after \p Held, since nodes may skip versions or lag behind.
 std::uint64_t path_world::laterVersion(std::uint64_t Held) {
   const auto First = Views.upper_bound(Held);
   const auto Count =
--- a/test/path/path_world.h
+++ b/test/path/path_world.h
@@ -1,12 +1,12 @@
-//===- path_world.h - Balancers and agents over a bag of packets *- C++ -*-===//
+//===- path_world.h - Simulation of balancers and agents --------*- C++ -*-===//
 ///
 /// \file
-/// The real cores of balancers and agents, the fleet's real planner of views,
-/// and callers that speak just enough TCP, over a bag of packets that delays,
-/// reorders, loses and doubles them from a seed. Each node learns each view at
-/// a time of its own. The world knows the true owner of every flow and counts
-/// where the system strays from it. Time is turned by hand; no cluster: no
-/// machines, links or daemons are modelled.
+/// Connects the real cores of balancers and agents, the real planner of views
+/// and simple TCP callers through a simulated network. The network delays,
+/// reorders, loses and duplicates packets from a seed, and each node receives
+/// each view at a time of its own. The simulation knows the true owner of every
+/// flow and counts where the system deviates from it. The test advances the
+/// time. Machines, links and daemons are not modelled.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -24,40 +24,43 @@
 
 namespace marjoramrail::test {
 
+/// Parameters of a simulation.
 struct world_settings {
   std::uint64_t Seed = 1;
   std::uint32_t Hosts = 7;
   std::uint32_t Balancers = 3;
   double LossPercent = 0;
   double DuplicatePercent = 0;
-  /// One way, evenly spread from 1 ms; more than a turn apart means reordered.
+  /// Maximum one-way delay; delays are uniform from 1 ms. Packets are reordered
+  /// if their delays differ by more than a step.
   duration MaxDelay = std::chrono::milliseconds(10);
-  /// Between two packets of a caller.
+  /// Interval between two packets of a caller.
   duration SendPeriod = std::chrono::milliseconds(250);
-  /// How long a node may be behind the newest view.
+  /// Maximum time between two view updates of a node.
   duration MaxViewLag = std::chrono::seconds(5);
 };
 
-/// What the callers saw, against what the world knows.
+/// What callers observed, compared with the true owners.
 struct world_outcome {
   std::uint64_t Opened = 0;
-  /// Flows reset although their owner lives: the system's fault.
+  /// Flows reset although their owner is alive: a fault of the system.
   std::uint64_t BrokenPlanned = 0;
   /// Flows reset whose owner died or restarted.
   std::uint64_t BrokenByDeath = 0;
-  /// Packets of established flows that an agent took which does not own them.
+  /// Packets of established flows accepted by an agent that does not own them.
   std::uint64_t Misrouted = 0;
   /// SYNs answered by a reset.
   std::uint64_t RefusedOpen = 0;
-  /// From an owner's death, or the flow's first packet after it if that was
-  /// later, to the reset: the longest.
+  /// Longest time to a reset, from the owner's death or from the flow's first
+  /// packet after it if that was later.
   duration MaxResetDelay{};
-  /// Packets of established flows that reached an agent, and all the agents
-  /// that they visited.
+  /// Packets of established flows that reached their agent, and the number of
+  /// agents that such packets visited.
   std::uint64_t Deliveries = 0;
   std::uint64_t Visits = 0;
 };
 
+/// One simulation.
 class path_world {
 public:
   static constexpr duration Step = std::chrono::milliseconds(10);
@@ -70,22 +73,24 @@
 
   void openFlow(std::uint32_t Number);
   void closeFlow(std::uint32_t Number);
-  /// Callers open again what was reset, and leave a host that drains within
-  /// some seconds, as HTTP/2 callers do on GOAWAY; from the same port.
+  /// If on, callers reopen flows that were reset, and reconnect from the same
+  /// port within some seconds when their host drains, as HTTP/2 callers do on
+  /// GOAWAY.
   void setReconnecting(bool On) { Reconnecting = On; }
 
   void addHost();
   void drainHost(std::uint32_t Host);
-  /// The process ends without a word; the fleet finds out after \p Found.
+  /// Ends the process without notice. The fleet detects it after \p Found.
   void killHost(std::uint32_t Host, duration Found);
-  /// The host's process stands still and takes up what waits for it after
-  /// \p Time, as a VM does that is moved or starved.
+  /// Pauses the host's process for \p Time, after which it receives the packets
+  /// that arrived meanwhile. This happens to VMs that are migrated or get no
+  /// CPU time.
   void freezeHost(std::uint32_t Host, duration Time) {
     Hosts[Host].FrozenUntil = Now + Time;
   }
-  /// Kills and starts again with a new incarnation and no flows.
+  /// Restarts the process with a new incarnation and no flows.
   void restartHost(std::uint32_t Host);
-  /// Stops a drained host that has no flows left; false if it has.
+  /// Stops a drained host. Returns false if it still has flows.
   bool removeHost(std::uint32_t Host);
 
   std::size_t hosts() const { return Hosts.size(); }
@@ -93,13 +98,12 @@
   bool isDraining(std::uint32_t Host) const {
     return Hosts[Host].Alive && Hosts[Host].Draining;
   }
-  /// Flows that the host's core holds.
+  /// Number of flows that the host's core owns.
   std::size_t flowsOf(std::uint32_t Host) const;
   std::size_t establishedFlows() const;
-  /// Flows that have waited for an answer for longer than \p Time although
-  /// their owner lives.
+  /// Flows that have waited for an answer for longer than \p Time.
   std::size_t stuckFlows(duration Time) const;
-  /// max / mean of flows over the hosts that take new ones.
+  /// Maximum / mean number of flows over the hosts that accept new ones.
   double imbalance() const;
   std::size_t generations() const;
   std::uint64_t fromCache() const;
@@ -117,7 +121,7 @@
     endpoint Agent;
     std::uint32_t Incarnation = 1;
     bool Alive = true;
-    bool Known = true; // to the fleet, as alive
+    bool Known = true; // Considered alive by the fleet.
     bool Draining = false;
     instant DiedAt;
     instant FrozenUntil;
@@ -189,7 +193,7 @@
   std::unordered_map<std::uint32_t, caller> Callers;
   bool Reconnecting = false;
 
-  /// Every view ever written, by version; the newest last.
+  /// All views so far, by version; the newest last.
   std::map<std::uint64_t, membership> Views;
   membership Newest;
   instant LastGeneration;
--- a/test/path/planned_changes_test.cpp
+++ b/test/path/planned_changes_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Random changes of a service's hosts while its flows live on.
+/// Changes a service's hosts at random while its flows stay open.
 class history {
 public:
   history(path_world &World, std::uint64_t Seed) : World(World), Random(Seed) {}
@@ -22,7 +22,7 @@
     World.advanceTime(std::chrono::milliseconds(500 + Random() % 3000));
   }
 
-  /// Flows come and go; drained hosts that are empty are stopped.
+  /// Opens and closes flows and stops drained hosts without flows.
   void churn() {
     World.openFlow(NextFlow++);
     World.closeFlow(static_cast<std::uint32_t>(Random() % NextFlow));
@@ -77,11 +77,11 @@
   CHECK(World.stuckFlows(seconds(5)) == 0);
 }
 
-TEST_CASE("flows that stay for hours outlive the changes around them") {
-  // Hosts join and drain while nodes learn of it seconds apart and the network
-  // loses, doubles and reorders packets. Routed by a list that lacks its owner,
-  // a flow would be reset, and an amendment on it lost, by a change that
-  // operators were promised is safe.
+TEST_CASE("long-lived flows survive changes of the hosts") {
+  // Hosts join and drain while nodes receive the views seconds apart and the
+  // network loses, duplicates and reorders packets. If a packet's list lacked
+  // its flow's owner, a planned change, which must be safe, would reset the
+  // flow and lose a request.
   for (const std::uint64_t Seed : {1, 2, 3, 4, 5, 6, 7, 8}) {
     CAPTURE(Seed);
     path_world World(badNetwork(Seed));
@@ -98,7 +98,7 @@
   }
 }
 
-/// Twenty changes with callers that leave a host when it drains.
+/// Makes twenty changes with callers that reconnect when their host drains.
 static void replaceHosts(std::uint64_t Seed) {
   CAPTURE(Seed);
   path_world World(badNetwork(Seed));
@@ -117,20 +117,19 @@
   checkUnbroken(World);
 }
 
-TEST_CASE("hosts are replaced one after the other and no flow is reset") {
-  // Callers leave a host that drains and use the same port again, while packets
-  // of their former flows are still under way. Taken for the old flow's, a
-  // packet of the new one would be answered with a reset.
+TEST_CASE("no flow is reset while hosts are replaced one after the other") {
+  // Callers leave a draining host and reuse their port while packets of their
+  // previous flows are still in transit. If a packet of the new flow were
+  // matched with the old one, it would be answered with a reset.
   for (const std::uint64_t Seed : {1, 2, 3, 4, 5, 6})
     replaceHosts(Seed);
 }
 
-TEST_CASE("no caller is refused when flows pin all generations") {
-  // Flows that later joins pushed out of their newest four choices would keep
-  // old generations alive for as long as they last. With all eight in use no
-  // new one could come, so the newest one's hosts would drain away under it,
-  // and callers whose choices have all left would be refused although new hosts
-  // stand ready.
+TEST_CASE("no caller is refused when long-lived flows use all generations") {
+  // Flows whose owner is no longer among the newest four choices could keep old
+  // generations in use for as long as they last. With all eight in use no new
+  // generation could be added. The newest one's hosts would drain, and callers
+  // without a choice left would be refused although new hosts are ready.
   replaceHosts(7);
   replaceHosts(12);
 }
--- a/test/path/world_callers.cpp
+++ b/test/path/world_callers.cpp
@@ -28,7 +28,7 @@
 void path_world::closeFlow(std::uint32_t Number) {
   caller &Caller = Callers[Number];
   if (Caller.State == caller_state::Established) {
-    // Sent more than once: this caller does not wait for the answer.
+    // Sent repeatedly, since this caller does not wait for an answer.
     for (int I = 0; I < 3; ++I)
       callerSends(Caller, FinBit | AckBit, 0);
   }
@@ -55,10 +55,10 @@
 bool path_world::leavesDrainingHost(const caller &Caller) {
   if (Caller.State == caller_state::Reset)
     return true;
-  // One turn in 300 of 10 ms: after 3 s on average.
-  constexpr std::uint64_t Turns = 300;
+  // One in 300 steps of 10 ms, which is 3 s on average.
+  constexpr std::uint64_t Steps = 300;
   return Caller.State == caller_state::Established &&
-         Hosts[Caller.Owner].Draining && below(Turns) == 0;
+         Hosts[Caller.Owner].Draining && below(Steps) == 0;
 }
 
 void path_world::stepCallers() {
