--- a/bench/balancer/main.cpp
+++ b/bench/balancer/main.cpp
@@ -50,7 +50,7 @@
   constexpr auto WarmUp = std::chrono::milliseconds(500);
   constexpr auto Length = std::chrono::seconds(2);
   event_loop Loop;
-  const deaf_socket Agents;
+  const discard_socket Agents;
   packet_port Port(Loop, {});
   if (!Port.open({0x7f000001, 0}))
     return;
--- a/bench/balancer/packet_source.cpp
+++ b/bench/balancer/packet_source.cpp
@@ -43,16 +43,16 @@
   return Bytes;
 }
 
-deaf_socket::deaf_socket()
+discard_socket::discard_socket()
     : Socket(socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0)) {
   const sockaddr_in Any = addressOf({0x7f000001, 0});
   static_cast<void>(
       bind(Socket, reinterpret_cast<const sockaddr *>(&Any), sizeof(Any)));
 }
 
-deaf_socket::~deaf_socket() { close(Socket); }
+discard_socket::~discard_socket() { close(Socket); }
 
-endpoint deaf_socket::local() const {
+endpoint discard_socket::local() const {
   sockaddr_in Address{};
   socklen_t Size = sizeof(Address);
   getsockname(Socket, reinterpret_cast<sockaddr *>(&Address), &Size);
--- a/bench/balancer/packet_source.h
+++ b/bench/balancer/packet_source.h
@@ -23,12 +23,12 @@
 
 /// A bound socket that receives the agents' packets and never reads them. Its
 /// full buffer drops packets at minimal cost.
-class deaf_socket {
+class discard_socket {
 public:
-  deaf_socket();
-  ~deaf_socket();
-  deaf_socket(const deaf_socket &) = delete;
-  deaf_socket &operator=(const deaf_socket &) = delete;
+  discard_socket();
+  ~discard_socket();
+  discard_socket(const discard_socket &) = delete;
+  discard_socket &operator=(const discard_socket &) = delete;
 
   endpoint local() const;
 
