--- a/daemons/agent/agent_view.cpp
+++ b/daemons/agent/agent_view.cpp
@@ -220,8 +220,8 @@
     Peer.Service = Message.Load.Service;
     Proxy->updatePeerLoad(Peer);
   };
-  Hooks.TellSilence = [this](const endpoint &Balancer,
-                             const unresponsive_notice &Notice) {
+  Hooks.ReportUnresponsive = [this](const endpoint &Balancer,
+                                    const unresponsive_notice &Notice) {
     std::array<std::uint8_t, UnresponsiveNoticeBytes> Buffer;
     encodeUnresponsiveNotice(Notice, Buffer);
     Socket.send(Balancer, Buffer);
--- a/src/agent/flow_table.cpp
+++ b/src/agent/flow_table.cpp
@@ -6,8 +6,8 @@
 
 static bool isNear(std::uint32_t Number, std::uint32_t Expected) {
   const auto Distance = static_cast<std::int32_t>(Number - Expected);
-  return Distance > -flow_table::NumberSlack &&
-         Distance < flow_table::NumberSlack;
+  return Distance > -flow_table::MaxSequenceDistance &&
+         Distance < flow_table::MaxSequenceDistance;
 }
 
 bool flow_table::isPlausible(const entry &Entry, const tcp_packet &Packet) {
@@ -17,18 +17,18 @@
 }
 
 flow_match flow_table::matchHalfOpen(entry &Entry, const tcp_packet &Packet) {
-  const bool OfThisOpening = Packet.Sequence == Entry.CallerInitial + 1;
+  const bool MatchesInitial = Packet.Sequence == Entry.CallerInitial + 1;
   if (!Entry.Answered)
     return flow_match::NotOurs;
   if (!Packet.Ack)
-    return OfThisOpening ? flow_match::Ours : flow_match::NotOurs;
+    return MatchesInitial ? flow_match::Ours : flow_match::NotOurs;
   if (Packet.Acknowledged == Entry.OurInitial + 1) {
     if (!Packet.Rst)
       Entry.State = flow_state::Established;
     return flow_match::Ours;
   }
-  // A packet of an older flow from the same port must not end this one.
-  return OfThisOpening ? flow_match::CompletedElsewhere : flow_match::NotOurs;
+  // A packet of an earlier flow from the same port must not end this flow.
+  return MatchesInitial ? flow_match::CompletedElsewhere : flow_match::NotOurs;
 }
 
 flow_match flow_table::match(const tcp_packet &Packet, instant Now) {
@@ -38,8 +38,9 @@
   entry &Entry = Found->second;
   flow_match Match = flow_match::NotOurs;
   if (Packet.opensFlow()) {
-    // A new number while half open: the caller gave the first try up. In the
-    // other states the stack answers, so that a forged SYN ends nothing.
+    // A different sequence number while half-open means that the caller has
+    // abandoned its first attempt. In the other states the stack answers, so
+    // that a forged SYN cannot end a flow.
     const bool GivenUp = Entry.State == flow_state::HalfOpen &&
                          Packet.Sequence != Entry.CallerInitial;
     Match = GivenUp ? flow_match::CompletedElsewhere : flow_match::Ours;
@@ -108,11 +109,11 @@
 void flow_table::expire(instant Now) {
   for (auto It = Flows.begin(); It != Flows.end();) {
     const flow_state State = It->second.State;
-    const duration Quiet = Now - It->second.LastPacket;
-    const bool Over =
-        (State == flow_state::HalfOpen && Quiet >= HalfOpenLife) ||
-        (State == flow_state::Closing && Quiet >= ClosingLife);
-    It = Over ? erase(It) : std::next(It);
+    const duration IdleTime = Now - It->second.LastPacket;
+    const bool IsExpired =
+        (State == flow_state::HalfOpen && IdleTime >= HalfOpenLifetime) ||
+        (State == flow_state::Closing && IdleTime >= ClosingLifetime);
+    It = IsExpired ? erase(It) : std::next(It);
   }
 }
 
--- a/test/balancer/core_fixture.h
+++ b/test/balancer/core_fixture.h
@@ -1,7 +1,8 @@
-//===- core_fixture.h - A balancer's core for tests -------------*- C++ -*-===//
+//===- core_fixture.h - Balancer core for tests -----------------*- C++ -*-===//
 ///
 /// \file
-/// A core that routes seven hosts and keeps what it sent last.
+/// A balancer core with a service of seven hosts that records the last packet
+/// sent.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,7 +22,7 @@
 inline const endpoint Fabric{0x0a0f0001, 9000};
 inline const endpoint Self{0x0a0f0002, 4000};
 
-/// A core that keeps what it sent last.
+/// A balancer core and the last packet that it sent.
 struct core_fixture {
   endpoint To;
   byte_string Sent;
@@ -37,22 +38,23 @@
 
   core_fixture() {
     Core.setView(sampleView(7));
-    Core.heardOfFleet(Now);
+    Core.noteFleetContact(Now);
   }
 
   packet_fault send(const flow_key &Flow, std::uint8_t Flags) {
     return Core.onDatagram(Fabric, samplePacket(Flow, Flags), Now);
   }
 
-  packet_fault tellSilence(const endpoint &Silent, const endpoint &From,
-                           service_id Service = service_id(1)) {
+  packet_fault sendSilenceNotice(const endpoint &Silent, const endpoint &From,
+                                 service_id Service = service_id(1)) {
     byte_string Notice(UnresponsiveNoticeBytes);
     encodeUnresponsiveNotice({Service, Silent}, Notice);
     return Core.onDatagram(From, Notice, Now);
   }
 
-  packet_fault name(const flow_key &Flow, const endpoint &Owner,
-                    const endpoint &From, service_id Service = service_id(1)) {
+  packet_fault sendOwnerNotice(const flow_key &Flow, const endpoint &Owner,
+                               const endpoint &From,
+                               service_id Service = service_id(1)) {
     byte_string Notice(OwnerNoticeBytes);
     encodeOwnerNotice({Service, 1, Flow, Owner}, Notice);
     return Core.onDatagram(From, Notice, Now);
