--- a/standins/fabric/control_message.cpp
+++ b/standins/fabric/control_message.cpp
@@ -6,33 +6,34 @@
 
 using json = nlohmann::json;
 
-static constexpr double MostPercent = 100;
-static constexpr double MostMilliseconds = 60000;
+static constexpr double MaxPercent = 100;
+static constexpr double MaxMilliseconds = 60000;
 
-static boost::leaf::error_id refuse(const std::string &Field,
-                                    const std::string &Reason) {
+static boost::leaf::error_id invalidField(const std::string &Field,
+                                          const std::string &Reason) {
   return fail(step::DecodeMessage, Field, Reason);
 }
 
 static result<endpoint> endpointOf(const std::string &Field,
                                    const json &Value) {
   if (!Value.is_string())
-    return refuse(Field, "expected \"ADDRESS:PORT\"");
+    return invalidField(Field, "expected \"ADDRESS:PORT\"");
   return parseEndpoint(Value.get<std::string>());
 }
 
 static result<double> numberOf(const std::string &Field, const json &Value,
-                               double Most) {
+                               double Max) {
   if (!Value.is_number() || Value.get<double>() < 0 ||
-      Value.get<double>() > Most)
-    return refuse(Field, "expected a number from 0 to " + std::to_string(Most));
+      Value.get<double>() > Max)
+    return invalidField(Field,
+                        "expected a number from 0 to " + std::to_string(Max));
   return Value.get<double>();
 }
 
 static result<std::vector<endpoint>> endpointsOf(const std::string &Field,
                                                  const json &Value) {
   if (!Value.is_array())
-    return refuse(Field, "expected a list");
+    return invalidField(Field, "expected a list");
   std::vector<endpoint> List;
   for (const json &Item : Value) {
     BOOST_LEAF_AUTO(Endpoint, endpointOf(Field, Item));
@@ -46,12 +47,12 @@
   if (!Value.is_object()) {
     BOOST_LEAF_AUTO(List, endpointsOf("cut", Value));
     for (const endpoint &Endpoint : List)
-      Cuts.push_back({Endpoint, MostPercent});
+      Cuts.push_back({Endpoint, MaxPercent});
     return Cuts;
   }
   for (const auto &[Name, Percent] : Value.items()) {
     BOOST_LEAF_AUTO(Endpoint, parseEndpoint(Name));
-    BOOST_LEAF_AUTO(Share, numberOf("cut", Percent, MostPercent));
+    BOOST_LEAF_AUTO(Share, numberOf("cut", Percent, MaxPercent));
     Cuts.push_back({Endpoint, Share});
   }
   return Cuts;
@@ -63,7 +64,7 @@
 
 namespace {
 
-struct wanted_change {
+struct requested_change {
   std::vector<endpoint> Balancers;
   fabric_faults Faults;
 };
@@ -71,28 +72,27 @@
 } // namespace
 
 static result<void> readField(const std::string &Name, const json &Value,
-                              wanted_change &Wanted) {
-  fabric_faults &Faults = Wanted.Faults;
+                              requested_change &Requested) {
+  fabric_faults &Faults = Requested.Faults;
   if (Name == "balancers") {
-    BOOST_LEAF_ASSIGN(Wanted.Balancers, endpointsOf(Name, Value));
+    BOOST_LEAF_ASSIGN(Requested.Balancers, endpointsOf(Name, Value));
   } else if (Name == "cut") {
     BOOST_LEAF_ASSIGN(Faults.Cuts, cutsOf(Value));
   } else if (Name == "drop_percent") {
-    BOOST_LEAF_ASSIGN(Faults.DropPercent, numberOf(Name, Value, MostPercent));
+    BOOST_LEAF_ASSIGN(Faults.DropPercent, numberOf(Name, Value, MaxPercent));
   } else if (Name == "duplicate_percent") {
     BOOST_LEAF_ASSIGN(Faults.DuplicatePercent,
-                      numberOf(Name, Value, MostPercent));
+                      numberOf(Name, Value, MaxPercent));
   } else if (Name == "reorder_percent") {
-    BOOST_LEAF_ASSIGN(Faults.ReorderPercent,
-                      numberOf(Name, Value, MostPercent));
+    BOOST_LEAF_ASSIGN(Faults.ReorderPercent, numberOf(Name, Value, MaxPercent));
   } else if (Name == "delay_ms") {
-    BOOST_LEAF_AUTO(Count, numberOf(Name, Value, MostMilliseconds));
+    BOOST_LEAF_AUTO(Count, numberOf(Name, Value, MaxMilliseconds));
     Faults.Delay = milliseconds(Count);
   } else if (Name == "jitter_ms") {
-    BOOST_LEAF_AUTO(Count, numberOf(Name, Value, MostMilliseconds));
+    BOOST_LEAF_AUTO(Count, numberOf(Name, Value, MaxMilliseconds));
     Faults.Jitter = milliseconds(Count);
   } else {
-    return refuse(Name, "is no field of a control message");
+    return invalidField(Name, "is no field of a control message");
   }
   return {};
 }
@@ -100,13 +100,13 @@
 static result<void> apply(fabric_model &Model, std::string_view Text) {
   const json Message = json::parse(Text, nullptr, /*allow_exceptions=*/false);
   if (!Message.is_object())
-    return refuse("message", "expected a JSON object");
-  wanted_change Wanted{Model.balancers(), Model.faults()};
+    return invalidField("message", "expected a JSON object");
+  requested_change Requested{Model.balancers(), Model.faults()};
   for (const auto &[Name, Value] : Message.items())
-    if (auto Read = readField(Name, Value, Wanted); !Read)
+    if (auto Read = readField(Name, Value, Requested); !Read)
       return Read.error();
-  Model.setBalancers(std::move(Wanted.Balancers));
-  Model.faults() = std::move(Wanted.Faults);
+  Model.setBalancers(std::move(Requested.Balancers));
+  Model.faults() = std::move(Requested.Faults);
   return {};
 }
 
--- a/standins/fabric/fabric_model.cpp
+++ b/standins/fabric/fabric_model.cpp
@@ -13,7 +13,7 @@
   return std::uniform_real_distribution<double>(0, 100)(Random) < Percent;
 }
 
-bool fabric_model::isCut(const endpoint &Endpoint) {
+bool fabric_model::isDroppedByCut(const endpoint &Endpoint) {
   const auto Found = std::find_if(
       Faults.Cuts.begin(), Faults.Cuts.end(),
       [&](const fabric_cut &Cut) { return Cut.Endpoint == Endpoint; });
@@ -28,18 +28,18 @@
   ++Counters.FromCallers;
   tcp_packet Packet;
   if (parseTcpPacket(Bytes, Packet) != packet_fault::None) {
-    ++Counters.Unreadable;
+    ++Counters.Malformed;
     return;
   }
-  CallerBehind[Packet.Flow.Caller.Address] = From;
+  ReturnEndpoints[Packet.Flow.Caller.Address] = From;
   if (Balancers.empty()) {
     ++Counters.NoBalancer;
     return;
   }
   std::uniform_int_distribution<std::size_t> Pick(0, Balancers.size() - 1);
   const endpoint To = Balancers[Pick(Random)];
-  if (!isCut(To))
-    carry(fabric_side::Balancers, {From, To}, Bytes, Now);
+  if (!isDroppedByCut(To))
+    transmit(fabric_side::Balancers, {From, To}, Bytes, Now);
 }
 
 void fabric_model::fromAgent(const endpoint &From, bytes_view Bytes,
@@ -47,32 +47,32 @@
   ++Counters.FromAgents;
   tcp_packet Packet;
   if (parseAnswer(Bytes, Packet) != packet_fault::None) {
-    ++Counters.Unreadable;
+    ++Counters.Malformed;
     return;
   }
-  const auto Behind = CallerBehind.find(Packet.Flow.Caller.Address);
-  if (Behind == CallerBehind.end()) {
+  const auto ReturnEndpoint = ReturnEndpoints.find(Packet.Flow.Caller.Address);
+  if (ReturnEndpoint == ReturnEndpoints.end()) {
     ++Counters.UnknownCaller;
     return;
   }
-  if (!isCut(From))
-    carry(fabric_side::Callers, {From, Behind->second}, Bytes, Now);
+  if (!isDroppedByCut(From))
+    transmit(fabric_side::Callers, {From, ReturnEndpoint->second}, Bytes, Now);
 }
 
-void fabric_model::carry(fabric_side Side, const link &Link, bytes_view Bytes,
-                         instant Now) {
+void fabric_model::transmit(fabric_side Side, const link &Link,
+                            bytes_view Bytes, instant Now) {
   if (chance(Faults.DropPercent)) {
     ++Counters.Dropped;
     return;
   }
-  carryOnce(Side, Link, Bytes, Now);
+  transmitOnce(Side, Link, Bytes, Now);
   if (!chance(Faults.DuplicatePercent))
     return;
   ++Counters.Duplicated;
-  carryOnce(Side, Link, Bytes, Now);
+  transmitOnce(Side, Link, Bytes, Now);
 }
 
-instant fabric_model::dueOn(const link &Link, instant Now) {
+instant fabric_model::dueTimeOn(const link &Link, instant Now) {
   duration Delay = Faults.Delay;
   if (Faults.Jitter > duration(0))
     Delay += duration(std::uniform_int_distribution<duration::rep>(
@@ -84,9 +84,9 @@
   return Last;
 }
 
-void fabric_model::carryOnce(fabric_side Side, const link &Link,
-                             bytes_view Bytes, instant Now) {
-  const instant Due = dueOn(Link, Now);
+void fabric_model::transmitOnce(fabric_side Side, const link &Link,
+                                bytes_view Bytes, instant Now) {
+  const instant Due = dueTimeOn(Link, Now);
   if (Due > Now) {
     Queue.add(Due, Side, Link.To, Bytes);
     return;
--- a/standins/fabric/fabric_model.h
+++ b/standins/fabric/fabric_model.h
@@ -47,7 +47,7 @@
   std::uint64_t Cut = 0;
   std::uint64_t Duplicated = 0;
   /// Not an IPv4/TCP packet.
-  std::uint64_t Unreadable = 0;
+  std::uint64_t Malformed = 0;
   /// An answer to an address that no caller has sent from.
   std::uint64_t UnknownCaller = 0;
   std::uint64_t NoBalancer = 0;
@@ -84,18 +84,19 @@
   };
 
   bool chance(double Percent);
-  bool isCut(const endpoint &Endpoint);
-  void carry(fabric_side Side, const link &Link, bytes_view Bytes, instant Now);
-  void carryOnce(fabric_side Side, const link &Link, bytes_view Bytes,
-                 instant Now);
-  instant dueOn(const link &Link, instant Now);
+  bool isDroppedByCut(const endpoint &Endpoint);
+  void transmit(fabric_side Side, const link &Link, bytes_view Bytes,
+                instant Now);
+  void transmitOnce(fabric_side Side, const link &Link, bytes_view Bytes,
+                    instant Now);
+  instant dueTimeOn(const link &Link, instant Now);
 
   std::mt19937_64 Random;
   send_hook Send;
   std::vector<endpoint> Balancers;
   fabric_faults Faults;
   /// By the callers' own addresses.
-  std::unordered_map<std::uint32_t, endpoint> CallerBehind;
+  std::unordered_map<std::uint32_t, endpoint> ReturnEndpoints;
   delay_queue Queue;
   /// When the last packet of each link is due.
   std::map<link, instant> LastDue;
--- a/standins/fabric/main.cpp
+++ b/standins/fabric/main.cpp
@@ -67,7 +67,7 @@
         Status(Loop, Metrics, {}) {
     Model.setBalancers(Settings.Balancers);
     Model.faults() = Settings.Faults;
-    showCounters();
+    exportCounters();
   }
 
   result<void> open() {
@@ -81,13 +81,13 @@
   }
 
 private:
-  using take_packet = void (fabric_model::*)(const endpoint &, bytes_view,
-                                             instant);
+  using packet_handler = void (fabric_model::*)(const endpoint &, bytes_view,
+                                                instant);
 
-  void receive(std::span<const datagram> Batch, take_packet Take) {
+  void receive(std::span<const datagram> Batch, packet_handler Handler) {
     const instant Now = Loop.timers().now();
     for (const datagram &Datagram : Batch)
-      (Model.*Take)(Datagram.From, Datagram.Bytes, Now);
+      (Model.*Handler)(Datagram.From, Datagram.Bytes, Now);
     arm();
   }
 
@@ -97,8 +97,8 @@
     const auto Due = Model.nextDue();
     if (Armed || !Due)
       return;
-    constexpr duration LeastPeriod = std::chrono::microseconds(200);
-    const duration Delay = std::max(LeastPeriod, *Due - Loop.timers().now());
+    constexpr duration MinPeriod = std::chrono::microseconds(200);
+    const duration Delay = std::max(MinPeriod, *Due - Loop.timers().now());
     Armed = true;
     Loop.timers().after(Delay, [this] {
       Armed = false;
@@ -118,20 +118,20 @@
     }
   }
 
-  void showCounters() {
+  void exportCounters() {
     const fabric_counters &Counters = Model.counters();
-    const auto Show = [this](const char *Name, const std::uint64_t &Value) {
+    const auto Export = [this](const char *Name, const std::uint64_t &Value) {
       Metrics.gauge(Name, [&Value] { return static_cast<double>(Value); });
     };
-    Show("fabric_from_callers", Counters.FromCallers);
-    Show("fabric_from_agents", Counters.FromAgents);
-    Show("fabric_delivered", Counters.Delivered);
-    Show("fabric_dropped", Counters.Dropped);
-    Show("fabric_cut", Counters.Cut);
-    Show("fabric_duplicated", Counters.Duplicated);
-    Show("fabric_unreadable", Counters.Unreadable);
-    Show("fabric_unknown_caller", Counters.UnknownCaller);
-    Show("fabric_no_balancer", Counters.NoBalancer);
+    Export("fabric_from_callers", Counters.FromCallers);
+    Export("fabric_from_agents", Counters.FromAgents);
+    Export("fabric_delivered", Counters.Delivered);
+    Export("fabric_dropped", Counters.Dropped);
+    Export("fabric_cut", Counters.Cut);
+    Export("fabric_duplicated", Counters.Duplicated);
+    Export("fabric_unreadable", Counters.Malformed);
+    Export("fabric_unknown_caller", Counters.UnknownCaller);
+    Export("fabric_no_balancer", Counters.NoBalancer);
   }
 
   event_loop &Loop;
--- a/standins/load/attempt_log.cpp
+++ b/standins/load/attempt_log.cpp
@@ -33,14 +33,14 @@
 
 void attempt_log::flow(const std::string &Service, flow_event Event,
                        const std::string &Flow, const std::string &Host,
-                       const std::string &Why, instant Now) {
+                       const std::string &Reason, instant Now) {
   const json Line = {
       {"line", "flow"},
       {"service", Service},
       {"event", nameOf(FlowEventNames, Event)},
       {"flow", Flow},
       {"host", Host},
-      {"why", Why},
+      {"why", Reason},
       {"at_us", microseconds(Now)},
   };
   Out << Line.dump() << '\n';
@@ -50,7 +50,7 @@
   const json Line = {
       {"line", "fault"},
       {"action", nameOf(FaultActionNames, Fault.Action)},
-      {"who", Fault.Who},
+      {"who", Fault.Subject},
       {"argument", Fault.Argument},
       {"at_us", microseconds(Now)},
   };
--- a/standins/load/attempt_log.h
+++ b/standins/load/attempt_log.h
@@ -16,14 +16,14 @@
 
 namespace marjoramrail::standins {
 
-enum class flow_event { Opened, Failed, Moved, Broken, Living };
+enum class flow_event { Opened, Failed, Moved, Broken, OpenAtEnd };
 
 inline constexpr name_table<flow_event, 5> FlowEventNames = {{
     {flow_event::Opened, "opened"},
     {flow_event::Failed, "failed"},
     {flow_event::Moved, "moved"},
     {flow_event::Broken, "broken"},
-    {flow_event::Living, "living"},
+    {flow_event::OpenAtEnd, "living"},
 }};
 
 class attempt_log {
@@ -34,7 +34,7 @@
                     const attempt_end &End, instant Sent, instant Now);
   void flow(const std::string &Service, flow_event Event,
             const std::string &Flow, const std::string &Host,
-            const std::string &Why, instant Now);
+            const std::string &Reason, instant Now);
   void fault(const planned_fault &Fault, instant Now);
   void flush() { Out.flush(); }
 
--- a/standins/load/audit.cpp
+++ b/standins/load/audit.cpp
@@ -41,12 +41,12 @@
           number(Line, "work_us"), number(Line, "at_us")};
 }
 
-void evidence::read(std::istream &In) {
+void audit_input::read(std::istream &In) {
   std::string Text;
   while (std::getline(In, Text)) {
     const json Line = json::parse(Text, nullptr, false);
     if (!Line.is_object()) {
-      ++Unreadable;
+      ++MalformedLines;
       continue;
     }
     const std::string Kind = text(Line, "line");
@@ -66,9 +66,9 @@
   return Request.substr(0, Request.find('/'));
 }
 
-static void countOutcomes(const evidence &Evidence, audit_result &Result) {
+static void countOutcomes(const audit_input &Input, audit_result &Result) {
   std::map<std::string, std::string> Last;
-  for (const attempt_line &Attempt : Evidence.Attempts) {
+  for (const attempt_line &Attempt : Input.Attempts) {
     std::string &Outcome = Last[baseOf(Attempt.Request)];
     if (Outcome != "ok")
       Outcome = Attempt.Outcome;
@@ -83,9 +83,9 @@
   }
 }
 
-static void countFlows(const evidence &Evidence, const audit_settings &Settings,
+static void countFlows(const audit_input &Input, const audit_settings &Settings,
                        audit_result &Result) {
-  for (const flow_line &Flow : Evidence.Flows) {
+  for (const flow_line &Flow : Input.Flows) {
     if (Flow.Event == "moved")
       ++Result.MovedFlows;
     if (Flow.Event != "broken")
@@ -96,21 +96,21 @@
   }
 }
 
-static void countRuns(const evidence &Evidence, audit_result &Result) {
+static void countRuns(const audit_input &Input, audit_result &Result) {
   std::set<std::string> Begun;
   std::map<std::string, std::uint64_t> BegunByKey;
-  for (const run_line &Run : Evidence.Runs) {
+  for (const run_line &Run : Input.Runs) {
     if (Run.Event != "begin")
       continue;
     Begun.insert(Run.Request);
-    if (Run.Meant != Run.Service)
+    if (Run.IntendedService != Run.Service)
       ++Result.Misrouted;
     if (!Run.Key.empty())
       ++BegunByKey[Run.Key];
   }
   for (const auto &[Key, Count] : BegunByKey)
     Result.RanTwice += Count > 1 ? 1 : 0;
-  for (const attempt_line &Attempt : Evidence.Attempts)
+  for (const attempt_line &Attempt : Input.Attempts)
     if (Attempt.Outcome == "refused" && Begun.count(Attempt.Request) != 0)
       ++Result.RefusedButRan;
 }
@@ -118,23 +118,23 @@
 /// The shares of one service's hosts, added up by name.
 using shares_by_host = std::map<std::string, std::map<std::string, host_share>>;
 
-static shares_by_host addShares(const evidence &Evidence) {
+static shares_by_host addShares(const audit_input &Input) {
   constexpr double MicrosecondsPerSecond = 1e6;
   shares_by_host Shares;
-  for (const run_line &Run : Evidence.Runs)
+  for (const run_line &Run : Input.Runs)
     if (Run.Event == "end")
       Shares[Run.Service][Run.Host].Work +=
           static_cast<double>(Run.WorkUs) / MicrosecondsPerSecond;
-  for (const flow_line &Flow : Evidence.Flows)
+  for (const flow_line &Flow : Input.Flows)
     if (Flow.Event == "living" && !Flow.Host.empty())
       Shares[Flow.Service][Flow.Host].Flows += 1;
   return Shares;
 }
 
-static void measureBalance(const evidence &Evidence,
+static void measureBalance(const audit_input &Input,
                            const audit_settings &Settings,
                            audit_result &Result) {
-  for (auto &[Service, Hosts] : addShares(Evidence)) {
+  for (auto &[Service, Hosts] : addShares(Input)) {
     service_shares &Shares = Result.Services[Service];
     Shares.Service = Service;
     for (auto &[Host, Share] : Hosts) {
@@ -147,12 +147,12 @@
   }
 }
 
-audit_result audit(const evidence &Evidence, const audit_settings &Settings) {
+audit_result audit(const audit_input &Input, const audit_settings &Settings) {
   audit_result Result;
-  countOutcomes(Evidence, Result);
-  countFlows(Evidence, Settings, Result);
-  countRuns(Evidence, Result);
-  measureBalance(Evidence, Settings, Result);
+  countOutcomes(Input, Result);
+  countFlows(Input, Settings, Result);
+  countRuns(Input, Result);
+  measureBalance(Input, Settings, Result);
   return Result;
 }
 
@@ -163,13 +163,13 @@
   return Worst;
 }
 
-bool audit_result::keptApartFromFlows() const {
+bool audit_result::passedIgnoringBrokenFlows() const {
   return Requests > 0 && Misrouted == 0 && RanTwice == 0 &&
          RefusedButRan == 0 && Wrong == 0;
 }
 
-bool audit_result::kept() const {
-  return keptApartFromFlows() && BrokenFlows == AllowedBroken;
+bool audit_result::passed() const {
+  return passedIgnoringBrokenFlows() && BrokenFlows == AllowedBroken;
 }
 
 std::string summaryLine(const audit_result &Result) {
--- a/standins/load/audit.h
+++ b/standins/load/audit.h
@@ -37,13 +37,13 @@
   std::string Event;
   std::string Flow;
   std::string Host;
-  std::string Why;
+  std::string Reason;
   std::int64_t AtUs = 0;
 };
 
 struct fault_line {
   std::string Action;
-  std::string Who;
+  std::string Subject;
   std::string Argument;
   std::int64_t AtUs = 0;
 };
@@ -53,14 +53,14 @@
   std::string Event;
   std::string Host;
   std::string Service;
-  std::string Meant;
+  std::string IntendedService;
   std::string Request;
   std::string Key;
   std::int64_t WorkUs = 0;
   std::int64_t AtUs = 0;
 };
 
-struct evidence {
+struct audit_input {
   std::vector<attempt_line> Attempts;
   std::vector<flow_line> Flows;
   std::vector<fault_line> Faults;
@@ -69,7 +69,7 @@
   /// Adds the lines of a caller's log or a target's record; a line cut short
   /// by a kill is counted and left out.
   void read(std::istream &In);
-  std::uint64_t Unreadable = 0;
+  std::uint64_t MalformedLines = 0;
 };
 
 struct audit_settings {
@@ -98,13 +98,13 @@
 
   double worstImbalance() const;
   /// No promise broke.
-  bool kept() const;
+  bool passed() const;
   /// The same, but for broken flows: a starved machine can pause a process for
   /// longer than its peers wait for it, so they decide no test's verdict.
-  bool keptApartFromFlows() const;
+  bool passedIgnoringBrokenFlows() const;
 };
 
-audit_result audit(const evidence &Evidence, const audit_settings &Settings);
+audit_result audit(const audit_input &Input, const audit_settings &Settings);
 
 /// The line that scripts read.
 std::string summaryLine(const audit_result &Result);
--- a/standins/load/audit_report.cpp
+++ b/standins/load/audit_report.cpp
@@ -6,11 +6,11 @@
   return instant(duration(Microseconds));
 }
 
-static instant startOf(const evidence &Evidence) {
+static instant startOf(const audit_input &Input) {
   std::int64_t First = INT64_MAX;
-  for (const flow_line &Flow : Evidence.Flows)
+  for (const flow_line &Flow : Input.Flows)
     First = std::min(First, Flow.AtUs);
-  for (const attempt_line &Attempt : Evidence.Attempts)
+  for (const attempt_line &Attempt : Input.Attempts)
     First = std::min(First, Attempt.SentUs);
   return at(First == INT64_MAX ? 0 : First);
 }
@@ -43,20 +43,20 @@
   };
 }
 
-experiment_report reportOf(const std::string &Title, const evidence &Evidence,
+experiment_report reportOf(const std::string &Title, const audit_input &Input,
                            const audit_result &Result) {
-  report_builder Builder(Title, startOf(Evidence));
-  for (const attempt_line &Line : Evidence.Attempts)
+  report_builder Builder(Title, startOf(Input));
+  for (const attempt_line &Line : Input.Attempts)
     Builder.attempt(toReport(Line));
-  for (const fault_line &Fault : Evidence.Faults)
+  for (const fault_line &Fault : Input.Faults)
     Builder.mark(at(Fault.AtUs),
-                 Fault.Action + " " + Fault.Who + Fault.Argument);
+                 Fault.Action + " " + Fault.Subject + Fault.Argument);
   experiment_report Report = Builder.finish();
   Report.Promises = promisesOf(Result);
   Report.Flows.Moved = Result.MovedFlows;
   Report.Flows.Broken = Result.BrokenFlows;
   Report.Flows.AllowedBroken = Result.AllowedBroken;
-  for (const flow_line &Flow : Evidence.Flows)
+  for (const flow_line &Flow : Input.Flows)
     Report.Flows.Opened += Flow.Event == "opened" ? 1 : 0;
   for (const auto &[Name, Shares] : Result.Services)
     Report.Services.push_back(Shares);
--- a/standins/load/audit_report.h
+++ b/standins/load/audit_report.h
@@ -12,7 +12,7 @@
 
 namespace marjoramrail::standins {
 
-experiment_report reportOf(const std::string &Title, const evidence &Evidence,
+experiment_report reportOf(const std::string &Title, const audit_input &Input,
                            const audit_result &Result);
 
 } // namespace marjoramrail::standins
--- a/standins/load/caller_flow.cpp
+++ b/standins/load/caller_flow.cpp
@@ -10,7 +10,7 @@
 
 /// Past its deadline a caller waits this much longer for the answer that is on
 /// its way, then gives the request up.
-static constexpr duration AnswerSlack = milliseconds(1000);
+static constexpr duration ResponseGracePeriod = milliseconds(1000);
 
 caller_flow::caller_flow(timer_service &Timers, std::string Service,
                          hooks Hooks)
@@ -32,14 +32,15 @@
   Streaming.OnData = [this](std::string_view Bytes) {
     Flow->consumed(Bytes.size());
     if (!Session->input(Bytes))
-      gone(flow_fate::Broken, "broken protocol");
+      endFlow(flow_outcome::Broken, "broken protocol");
   };
   Streaming.OnEnd = [this] {
-    gone(Leaving ? flow_fate::Moved : flow_fate::Broken, "ended by the peer");
+    endFlow(GoingAway ? flow_outcome::Moved : flow_outcome::Broken,
+            "ended by the peer");
   };
   Streaming.OnWritable = [this] { pump(); };
   Streaming.OnClosed = [this](flow_end End) {
-    gone(flow_fate::Broken, std::string(nameOf(FlowEndNames, End)));
+    endFlow(flow_outcome::Broken, std::string(nameOf(FlowEndNames, End)));
   };
   BOOST_LEAF_AUTO(Opened, Stack.connect(Local, Remote, std::move(Streaming)));
   Flow = std::move(Opened);
@@ -62,8 +63,8 @@
     onClose(Stream, Code);
   };
   Sessions.OnGoAway = [this](h2_stream, h2_error) {
-    Leaving = true;
-    leaveIfIdle();
+    GoingAway = true;
+    closeIfIdle();
   };
   Session = std::make_unique<h2_session>(h2_role::Client, h2_settings(),
                                          std::move(Sessions));
@@ -72,19 +73,19 @@
 }
 
 void caller_flow::pump() {
-  if (Gone || Outgoing.empty())
+  if (Ended || Outgoing.empty())
     return;
   const std::size_t Taken = Flow->write(Outgoing);
   Outgoing.erase(0, Taken);
 }
 
-void caller_flow::keepStream(std::uint32_t IntervalMs) {
+void caller_flow::enableLongStream(std::uint32_t IntervalMs) {
   StreamIntervalMs = IntervalMs;
   startStream();
 }
 
 void caller_flow::startStream() {
-  if (StreamIntervalMs == 0 || LongStream > 0 || !Session || Leaving)
+  if (StreamIntervalMs == 0 || LongStream > 0 || !Session || GoingAway)
     return;
   attempt Stream;
   Stream.Path = "/stream";
@@ -119,12 +120,14 @@
         Attempt, {attempt_outcome::Refused, "goaway", "", duration::zero()});
   pending &Item = Pending[Stream];
   Item.Attempt = std::move(Attempt);
-  const duration Patience = milliseconds(Item.Attempt.DeadlineMs) + AnswerSlack;
-  Item.Timeout = Timers.after(Patience, [this, Stream] { giveUp(Stream); });
+  const duration ResponseTimeout =
+      milliseconds(Item.Attempt.DeadlineMs) + ResponseGracePeriod;
+  Item.Timeout =
+      Timers.after(ResponseTimeout, [this, Stream] { cancelRequest(Stream); });
   Session->flush();
 }
 
-void caller_flow::giveUp(h2_stream Stream) {
+void caller_flow::cancelRequest(h2_stream Stream) {
   // OnClose tells the outcome: no answer, so unknown.
   Session->reset(Stream, h2_error::Cancel);
   Session->flush();
@@ -164,7 +167,7 @@
 void caller_flow::onClose(h2_stream Stream, h2_error Code) {
   if (Stream == LongStream) {
     LongStream = 0;
-    if (!Leaving && !Gone)
+    if (!GoingAway && !Ended)
       Timers.after(milliseconds(100), [this, Weak = std::weak_ptr(Alive)] {
         if (Weak.lock())
           startStream();
@@ -177,12 +180,12 @@
   const pending Item = std::move(Found->second);
   Pending.erase(Found);
   Timers.cancel(Item.Timeout);
-  Hooks.OnEnd(Item.Attempt, judge(Item, Code));
-  leaveIfIdle();
+  Hooks.OnEnd(Item.Attempt, classifyResponse(Item, Code));
+  closeIfIdle();
 }
 
 /// The "run" member of a refusal's body, or "".
-static std::string runOf(const std::string &Body) {
+static std::string runFieldOf(const std::string &Body) {
   const auto Json = nlohmann::json::parse(Body, nullptr, false);
   return Json.is_object() ? Json.value("run", "") : "";
 }
@@ -194,7 +197,7 @@
       std::chrono::duration<double>(Seconds));
 }
 
-static bool isOwnAnswer(const attempt &Attempt, const std::string &Body) {
+static bool isMatchingAnswer(const attempt &Attempt, const std::string &Body) {
   if (Attempt.DocumentBytes > 0)
     return Body.size() == Attempt.DocumentBytes;
   const auto Json = nlohmann::json::parse(Body, nullptr, false);
@@ -205,7 +208,8 @@
   return Json.value("request", "").starts_with(Base + "/");
 }
 
-attempt_end caller_flow::judge(const pending &Item, h2_error Code) const {
+attempt_end caller_flow::classifyResponse(const pending &Item,
+                                          h2_error Code) const {
   attempt_end End;
   End.Status = Item.Status;
   End.Host = Item.Host;
@@ -217,32 +221,33 @@
   if (Code != h2_error::NoError || Item.Status.empty())
     return End;
   if (Item.Status == "200")
-    End.Outcome = isOwnAnswer(Item.Attempt, Item.Body) ? attempt_outcome::Ok
-                                                       : attempt_outcome::Wrong;
-  else if (runOf(Item.Body) == "no")
+    End.Outcome = isMatchingAnswer(Item.Attempt, Item.Body)
+                      ? attempt_outcome::Ok
+                      : attempt_outcome::Wrong;
+  else if (runFieldOf(Item.Body) == "no")
     End.Outcome = attempt_outcome::Refused;
   return End;
 }
 
-void caller_flow::leaveIfIdle() {
-  if (!Leaving || Gone || !Pending.empty())
+void caller_flow::closeIfIdle() {
+  if (!GoingAway || Ended || !Pending.empty())
     return;
   // A caller that was asked to leave ends its long stream itself; nothing of
   // it is lost, since it starts again on the next flow.
-  gone(flow_fate::Moved, "told to leave");
+  endFlow(flow_outcome::Moved, "told to leave");
 }
 
-void caller_flow::gone(flow_fate Fate, const std::string &Why) {
-  if (std::exchange(Gone, true))
+void caller_flow::endFlow(flow_outcome FlowOutcome, const std::string &Reason) {
+  if (std::exchange(Ended, true))
     return;
   Open = false;
   for (auto &[Stream, Item] : std::exchange(Pending, {})) {
     Timers.cancel(Item.Timeout);
     Hooks.OnEnd(Item.Attempt, attempt_end());
   }
-  if (Flow && Fate == flow_fate::Moved)
+  if (Flow && FlowOutcome == flow_outcome::Moved)
     Flow->close();
-  Hooks.OnGone(Fate, Why);
+  Hooks.OnFlowEnded(FlowOutcome, Reason);
 }
 
 } // namespace marjoramrail::standins
--- a/standins/load/caller_flow.h
+++ b/standins/load/caller_flow.h
@@ -40,7 +40,7 @@
   duration RetryAfter = duration::zero();
 };
 
-enum class flow_fate {
+enum class flow_outcome {
   /// Told GOAWAY and moved, after its requests had ended.
   Moved,
   /// Reset or silent while the caller still wanted it.
@@ -52,7 +52,7 @@
   struct hooks {
     std::function<void()> OnOpen;
     std::function<void(const attempt &, const attempt_end &)> OnEnd;
-    std::function<void(flow_fate, const std::string &Why)> OnGone;
+    std::function<void(flow_outcome, const std::string &Reason)> OnFlowEnded;
   };
 
   caller_flow(timer_service &Timers, std::string Service, hooks Hooks);
@@ -62,9 +62,9 @@
                     const endpoint &Service);
 
   /// Starts the long stream once the flow is open.
-  void keepStream(std::uint32_t IntervalMs);
+  void enableLongStream(std::uint32_t IntervalMs);
 
-  bool usable() const { return Open && !Leaving && !Gone; }
+  bool usable() const { return Open && !GoingAway && !Ended; }
   void send(attempt Attempt);
 
   /// The host whose agent owns the flow, once an answer has come.
@@ -87,10 +87,10 @@
   void onHead(h2_stream Stream, const h2_head &Head);
   void onData(h2_stream Stream, std::string_view Data);
   void onClose(h2_stream Stream, h2_error Code);
-  attempt_end judge(const pending &Pending, h2_error Code) const;
-  void giveUp(h2_stream Stream);
-  void leaveIfIdle();
-  void gone(flow_fate Fate, const std::string &Why);
+  attempt_end classifyResponse(const pending &Pending, h2_error Code) const;
+  void cancelRequest(h2_stream Stream);
+  void closeIfIdle();
+  void endFlow(flow_outcome FlowOutcome, const std::string &Reason);
   void pump();
 
   timer_service &Timers;
@@ -107,8 +107,8 @@
   /// Lets a timer find out that the flow is no more.
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
   bool Open = false;
-  bool Leaving = false;
-  bool Gone = false;
+  bool GoingAway = false;
+  bool Ended = false;
 };
 
 } // namespace marjoramrail::standins
--- a/standins/load/fault_driver.cpp
+++ b/standins/load/fault_driver.cpp
@@ -17,27 +17,27 @@
 
 void fault_driver::start() {
   for (const planned_fault &Fault : Settings.Faults)
-    Loop.timers().after(Fault.At, [this, &Fault] { carryOut(Fault); });
+    Loop.timers().after(Fault.At, [this, &Fault] { execute(Fault); });
 }
 
-void fault_driver::carryOut(const planned_fault &Fault) {
+void fault_driver::execute(const planned_fault &Fault) {
   LOG(INFO) << "load: fault " << nameOf(FaultActionNames, Fault.Action) << " "
-            << Fault.Who << Fault.Argument;
+            << Fault.Subject << Fault.Argument;
   switch (Fault.Action) {
   case fault_action::Kill:
-    signalProcess(Fault.Who, SIGKILL);
+    signalProcess(Fault.Subject, SIGKILL);
     break;
   case fault_action::Freeze:
-    signalProcess(Fault.Who, SIGSTOP);
+    signalProcess(Fault.Subject, SIGSTOP);
     break;
   case fault_action::Thaw:
-    signalProcess(Fault.Who, SIGCONT);
+    signalProcess(Fault.Subject, SIGCONT);
     break;
   case fault_action::Start:
-    askScript("start " + Fault.Who);
+    requestFromScript("start " + Fault.Subject);
     break;
   case fault_action::Step:
-    askScript("step " + Fault.Who);
+    requestFromScript("step " + Fault.Subject);
     break;
   case fault_action::Fabric:
     ToFabric.send(
@@ -46,7 +46,7 @@
          Fault.Argument.size()});
     break;
   case fault_action::Platform:
-    putFaults(Fault.Argument);
+    putPlatformFaults(Fault.Argument);
     break;
   }
   OnDone(Fault);
@@ -59,11 +59,11 @@
     LOG(ERROR) << "load: no process " << Name << " to signal";
 }
 
-void fault_driver::askScript(const std::string &What) {
-  std::ofstream(Settings.Folder + "/asked", std::ios::app) << What << "\n";
+void fault_driver::requestFromScript(const std::string &Command) {
+  std::ofstream(Settings.Folder + "/asked", std::ios::app) << Command << "\n";
 }
 
-void fault_driver::putFaults(const std::string &Json) {
+void fault_driver::putPlatformFaults(const std::string &Json) {
   ToPlatform.emplace_back();
   std::unique_ptr<tcp_stream> &Peer = ToPlatform.back();
   tcp_stream::hooks Hooks;
--- a/standins/load/fault_driver.h
+++ b/standins/load/fault_driver.h
@@ -29,10 +29,10 @@
   void start();
 
 private:
-  void carryOut(const planned_fault &Fault);
+  void execute(const planned_fault &Fault);
   void signalProcess(const std::string &Name, int Signal);
-  void askScript(const std::string &What);
-  void putFaults(const std::string &Json);
+  void requestFromScript(const std::string &Command);
+  void putPlatformFaults(const std::string &Json);
 
   event_loop &Loop;
   const load_settings &Settings;
--- a/standins/load/load_run.cpp
+++ b/standins/load/load_run.cpp
@@ -48,15 +48,15 @@
   if (Ending)
     return;
   for (group &Group : Groups) {
-    openSome(Group);
+    openDueFlows(Group);
     if (Sending)
-      sendSome(Group);
+      sendDueRequests(Group);
   }
   if (!Sending && allOpened()) {
     Sending = true;
     LOG(INFO) << "load: all flows are open";
     OnSending();
-    Loop.timers().after(Settings.Length, [this] {
+    Loop.timers().after(Settings.SendDuration, [this] {
       Ending = true;
       Loop.timers().after(Settings.Grace, [this] { finish(); });
     });
@@ -79,7 +79,7 @@
   return Count;
 }
 
-void load_run::openSome(group &Group) {
+void load_run::openDueFlows(group &Group) {
   Group.OpenCredit += Group.Load.OpenPerSecond / TicksPerSecond;
   while (Group.OpenCredit >= 1 && Group.NextToOpen < Group.Slots.size()) {
     Group.OpenCredit -= 1;
@@ -88,7 +88,7 @@
 }
 
 endpoint load_run::nextLocal() {
-  const std::uint64_t Number = LocalsGiven++;
+  const std::uint64_t Number = LocalEndpointsUsed++;
   const auto Address = static_cast<std::uint32_t>(Settings.FirstCaller +
                                                   Number / FlowsPerAddress);
   if (Number % FlowsPerAddress == 0)
@@ -111,25 +111,26 @@
   Hooks.OnEnd = [this, &Group](const attempt &Attempt, const attempt_end &End) {
     onEnd(Group, Attempt, End);
   };
-  Hooks.OnGone = [this, &Group, &Slot](flow_fate Fate, const std::string &Why) {
-    onGone(Group, Slot, Fate, Why);
+  Hooks.OnFlowEnded = [this, &Group, &Slot](flow_outcome FlowOutcome,
+                                            const std::string &Reason) {
+    onFlowEnded(Group, Slot, FlowOutcome, Reason);
   };
   Slot.Flow = std::make_unique<caller_flow>(Loop.timers(), Group.Load.Name,
                                             std::move(Hooks));
   const auto Number = static_cast<std::size_t>(&Slot - Group.Slots.data());
   if (Number % 100 < Group.Load.StreamPercent)
-    Slot.Flow->keepStream(Group.Load.StreamIntervalMs);
+    Slot.Flow->enableLongStream(Group.Load.StreamIntervalMs);
   const auto Failure = failureOf(
       [&] { return Slot.Flow->open(Stack, Slot.Local, Group.Load.Address); });
   if (Failure)
     LOG(ERROR) << "load: " << toText(*Failure);
 }
 
-void load_run::onGone(group &Group, slot &Slot, flow_fate Fate,
-                      const std::string &Why) {
+void load_run::onFlowEnded(group &Group, slot &Slot, flow_outcome FlowOutcome,
+                           const std::string &Reason) {
   const std::string Host = Slot.Flow->host();
   const bool WasOpen = Slot.Opened;
-  const bool Moved = Fate == flow_fate::Moved;
+  const bool Moved = FlowOutcome == flow_outcome::Moved;
   flow_event Event = Moved ? flow_event::Moved : flow_event::Broken;
   if (!WasOpen)
     Event = flow_event::Failed;
@@ -137,7 +138,7 @@
     ++Totals.Moved;
   if (Event == flow_event::Broken)
     ++Totals.Broken;
-  Log.flow(Group.Load.Name, Event, toText(Slot.Local), Host, Why,
+  Log.flow(Group.Load.Name, Event, toText(Slot.Local), Host, Reason,
            Loop.timers().now());
   Slot.Opened = false;
   // The flow is still on the call stack: its owner lets it go later.
@@ -158,7 +159,7 @@
   });
 }
 
-void load_run::sendSome(group &Group) {
+void load_run::sendDueRequests(group &Group) {
   Group.RequestCredit += Group.Load.RequestsPerSecond / TicksPerSecond;
   while (Group.RequestCredit >= 1) {
     Group.RequestCredit -= 1;
@@ -166,7 +167,7 @@
   }
 }
 
-static bool oneIn100(std::mt19937_64 &Random, std::uint32_t Percent) {
+static bool drawPercent(std::mt19937_64 &Random, std::uint32_t Percent) {
   return std::uniform_int_distribution<std::uint32_t>(0, 99)(Random) < Percent;
 }
 
@@ -180,10 +181,10 @@
                      ? "/document/" + std::to_string(Load.DocumentBytes)
                      : "/work";
   Attempt.DocumentBytes = Load.DocumentBytes;
-  const bool Long = oneIn100(Random, Load.LongPercent);
+  const bool Long = drawPercent(Random, Load.LongPercent);
   Attempt.WorkMs = Long ? Load.LongWorkMs : Load.WorkMs;
   Attempt.DeadlineMs = Load.DeadlineMs;
-  if (oneIn100(Random, Load.KeyedPercent))
+  if (drawPercent(Random, Load.KeyedPercent))
     Attempt.Key = "key-" + Number;
   Attempt.First = Loop.timers().now();
   ++Totals.Requests;
@@ -193,7 +194,7 @@
 load_run::slot *load_run::pickSlot(group &Group) {
   const std::size_t Count = Group.Slots.size();
   const bool Skewed =
-      Group.Load.SkewFlows > 0 && oneIn100(Random, Group.Load.SkewPercent);
+      Group.Load.SkewFlows > 0 && drawPercent(Random, Group.Load.SkewPercent);
   const std::size_t Range =
       Skewed ? std::min<std::size_t>(Group.Load.SkewFlows, Count) : Count;
   for (int Try = 0; Try < 64 && Range > 0; ++Try) {
@@ -243,8 +244,8 @@
   case attempt_outcome::Refused:
     if (MayRetry) {
       ++Totals.Retries;
-      const duration Least = milliseconds(10);
-      return retry(Group, nextTry(Attempt), std::max(End.RetryAfter, Least));
+      const duration MinDelay = milliseconds(10);
+      return retry(Group, nextTry(Attempt), std::max(End.RetryAfter, MinDelay));
     }
     ++Totals.Refused;
     return;
@@ -263,7 +264,7 @@
   for (group &Group : Groups)
     for (slot &Slot : Group.Slots)
       if (Slot.Flow && Slot.Flow->usable())
-        Log.flow(Group.Load.Name, flow_event::Living, toText(Slot.Local),
+        Log.flow(Group.Load.Name, flow_event::OpenAtEnd, toText(Slot.Local),
                  Slot.Flow->host(), "", Loop.timers().now());
   Log.flush();
   OnDone();
--- a/standins/load/load_run.h
+++ b/standins/load/load_run.h
@@ -59,11 +59,12 @@
   };
 
   void tick();
-  void openSome(group &Group);
+  void openDueFlows(group &Group);
   void openSlot(group &Group, slot &Slot);
   void reopen(group &Group, slot &Slot, duration Delay);
-  void onGone(group &Group, slot &Slot, flow_fate Fate, const std::string &Why);
-  void sendSome(group &Group);
+  void onFlowEnded(group &Group, slot &Slot, flow_outcome FlowOutcome,
+                   const std::string &Reason);
+  void sendDueRequests(group &Group);
   void sendNew(group &Group);
   void sendAttempt(group &Group, attempt Attempt);
   void onEnd(group &Group, const attempt &Attempt, const attempt_end &End);
@@ -82,7 +83,7 @@
   std::function<void()> OnSending;
   std::function<void()> OnDone;
   load_totals Totals;
-  std::uint64_t LocalsGiven = 0;
+  std::uint64_t LocalEndpointsUsed = 0;
   std::uint64_t LastRequest = 0;
   std::map<std::string, instant> SentAt;
   bool Sending = false;
--- a/standins/load/load_settings.cpp
+++ b/standins/load/load_settings.cpp
@@ -40,7 +40,7 @@
     Fault.Action = *Known;
   else
     Unknown.push_back(Action);
-  Fault.Who = Reader.text("who", "");
+  Fault.Subject = Reader.text("who", "");
   Fault.Argument = Reader.text("argument", "");
   return Fault;
 }
@@ -49,7 +49,7 @@
   load_settings Settings;
   Settings.Seed =
       static_cast<std::uint64_t>(Reader.number("seed", 1, 0, 1'000'000'000));
-  Settings.Length =
+  Settings.SendDuration =
       std::chrono::milliseconds(Reader.number("length_ms", 10000, 1, MaxMs));
   Settings.Grace =
       std::chrono::milliseconds(Reader.number("grace_ms", 5000, 0, MaxMs));
--- a/standins/load/load_settings.h
+++ b/standins/load/load_settings.h
@@ -68,14 +68,14 @@
   duration At = duration::zero();
   fault_action Action{};
   /// A process's name (its pid is in PIDS/NAME.pid) or a step.
-  std::string Who;
+  std::string Subject;
   std::string Argument;
 };
 
 struct load_settings {
   std::uint64_t Seed = 1;
   /// How long requests are sent after the last flow has been opened.
-  duration Length = duration::zero();
+  duration SendDuration = duration::zero();
   /// How long requests under way may take at the end.
   duration Grace = duration::zero();
   endpoint Local;
--- a/standins/load/report_main.cpp
+++ b/standins/load/report_main.cpp
@@ -29,15 +29,15 @@
   return Names;
 }
 
-static evidence readFolder(const std::string &Folder) {
-  evidence Evidence;
+static audit_input readFolder(const std::string &Folder) {
+  audit_input Input;
   for (const auto &Entry : std::filesystem::directory_iterator(Folder)) {
     if (Entry.path().extension() != ".jsonl")
       continue;
     std::ifstream In(Entry.path());
-    Evidence.read(In);
+    Input.read(In);
   }
-  return Evidence;
+  return Input;
 }
 
 static void printBalance(const audit_result &Result) {
@@ -50,8 +50,8 @@
   }
 }
 
-static void writeReport(const evidence &Evidence, const audit_result &Result) {
-  const experiment_report Report = reportOf(FLAGS_title, Evidence, Result);
+static void writeReport(const audit_input &Input, const audit_result &Result) {
+  const experiment_report Report = reportOf(FLAGS_title, Input, Result);
   std::ofstream(FLAGS_folder + "/report.json") << toJson(Report);
   std::ofstream(FLAGS_folder + "/report.html") << toHtml(Report);
   std::cout << "report: " << FLAGS_folder << "/report.html\n";
@@ -66,20 +66,20 @@
               << " is not a folder\n";
     return 2;
   }
-  const evidence Evidence = readFolder(FLAGS_folder);
+  const audit_input Input = readFolder(FLAGS_folder);
   audit_settings Settings;
   Settings.KilledHosts = namesIn(FLAGS_killed);
   Settings.ExcludedHosts = namesIn(FLAGS_excluded);
-  const audit_result Result = audit(Evidence, Settings);
+  const audit_result Result = audit(Input, Settings);
   printBalance(Result);
-  writeReport(Evidence, Result);
-  if (Evidence.Unreadable > 0)
-    std::cout << "lines cut short: " << Evidence.Unreadable << "\n";
+  writeReport(Input, Result);
+  if (Input.MalformedLines > 0)
+    std::cout << "lines cut short: " << Input.MalformedLines << "\n";
   if (Result.Wrong > 0 || Result.RefusedButRan > 0)
     std::cout << "wrong answers: " << Result.Wrong
               << ", refused but ran: " << Result.RefusedButRan << "\n";
   std::cout << FLAGS_prefix << ": " << summaryLine(Result) << std::endl;
-  const bool Kept =
-      FLAGS_timing_free ? Result.keptApartFromFlows() : Result.kept();
-  return Kept ? 0 : 1;
+  const bool Passed =
+      FLAGS_timing_free ? Result.passedIgnoringBrokenFlows() : Result.passed();
+  return Passed ? 0 : 1;
 }
--- a/standins/platform/call_rate.h
+++ b/standins/platform/call_rate_limiter.h
@@ -1,12 +1,12 @@
-//===- call_rate.h - The platform's limit on calls --------------*- C++ -*-===//
+//===- call_rate_limiter.h - Limit on the rate of calls ---------*- C++ -*-===//
 ///
 /// \file
 /// A token bucket: the rate allowed, with bursts of up to one second's calls.
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef MARJORAMRAIL_STANDINS_PLATFORM_CALL_RATE_H
-#define MARJORAMRAIL_STANDINS_PLATFORM_CALL_RATE_H
+#ifndef MARJORAMRAIL_STANDINS_PLATFORM_CALL_RATE_LIMITER_H
+#define MARJORAMRAIL_STANDINS_PLATFORM_CALL_RATE_LIMITER_H
 
 #include "marjoramrail/base.h"
 
@@ -14,9 +14,9 @@
 
 namespace marjoramrail::standins {
 
-class call_rate {
+class call_rate_limiter {
 public:
-  explicit call_rate(double PerSecond)
+  explicit call_rate_limiter(double PerSecond)
       : PerSecond(PerSecond), Tokens(PerSecond) {}
 
   /// Whether one more call is allowed at \p Now.
@@ -38,4 +38,4 @@
 
 } // namespace marjoramrail::standins
 
-#endif // MARJORAMRAIL_STANDINS_PLATFORM_CALL_RATE_H
+#endif // MARJORAMRAIL_STANDINS_PLATFORM_CALL_RATE_LIMITER_H
--- a/standins/platform/http_server.cpp
+++ b/standins/platform/http_server.cpp
@@ -21,7 +21,7 @@
   void process(request_id Id, const http_request &Read);
   void send(request_id Id, const http_reply &Reply);
   void closeConnection(request_id Id);
-  void settle(request_id Id, const verdict &Verdict);
+  void applyDecision(request_id Id, const request_decision &Decision);
   void pollWatches();
   void expireWatch(request_id Id);
 
@@ -40,7 +40,7 @@
   request_id LastId = 0;
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
 
-  void forget(evhtp_request_t *Request);
+  void removeRequest(evhtp_request_t *Request);
 };
 
 /// libevhtp takes hooks of every kind as one type and casts them back.
@@ -66,7 +66,7 @@
   }
 }
 
-static int keepPair(evhtp_kv_t *Pair, void *User) {
+static int addQueryParameter(evhtp_kv_t *Pair, void *User) {
   auto &Query = *static_cast<std::map<std::string, std::string> *>(User);
   if (Pair->key && Pair->val)
     Query[std::string(Pair->key, Pair->klen)] =
@@ -79,7 +79,7 @@
   Read.Method = methodOf(Request);
   Read.Path = Request->uri->path->full;
   if (Request->uri->query)
-    evhtp_kvs_for_each(Request->uri->query, keepPair, &Read.Query);
+    evhtp_kvs_for_each(Request->uri->query, addQueryParameter, &Read.Query);
   Read.IfMatch = fieldOf(Request, "If-Match");
   Read.Writer = fieldOf(Request, "Writer");
   Read.WriterSequence = fieldOf(Request, "Writer-Sequence");
@@ -88,7 +88,7 @@
   return Read;
 }
 
-void http_server::impl::forget(evhtp_request_t *Request) {
+void http_server::impl::removeRequest(evhtp_request_t *Request) {
   const auto Found = Ids.find(Request);
   if (Found == Ids.end())
     return;
@@ -105,15 +105,16 @@
   const request_id Id = ++LastId;
   Open[Id] = Request;
   Ids[Request] = Id;
-  evhtp_hook_request_fini_cb Forget = [](evhtp_request_t *Gone, void *User) {
-    static_cast<impl *>(User)->forget(Gone);
+  evhtp_hook_request_fini_cb OnFinished = [](evhtp_request_t *Closed,
+                                             void *User) {
+    static_cast<impl *>(User)->removeRequest(Closed);
     return static_cast<evhtp_res>(EVHTP_RES_OK);
   };
-  evhtp_request_set_hook(Request, evhtp_hook_on_request_fini, asHook(Forget),
-                         this);
+  evhtp_request_set_hook(Request, evhtp_hook_on_request_fini,
+                         asHook(OnFinished), this);
   http_request Read = readRequest(Request);
   const auto Delay = std::chrono::milliseconds(Core.faults().DelayMs);
-  if (isOwnPage(Read.Path) || Delay.count() == 0)
+  if (isControlPage(Read.Path) || Delay.count() == 0)
     return process(Id, Read);
   // A late change takes effect although its sender may have given it up.
   Loop.timers().after(Delay, [this, Id, Read = std::move(Read),
@@ -125,22 +126,23 @@
 
 void http_server::impl::process(request_id Id, const http_request &Read) {
   const std::uint64_t Before = Core.store().version();
-  const verdict Verdict = Core.handle(Read, Loop.timers().now());
-  settle(Id, Verdict);
+  const request_decision Decision = Core.handle(Read, Loop.timers().now());
+  applyDecision(Id, Decision);
   if (Core.store().version() != Before || Read.Path == "/v1/faults")
     pollWatches();
 }
 
-void http_server::impl::settle(request_id Id, const verdict &Verdict) {
+void http_server::impl::applyDecision(request_id Id,
+                                      const request_decision &Decision) {
   if (Open.count(Id) == 0)
     return;
-  if (Verdict.Action == verdict::action::Answer)
-    return send(Id, Verdict.Reply);
-  if (Verdict.Action == verdict::action::CloseWithoutAnswer)
+  if (Decision.Action == request_decision::action::Answer)
+    return send(Id, Decision.Reply);
+  if (Decision.Action == request_decision::action::CloseWithoutAnswer)
     return closeConnection(Id);
   const timer_id Timer =
-      Loop.timers().after(Verdict.Wait, [this, Id] { expireWatch(Id); });
-  Watches[Id] = {Verdict.Since, Timer};
+      Loop.timers().after(Decision.Wait, [this, Id] { expireWatch(Id); });
+  Watches[Id] = {Decision.Since, Timer};
 }
 
 void http_server::impl::expireWatch(request_id Id) {
@@ -152,12 +154,12 @@
 void http_server::impl::pollWatches() {
   const auto Waiting = Watches;
   for (const auto &[Id, Watch] : Waiting) {
-    const auto Verdict = Core.pollWatch(Watch.Since);
-    if (!Verdict)
+    const auto Decision = Core.pollWatch(Watch.Since);
+    if (!Decision)
       continue;
     Loop.timers().cancel(Watch.Timer);
     Watches.erase(Id);
-    settle(Id, *Verdict);
+    applyDecision(Id, *Decision);
   }
 }
 
@@ -205,20 +207,20 @@
 }
 
 /// Follows the open connections: libevhtp does not end them with its server.
-static void followConnections(evhtp_t *Http,
-                              std::set<evhtp_connection_t *> &Connections) {
+static void trackConnections(evhtp_t *Http,
+                             std::set<evhtp_connection_t *> &Connections) {
   evhtp_set_post_accept_cb(
       Http,
       [](evhtp_connection_t *Connection, void *User) {
-        auto *Followed = static_cast<std::set<evhtp_connection_t *> *>(User);
-        Followed->insert(Connection);
-        evhtp_hook_connection_fini_cb Forget = [](evhtp_connection_t *Gone,
-                                                  void *Set) {
-          static_cast<std::set<evhtp_connection_t *> *>(Set)->erase(Gone);
-          return static_cast<evhtp_res>(EVHTP_RES_OK);
-        };
+        auto *Tracked = static_cast<std::set<evhtp_connection_t *> *>(User);
+        Tracked->insert(Connection);
+        evhtp_hook_connection_fini_cb OnFinished =
+            [](evhtp_connection_t *Closed, void *Set) {
+              static_cast<std::set<evhtp_connection_t *> *>(Set)->erase(Closed);
+              return static_cast<evhtp_res>(EVHTP_RES_OK);
+            };
         evhtp_connection_set_hook(Connection, evhtp_hook_on_connection_fini,
-                                  asHook(Forget), User);
+                                  asHook(OnFinished), User);
         return static_cast<evhtp_res>(EVHTP_RES_OK);
       },
       &Connections);
@@ -227,7 +229,7 @@
 result<void> http_server::open(const endpoint &Local) {
   Impl->Http = evhtp_new(Impl->Loop.base(), nullptr);
   evhtp_set_max_body_size(Impl->Http, 2 * internal::MaxObjectBytes);
-  followConnections(Impl->Http, Impl->Connections);
+  trackConnections(Impl->Http, Impl->Connections);
   evhtp_set_gencb(
       Impl->Http,
       [](evhtp_request_t *Request, void *User) {
--- a/standins/platform/object_store.cpp
+++ b/standins/platform/object_store.cpp
@@ -15,7 +15,8 @@
   return Reply;
 }
 
-const platform_object *object_store::standing(const object_key &Key) const {
+const platform_object *
+object_store::currentObject(const object_key &Key) const {
   const auto Found = Objects.find(Key);
   if (Found == Objects.end() || Found->second.back().Deleted)
     return nullptr;
@@ -23,16 +24,17 @@
 }
 
 const platform_object *object_store::visible(const history &Versions) const {
-  if (!Horizon)
+  if (!MaxVisibleVersion)
     return &Versions.back();
-  const auto Found = std::find_if(
-      Versions.rbegin(), Versions.rend(),
-      [&](const platform_object &Old) { return Old.Version <= *Horizon; });
+  const auto Found = std::find_if(Versions.rbegin(), Versions.rend(),
+                                  [&](const platform_object &Old) {
+                                    return Old.Version <= *MaxVisibleVersion;
+                                  });
   return Found == Versions.rend() ? nullptr : &*Found;
 }
 
 std::uint64_t object_store::visibleVersion() const {
-  return Horizon ? std::min(*Horizon, Version) : Version;
+  return MaxVisibleVersion ? std::min(*MaxVisibleVersion, Version) : Version;
 }
 
 platform_reply object_store::read(const object_key &Key) const {
@@ -70,7 +72,8 @@
 platform_reply object_store::changes(std::uint64_t Since) const {
   platform_reply Reply = outcome(platform_outcome::Ok, "");
   Reply.StoreVersion = visibleVersion();
-  for (auto It = Latest.upper_bound(Since); It != Latest.end(); ++It) {
+  for (auto It = KeysByVersion.upper_bound(Since); It != KeysByVersion.end();
+       ++It) {
     const platform_object *Object = visible(Objects.at(It->second));
     if (Object && Object->Version > Since)
       Reply.Objects.push_back(*Object);
@@ -96,7 +99,7 @@
 
 platform_reply object_store::remove(const platform_object &Object,
                                     std::uint64_t Expected) {
-  if (!standing(Object.Key))
+  if (!currentObject(Object.Key))
     return outcome(platform_outcome::NotFound, "no such object");
   platform_object Next = Object;
   Next.Body.clear();
@@ -106,7 +109,7 @@
 
 platform_reply object_store::change(const platform_object &Object,
                                     std::uint64_t Expected) {
-  const platform_object *Old = standing(Object.Key);
+  const platform_object *Old = currentObject(Object.Key);
   if ((Old ? Old->Version : 0) != Expected) {
     platform_reply Reply = outcome(platform_outcome::Conflict, "");
     Reply.Object.Key = Object.Key;
@@ -116,10 +119,10 @@
   }
   history &Versions = Objects[Object.Key];
   if (!Versions.empty())
-    Latest.erase(Versions.back().Version);
+    KeysByVersion.erase(Versions.back().Version);
   Versions.push_back(Object);
   Versions.back().Version = ++Version;
-  Latest[Version] = Object.Key;
+  KeysByVersion[Version] = Object.Key;
   if (Versions.size() > VersionsKept)
     Versions.pop_front();
   platform_reply Reply = outcome(platform_outcome::Ok, "");
--- a/standins/platform/object_store.h
+++ b/standins/platform/object_store.h
@@ -26,8 +26,8 @@
 
   /// Answers reads, lists and watches as of store version \p Horizon, as a
   /// replica that has fallen behind does. Changes see the present.
-  void serveOldVersion(std::optional<std::uint64_t> Horizon) {
-    this->Horizon = Horizon;
+  void serveOldVersion(std::optional<std::uint64_t> MaxVisibleVersion) {
+    this->MaxVisibleVersion = MaxVisibleVersion;
   }
 
   platform_reply read(const object_key &Key) const;
@@ -42,16 +42,16 @@
 private:
   using history = std::deque<platform_object>;
 
-  const platform_object *standing(const object_key &Key) const;
+  const platform_object *currentObject(const object_key &Key) const;
   const platform_object *visible(const history &Versions) const;
   std::uint64_t visibleVersion() const;
   platform_reply change(const platform_object &Object, std::uint64_t Expected);
 
   std::map<object_key, history> Objects;
   /// The key last changed at each version, for watches.
-  std::map<std::uint64_t, object_key> Latest;
+  std::map<std::uint64_t, object_key> KeysByVersion;
   std::uint64_t Version = 0;
-  std::optional<std::uint64_t> Horizon;
+  std::optional<std::uint64_t> MaxVisibleVersion;
 };
 
 } // namespace marjoramrail::standins
--- a/standins/platform/platform_core.cpp
+++ b/standins/platform/platform_core.cpp
@@ -15,17 +15,18 @@
     : Writes(Limits.WritesPerSecond), Reads(Limits.ReadsPerSecond),
       Random(Seed) {}
 
-static verdict answer(int Code, std::string Body, int RetryAfter = 0) {
-  verdict Verdict;
-  Verdict.Reply = {Code, std::move(Body), RetryAfter};
-  return Verdict;
+static request_decision answer(int Code, std::string Body, int RetryAfter = 0) {
+  request_decision Decision;
+  Decision.Reply = {Code, std::move(Body), RetryAfter};
+  return Decision;
 }
 
-static verdict refusal(int Code, std::string_view Reason, int RetryAfter = 0) {
+static request_decision refusal(int Code, std::string_view Reason,
+                                int RetryAfter = 0) {
   return answer(Code, encodeReason(Reason), RetryAfter);
 }
 
-static verdict answerTo(const platform_reply &Reply) {
+static request_decision answerTo(const platform_reply &Reply) {
   switch (Reply.Outcome) {
   case platform_outcome::Ok:
     return answer(200, encodeObject(Reply.Object));
@@ -63,11 +64,11 @@
   return Json.dump();
 }
 
-bool isOwnPage(std::string_view Path) {
+bool isControlPage(std::string_view Path) {
   return Path == "/v1/faults" || Path == "/v1/counters" || Path == "/readyz";
 }
 
-verdict platform_core::handleOwnPage(const http_request &Request) {
+request_decision platform_core::handleControlPage(const http_request &Request) {
   if (Request.Path == "/readyz")
     return answer(200, "{}");
   if (Request.Path == "/v1/counters")
@@ -90,19 +91,21 @@
   return answer(200, toJson(Faults));
 }
 
-std::optional<verdict> platform_core::refuseByFault() {
+std::optional<request_decision> platform_core::refuseByFault() {
   if (!Faults.Down && !Faults.Cut)
     return std::nullopt;
   ++Counters.RefusedByFault;
-  verdict Verdict = refusal(503, "the platform is down", DownRetryAfterSeconds);
+  request_decision Decision =
+      refusal(503, "the platform is down", DownRetryAfterSeconds);
   if (Faults.Cut)
-    Verdict.Action = verdict::action::CloseWithoutAnswer;
-  return Verdict;
+    Decision.Action = request_decision::action::CloseWithoutAnswer;
+  return Decision;
 }
 
-verdict platform_core::handle(const http_request &Request, instant Now) {
-  if (isOwnPage(Request.Path))
-    return handleOwnPage(Request);
+request_decision platform_core::handle(const http_request &Request,
+                                       instant Now) {
+  if (isControlPage(Request.Path))
+    return handleControlPage(Request);
   if (auto Refused = refuseByFault())
     return *Refused;
   const bool Changes = Request.Method != "GET";
@@ -115,7 +118,7 @@
   return handleObject(Request, Now);
 }
 
-verdict platform_core::handleWatch(const http_request &Request) {
+request_decision platform_core::handleWatch(const http_request &Request) {
   const auto NumberOf = [&](const char *Name) -> std::optional<std::uint64_t> {
     const auto Found = Request.Query.find(Name);
     return Found == Request.Query.end() ? std::nullopt
@@ -129,20 +132,21 @@
                             std::to_string(MaxWaitMs));
   if (auto Ready = pollWatch(*Since))
     return *Ready;
-  verdict Verdict;
-  Verdict.Action = verdict::action::WaitForChange;
-  Verdict.Since = *Since;
-  Verdict.Wait = std::chrono::milliseconds(*WaitMs);
-  return Verdict;
+  request_decision Decision;
+  Decision.Action = request_decision::action::WaitForChange;
+  Decision.Since = *Since;
+  Decision.Wait = std::chrono::milliseconds(*WaitMs);
+  return Decision;
 }
 
-std::optional<verdict> platform_core::pollWatch(std::uint64_t Since) const {
+std::optional<request_decision>
+platform_core::pollWatch(std::uint64_t Since) const {
   if (Faults.Down || Faults.Cut) {
-    verdict Verdict =
+    request_decision Decision =
         refusal(503, "the platform is down", DownRetryAfterSeconds);
     if (Faults.Cut)
-      Verdict.Action = verdict::action::CloseWithoutAnswer;
-    return Verdict;
+      Decision.Action = request_decision::action::CloseWithoutAnswer;
+    return Decision;
   }
   const platform_reply Reply = Store.changes(Since);
   if (Reply.Objects.empty())
@@ -154,7 +158,8 @@
   return {200, encodeObjects(Store.changes(Since)), 0};
 }
 
-verdict platform_core::handleObject(const http_request &Request, instant) {
+request_decision platform_core::handleObject(const http_request &Request,
+                                             instant) {
   constexpr std::string_view Prefix = "/v1/objects/";
   if (Request.Path.rfind(Prefix, 0) != 0)
     return refusal(404, "no such page");
@@ -173,8 +178,8 @@
   return answerTo(Store.read(Key));
 }
 
-verdict platform_core::handleChange(const http_request &Request,
-                                    const object_key &Key) {
+request_decision platform_core::handleChange(const http_request &Request,
+                                             const object_key &Key) {
   const bool Removes = Request.Method == "DELETE";
   if (!Removes && Request.Method != "PUT")
     return refusal(400, "expected GET, PUT or DELETE");
@@ -190,13 +195,13 @@
   const platform_reply Reply = Removes ? Store.remove(Object, *Expected)
                                        : Store.write(Object, *Expected);
   Counters.Conflicts += Reply.Outcome == platform_outcome::Conflict;
-  verdict Verdict = answerTo(Reply);
+  request_decision Decision = answerTo(Reply);
   std::uniform_int_distribution<std::int64_t> Percent(0, 99);
   if (Percent(Random) < Faults.LoseAnswersPercent) {
     ++Counters.LostAnswers;
-    Verdict.Action = verdict::action::CloseWithoutAnswer;
+    Decision.Action = request_decision::action::CloseWithoutAnswer;
   }
-  return Verdict;
+  return Decision;
 }
 
 } // namespace marjoramrail::standins
--- a/standins/platform/platform_core.h
+++ b/standins/platform/platform_core.h
@@ -9,7 +9,7 @@
 #ifndef MARJORAMRAIL_STANDINS_PLATFORM_PLATFORM_CORE_H
 #define MARJORAMRAIL_STANDINS_PLATFORM_PLATFORM_CORE_H
 
-#include "call_rate.h"
+#include "call_rate_limiter.h"
 #include "object_store.h"
 #include "platform_faults.h"
 
@@ -37,10 +37,10 @@
 
 /// Whether \p Path is one of the stand-in's own pages, which no fault touches:
 /// /v1/faults, /v1/counters and /readyz.
-bool isOwnPage(std::string_view Path);
+bool isControlPage(std::string_view Path);
 
 /// What becomes of a request.
-struct verdict {
+struct request_decision {
   enum class action { Answer, CloseWithoutAnswer, WaitForChange };
 
   action Action = action::Answer;
@@ -75,25 +75,26 @@
   const platform_faults &faults() const { return Faults; }
   const call_counters &counters() const { return Counters; }
 
-  verdict handle(const http_request &Request, instant Now);
+  request_decision handle(const http_request &Request, instant Now);
 
   /// The answer to a waiting watch, if there is one by now.
-  std::optional<verdict> pollWatch(std::uint64_t Since) const;
+  std::optional<request_decision> pollWatch(std::uint64_t Since) const;
   /// The answer to a watch that has waited its time.
   http_reply watchReply(std::uint64_t Since) const;
 
 private:
-  verdict handleOwnPage(const http_request &Request);
-  verdict handleObject(const http_request &Request, instant Now);
-  verdict handleChange(const http_request &Request, const object_key &Key);
-  verdict handleWatch(const http_request &Request);
-  std::optional<verdict> refuseByFault();
+  request_decision handleControlPage(const http_request &Request);
+  request_decision handleObject(const http_request &Request, instant Now);
+  request_decision handleChange(const http_request &Request,
+                                const object_key &Key);
+  request_decision handleWatch(const http_request &Request);
+  std::optional<request_decision> refuseByFault();
 
   object_store Store;
   platform_faults Faults;
   call_counters Counters;
-  call_rate Writes;
-  call_rate Reads;
+  call_rate_limiter Writes;
+  call_rate_limiter Reads;
   std::mt19937_64 Random;
 };
 
--- a/standins/target/run_record.cpp
+++ b/standins/target/run_record.cpp
@@ -11,17 +11,17 @@
     Out.open(Path, std::ios::app);
 }
 
-void run_record::add(run_event Event, const request_marks &Marks, duration Work,
-                     instant Now) {
+void run_record::add(run_event Event, const request_metadata &Metadata,
+                     duration Work, instant Now) {
   if (!Out.is_open())
     return;
   const nlohmann::json Line = {
       {"event", nameOf(RunEventNames, Event)},
       {"host", Host},
       {"service", Service},
-      {"meant", Marks.Service},
-      {"request", Marks.Request},
-      {"key", Marks.Key},
+      {"meant", Metadata.Service},
+      {"request", Metadata.Request},
+      {"key", Metadata.Key},
       {"work_us", Work.count()},
       {"at_us", Now.time_since_epoch().count()},
   };
--- a/standins/target/run_record.h
+++ b/standins/target/run_record.h
@@ -27,7 +27,7 @@
 }};
 
 /// What a request says of itself.
-struct request_marks {
+struct request_metadata {
   /// The service that the caller meant.
   std::string Service;
   /// The caller's own number of the request.
@@ -40,7 +40,7 @@
   /// \p Path may be empty: nothing is kept.
   run_record(std::string Host, std::string Service, const std::string &Path);
 
-  void add(run_event Event, const request_marks &Marks, duration Work,
+  void add(run_event Event, const request_metadata &Metadata, duration Work,
            instant Now);
 
 private:
--- a/standins/target/target_model.cpp
+++ b/standins/target/target_model.cpp
@@ -40,11 +40,11 @@
                   100);
 }
 
-void target_model::offer(target_request Request) {
+void target_model::submit(target_request Request) {
   if (Running.size() < Settings.Slots)
     return begin(std::move(Request));
   if (Waiting.size() >= Settings.QueueLimit)
-    return Request.OnEnd(target_verdict::Shed);
+    return Request.OnEnd(work_outcome::Shed);
   Waiting.push_back({std::move(Request), Timers.now()});
 }
 
@@ -54,7 +54,7 @@
   const timer_id Timer = Timers.after(workOf(Request), [this, Id] {
     const auto OnEnd = std::move(Running.at(Id).OnEnd);
     Running.erase(Id);
-    OnEnd(target_verdict::Done);
+    OnEnd(work_outcome::Done);
     beginNext();
   });
   Running[Id] = {Timer, std::move(Request.OnEnd)};
@@ -66,7 +66,7 @@
     Waiting.pop_front();
     const duration Deadline = Next.Request.Deadline;
     if (Deadline > duration::zero() && Timers.now() > Next.Arrived + Deadline)
-      Next.Request.OnEnd(target_verdict::DeadlinePassed);
+      Next.Request.OnEnd(work_outcome::DeadlinePassed);
     else
       begin(std::move(Next.Request));
   }
--- a/standins/target/target_model.h
+++ b/standins/target/target_model.h
@@ -33,7 +33,7 @@
   std::uint32_t LoadPercent = 100;
 };
 
-enum class target_verdict { Done, Shed, DeadlinePassed };
+enum class work_outcome { Done, Shed, DeadlinePassed };
 
 /// One request as the target sees it.
 struct target_request {
@@ -42,7 +42,7 @@
   /// Zero: none.
   duration Deadline = duration::zero();
   std::function<void()> OnBegin;
-  std::function<void(target_verdict)> OnEnd;
+  std::function<void(work_outcome)> OnEnd;
 };
 
 struct target_load {
@@ -56,7 +56,7 @@
   target_model(timer_service &Timers, const target_settings &Settings);
 
   /// Runs, queues or sheds \p Request; its hooks tell which.
-  void offer(target_request Request);
+  void submit(target_request Request);
 
   /// The caller gave up: frees the slot or the place in the queue. Returns
   /// whether the request had begun.
@@ -72,7 +72,7 @@
 private:
   struct running {
     timer_id Timer;
-    std::function<void(target_verdict)> OnEnd;
+    std::function<void(work_outcome)> OnEnd;
   };
   struct waiting {
     target_request Request;
--- a/standins/target/target_server.cpp
+++ b/standins/target/target_server.cpp
@@ -19,7 +19,7 @@
   return std::chrono::milliseconds(numberIn(Text, Default));
 }
 
-std::string_view tailAfter(std::string_view Path, std::string_view Prefix) {
+std::string_view suffixAfter(std::string_view Path, std::string_view Prefix) {
   return Path.substr(Prefix.size());
 }
 
@@ -41,7 +41,7 @@
 private:
   struct request {
     std::uint64_t Id = 0;
-    request_marks Marks;
+    request_metadata Metadata;
     duration Work = duration::zero();
     timer_id Ticker{};
     std::uint64_t Ticks = 0;
@@ -50,8 +50,7 @@
   void onHead(h2_stream Stream, const h2_head &Head);
   void onClose(h2_stream Stream);
   void run(h2_stream Stream, const h2_head &Head, std::size_t AnswerBytes);
-  void finish(h2_stream Stream, target_verdict Verdict,
-              std::size_t AnswerBytes);
+  void finish(h2_stream Stream, work_outcome Outcome, std::size_t AnswerBytes);
   void startTicker(h2_stream Stream, const h2_head &Head);
   void answer(h2_stream Stream, const std::string &Status,
               const std::string &Body);
@@ -90,7 +89,7 @@
   for (auto &[Stream, Request] : Requests) {
     Server.Loop.timers().cancel(Request.Ticker);
     if (Server.Model.cancel(Request.Id))
-      Server.Record.add(run_event::Cancel, Request.Marks, Request.Work,
+      Server.Record.add(run_event::Cancel, Request.Metadata, Request.Work,
                         Server.Loop.timers().now());
   }
 }
@@ -111,7 +110,7 @@
   if (Path.starts_with(Document))
     return run(
         Stream, Head,
-        static_cast<std::size_t>(numberIn(tailAfter(Path, Document), 0)));
+        static_cast<std::size_t>(numberIn(suffixAfter(Path, Document), 0)));
   if (Path == "/stream")
     return startTicker(Stream, Head);
   if (Path == "/load") {
@@ -124,7 +123,7 @@
   }
   if (Path.starts_with(Slow)) {
     Server.Model.setSlow(
-        static_cast<std::uint32_t>(numberIn(tailAfter(Path, Slow), 100)));
+        static_cast<std::uint32_t>(numberIn(suffixAfter(Path, Slow), 100)));
     return answer(Stream, "200", "{}");
   }
   answer(Stream, "404", "{\"run\":\"no\"}");
@@ -134,34 +133,34 @@
                                     std::size_t AnswerBytes) {
   request &Request = Requests[Stream];
   Request.Id = ++Server.LastRequest;
-  Request.Marks = {std::string(Head.get("x-service")),
-                   std::string(Head.get("x-request")),
-                   std::string(Head.get("idempotency-key"))};
+  Request.Metadata = {std::string(Head.get("x-service")),
+                      std::string(Head.get("x-request")),
+                      std::string(Head.get("idempotency-key"))};
   Request.Work = millisecondsIn(Head.get("x-work-ms"), 1);
-  target_request Offered;
-  Offered.Id = Request.Id;
-  Offered.Work = Request.Work;
-  Offered.Deadline = millisecondsIn(Head.get("x-deadline-ms"), 0);
-  Offered.OnBegin = [this, Stream] {
+  target_request Submitted;
+  Submitted.Id = Request.Id;
+  Submitted.Work = Request.Work;
+  Submitted.Deadline = millisecondsIn(Head.get("x-deadline-ms"), 0);
+  Submitted.OnBegin = [this, Stream] {
     const request &Begun = Requests.at(Stream);
-    Server.Record.add(run_event::Begin, Begun.Marks, Begun.Work,
+    Server.Record.add(run_event::Begin, Begun.Metadata, Begun.Work,
                       Server.Loop.timers().now());
   };
-  Offered.OnEnd = [this, Stream, AnswerBytes](target_verdict Verdict) {
-    finish(Stream, Verdict, AnswerBytes);
+  Submitted.OnEnd = [this, Stream, AnswerBytes](work_outcome Outcome) {
+    finish(Stream, Outcome, AnswerBytes);
   };
-  Server.Model.offer(std::move(Offered));
+  Server.Model.submit(std::move(Submitted));
 }
 
-void target_server::connection::finish(h2_stream Stream, target_verdict Verdict,
+void target_server::connection::finish(h2_stream Stream, work_outcome Outcome,
                                        std::size_t AnswerBytes) {
   const auto Found = Requests.find(Stream);
   if (Found == Requests.end())
     return;
   const request Request = std::move(Found->second);
   Requests.erase(Found);
-  const bool Ran = Verdict == target_verdict::Done;
-  Server.Record.add(Ran ? run_event::End : run_event::Shed, Request.Marks,
+  const bool Ran = Outcome == work_outcome::Done;
+  Server.Record.add(Ran ? run_event::End : run_event::Shed, Request.Metadata,
                     Request.Work, Server.Loop.timers().now());
   if (!Ran) {
     h2_head Head = answerHead("503", Server.Host);
@@ -176,7 +175,7 @@
   answer(Stream, "200",
          nlohmann::json{{"run", "yes"},
                         {"host", Server.Host},
-                        {"request", Request.Marks.Request}}
+                        {"request", Request.Metadata.Request}}
              .dump());
 }
 
@@ -214,7 +213,7 @@
   Requests.erase(Found);
   Server.Loop.timers().cancel(Request.Ticker);
   if (Server.Model.cancel(Request.Id))
-    Server.Record.add(run_event::Cancel, Request.Marks, Request.Work,
+    Server.Record.add(run_event::Cancel, Request.Metadata, Request.Work,
                       Server.Loop.timers().now());
 }
 
--- a/test/standins/audit_test.cpp
+++ b/test/standins/audit_test.cpp
@@ -18,12 +18,12 @@
 }
 
 run_line begin(std::string Host, std::string Request, std::string Key,
-               std::string Meant = "ledger") {
+               std::string IntendedService = "ledger") {
   run_line Line;
   Line.Event = "begin";
   Line.Host = std::move(Host);
   Line.Service = "ledger";
-  Line.Meant = std::move(Meant);
+  Line.IntendedService = std::move(IntendedService);
   Line.Request = std::move(Request);
   Line.Key = std::move(Key);
   return Line;
@@ -32,30 +32,29 @@
 } // namespace
 
 TEST_CASE("audit counts a key that two targets began as run twice") {
-  evidence Evidence;
-  Evidence.Attempts = {attempt("1/1", "k", "unknown"),
-                       attempt("1/2", "k", "ok")};
-  Evidence.Runs = {begin("a", "1/1", "k"), begin("b", "1/2", "k")};
+  audit_input Input;
+  Input.Attempts = {attempt("1/1", "k", "unknown"), attempt("1/2", "k", "ok")};
+  Input.Runs = {begin("a", "1/1", "k"), begin("b", "1/2", "k")};
 
-  const audit_result Result = audit(Evidence, {});
+  const audit_result Result = audit(Input, {});
 
   CHECK(Result.RanTwice == 1);
-  CHECK_FALSE(Result.kept());
+  CHECK_FALSE(Result.passed());
 }
 
 TEST_CASE("audit finds an attempt that was refused and ran all the same") {
-  evidence Evidence;
-  Evidence.Attempts = {attempt("1/1", "", "refused")};
-  Evidence.Runs = {begin("a", "1/1", "")};
+  audit_input Input;
+  Input.Attempts = {attempt("1/1", "", "refused")};
+  Input.Runs = {begin("a", "1/1", "")};
 
-  CHECK(audit(Evidence, {}).RefusedButRan == 1);
+  CHECK(audit(Input, {}).RefusedButRan == 1);
 }
 
 TEST_CASE("audit counts a request by its last try") {
-  evidence Evidence;
-  Evidence.Attempts = {attempt("1/1", "", "refused"), attempt("1/2", "", "ok")};
+  audit_input Input;
+  Input.Attempts = {attempt("1/1", "", "refused"), attempt("1/2", "", "ok")};
 
-  const audit_result Result = audit(Evidence, {});
+  const audit_result Result = audit(Input, {});
 
   CHECK(Result.Requests == 1);
   CHECK(Result.Ok == 1);
@@ -63,20 +62,20 @@
 }
 
 TEST_CASE("audit finds a request that reached another service's target") {
-  evidence Evidence;
-  Evidence.Runs = {begin("a", "1/1", "", "archive")};
+  audit_input Input;
+  Input.Runs = {begin("a", "1/1", "", "archive")};
 
-  CHECK(audit(Evidence, {}).Misrouted == 1);
+  CHECK(audit(Input, {}).Misrouted == 1);
 }
 
 TEST_CASE("audit allows broken flows only of killed hosts") {
-  evidence Evidence;
-  Evidence.Flows = {{"ledger", "broken", "f1", "a", "reset", 0},
-                    {"ledger", "broken", "f2", "b", "reset", 0}};
+  audit_input Input;
+  Input.Flows = {{"ledger", "broken", "f1", "a", "reset", 0},
+                 {"ledger", "broken", "f2", "b", "reset", 0}};
   audit_settings Settings;
   Settings.KilledHosts = {"a"};
 
-  const audit_result Result = audit(Evidence, Settings);
+  const audit_result Result = audit(Input, Settings);
 
   CHECK(Result.BrokenFlows == 2);
   CHECK(Result.AllowedBroken == 1);
@@ -84,10 +83,10 @@
 
 TEST_CASE("evidence leaves out a line that a kill cut short") {
   std::istringstream In("{\"line\":\"attempt\",\"request\":\"1/1\"}\n{\"li");
-  evidence Evidence;
+  audit_input Input;
 
-  Evidence.read(In);
+  Input.read(In);
 
-  CHECK(Evidence.Attempts.size() == 1);
-  CHECK(Evidence.Unreadable == 1);
+  CHECK(Input.Attempts.size() == 1);
+  CHECK(Input.MalformedLines == 1);
 }
--- a/test/standins/fabric_model_test.cpp
+++ b/test/standins/fabric_model_test.cpp
@@ -133,7 +133,7 @@
   Model.fromCaller(Caller, {}, Now);
   Model.fromAgent(Agent, {}, Now);
 
-  CHECK(Model.counters().Unreadable == 2);
+  CHECK(Model.counters().Malformed == 2);
   CHECK(ToBalancers.empty());
 }
 
--- a/test/standins/platform/client_and_server_test.cpp
+++ b/test/standins/platform/client_and_server_test.cpp
@@ -263,18 +263,18 @@
                        const platform_client_settings &Settings) {
   platform_client Client(Test.Loop, Settings);
   const platform_api Api = Client.api();
-  int Asked = 0;
-  std::function<void()> Ask = [&] {
-    ++Asked;
+  int CallCount = 0;
+  std::function<void()> SendCall = [&] {
+    ++CallCount;
     Api.List("service", [&](const platform_reply &Reply) {
       if (Reply.Outcome == platform_outcome::Ok)
         return Test.Loop.stop();
-      Ask();
+      SendCall();
     });
   };
-  Ask();
+  SendCall();
   Test.Loop.run();
-  return Asked;
+  return CallCount;
 }
 
 } // namespace
@@ -301,13 +301,13 @@
   // alone, the platform would never be read.
   client_and_server Test;
   Test.fault(R"({"delay_ms": 150})");
-  const int Asked =
+  const int CallCount =
       callsUntilAnswered(Test, {.Servers = {Test.Server.local()},
                                 .Writer = "test",
                                 .Timeout = seconds(20),
                                 .FirstTimeout = milliseconds(20)});
 
-  CHECK(Asked == 4);
+  CHECK(CallCount == 4);
 }
 
 namespace {
@@ -316,7 +316,7 @@
 class slow_server {
 public:
   slow_server(event_loop &Loop, std::size_t Pieces, duration Gap)
-      : Loop(Loop), Gap(Gap), Left(Pieces),
+      : Loop(Loop), Gap(Gap), PiecesLeft(Pieces),
         Listener(Loop, [this](std::unique_ptr<tcp_stream> Stream) {
           serve(std::move(Stream));
         }) {
@@ -330,7 +330,7 @@
 
   endpoint local() const { return Listener.local(); }
   /// Stops after so many pieces, and says nothing more.
-  std::size_t FallsSilentAfter = SIZE_MAX;
+  std::size_t StopAfterPieces = SIZE_MAX;
 
 private:
   static constexpr std::size_t PieceBytes = 1000;
@@ -340,7 +340,7 @@
     tcp_stream::hooks Hooks;
     Hooks.OnConnected = [] {};
     Hooks.OnData = [this](std::string_view) { begin(); };
-    Hooks.OnClosed = [this](const std::string &) { Gone = true; };
+    Hooks.OnClosed = [this](const std::string &) { Closed = true; };
     Hooks.OnDrained = [] {};
     Stream->setHooks(Hooks);
   }
@@ -354,19 +354,19 @@
   }
 
   void sendPiece() {
-    if (Gone || Left == 0 || Sent == FallsSilentAfter)
+    if (Closed || PiecesLeft == 0 || Sent == StopAfterPieces)
       return;
-    --Left;
+    --PiecesLeft;
     Stream->write(
         std::string_view(Text).substr(PieceBytes * Sent++, PieceBytes));
   }
 
   event_loop &Loop;
   duration Gap;
-  std::size_t Left;
+  std::size_t PiecesLeft;
   std::size_t Sent = 0;
   bool Begun = false;
-  bool Gone = false;
+  bool Closed = false;
   std::string Text;
   std::unique_ptr<tcp_stream> Stream;
   tcp_listener Listener;
@@ -409,7 +409,7 @@
   // waits for the rest would wait for ever.
   event_loop Loop;
   slow_server Server(Loop, /*Pieces=*/20, milliseconds(20));
-  Server.FallsSilentAfter = 5;
+  Server.StopAfterPieces = 5;
   const instant Began = Loop.timers().now();
 
   const platform_reply Reply = listFrom(Loop, Server, milliseconds(400));
--- a/test/standins/platform/platform_core_test.cpp
+++ b/test/standins/platform/platform_core_test.cpp
@@ -30,7 +30,7 @@
   const instant Start{};
 
   CHECK(Core.handle(get(Ledger), Start).Reply.Code == 404);
-  const verdict Refused = Core.handle(get(Ledger), Start);
+  const request_decision Refused = Core.handle(get(Ledger), Start);
 
   CHECK(Refused.Reply.Code == 429);
   CHECK(Refused.Reply.RetryAfter == 1);
@@ -44,7 +44,8 @@
   http_request Watch = get("/v1/watch");
   Watch.Query = {{"since", "0"}, {"wait_ms", "1000"}};
 
-  CHECK(Core.handle(Watch, instant()).Action == verdict::action::WaitForChange);
+  CHECK(Core.handle(Watch, instant()).Action ==
+        request_decision::action::WaitForChange);
   CHECK(Core.handle(get(Ledger), instant()).Reply.Code == 429);
 }
 
@@ -54,9 +55,9 @@
   platform_core Core({}, 1);
   Core.handle(put("/v1/faults", R"({"lose_answers_percent": 100})"), instant());
 
-  const verdict Lost = Core.handle(put(Ledger, "{}"), instant());
+  const request_decision Lost = Core.handle(put(Ledger, "{}"), instant());
 
-  CHECK(Lost.Action == verdict::action::CloseWithoutAnswer);
+  CHECK(Lost.Action == request_decision::action::CloseWithoutAnswer);
   CHECK(Core.store().version() == 1);
 }
 
@@ -64,7 +65,7 @@
   platform_core Core({}, 1);
   Core.handle(put("/v1/faults", R"({"down": true})"), instant());
 
-  const verdict Down = Core.handle(put(Ledger, "{}"), instant());
+  const request_decision Down = Core.handle(put(Ledger, "{}"), instant());
   Core.handle(put("/v1/faults", R"({"down": false})"), instant());
 
   CHECK(Down.Reply.Code == 503);
@@ -76,11 +77,11 @@
 TEST_CASE("platform_core refuses faults that it does not know") {
   platform_core Core({}, 1);
 
-  const verdict Verdict =
+  const request_decision Decision =
       Core.handle(put("/v1/faults", R"({"dwon": true})"), instant());
 
-  CHECK(Verdict.Reply.Code == 400);
-  CHECK(Verdict.Reply.Body.find("dwon") != std::string::npos);
+  CHECK(Decision.Reply.Code == 400);
+  CHECK(Decision.Reply.Body.find("dwon") != std::string::npos);
 }
 
 TEST_CASE("platform_core answers bad requests with a reason") {
--- a/test/standins/target_model_test.cpp
+++ b/test/standins/target_model_test.cpp
@@ -12,7 +12,7 @@
   timer_service Timers;
   target_settings Settings;
   std::vector<std::uint64_t> Begun;
-  std::map<std::uint64_t, target_verdict> Ended;
+  std::map<std::uint64_t, work_outcome> Ended;
 
   target_request request(std::uint64_t Id, milliseconds Work,
                          milliseconds Deadline = milliseconds(0)) {
@@ -21,7 +21,7 @@
     Request.Work = Work;
     Request.Deadline = Deadline;
     Request.OnBegin = [this, Id] { Begun.push_back(Id); };
-    Request.OnEnd = [this, Id](target_verdict Verdict) { Ended[Id] = Verdict; };
+    Request.OnEnd = [this, Id](work_outcome Outcome) { Ended[Id] = Outcome; };
     return Request;
   }
 };
@@ -34,7 +34,7 @@
   target_model Model(Fixture.Timers, Fixture.Settings);
 
   for (std::uint64_t Id = 1; Id <= 3; ++Id)
-    Model.offer(Fixture.request(Id, milliseconds(10)));
+    Model.submit(Fixture.request(Id, milliseconds(10)));
 
   CHECK(Fixture.Begun.size() == 2);
   CHECK(Model.actual().Waiting == 1);
@@ -44,8 +44,8 @@
   model_fixture Fixture;
   Fixture.Settings.Slots = 1;
   target_model Model(Fixture.Timers, Fixture.Settings);
-  Model.offer(Fixture.request(1, milliseconds(1000)));
-  Model.offer(Fixture.request(2, milliseconds(10)));
+  Model.submit(Fixture.request(1, milliseconds(1000)));
+  Model.submit(Fixture.request(2, milliseconds(10)));
 
   const bool HadBegun = Model.cancel(1);
 
@@ -57,12 +57,12 @@
   model_fixture Fixture;
   Fixture.Settings.Slots = 1;
   target_model Model(Fixture.Timers, Fixture.Settings);
-  Model.offer(Fixture.request(1, milliseconds(100)));
-  Model.offer(Fixture.request(2, milliseconds(10), milliseconds(50)));
+  Model.submit(Fixture.request(1, milliseconds(100)));
+  Model.submit(Fixture.request(2, milliseconds(10), milliseconds(50)));
 
   Fixture.Timers.advance(instant(milliseconds(150)));
 
-  CHECK(Fixture.Ended.at(2) == target_verdict::DeadlinePassed);
+  CHECK(Fixture.Ended.at(2) == work_outcome::DeadlinePassed);
   CHECK(Fixture.Begun.size() == 1);
 }
 
@@ -71,7 +71,7 @@
   Fixture.Settings.LoadLag = milliseconds(500);
   target_model Model(Fixture.Timers, Fixture.Settings);
   Fixture.Timers.advance(instant(milliseconds(1000)));
-  Model.offer(Fixture.request(1, milliseconds(5000)));
+  Model.submit(Fixture.request(1, milliseconds(5000)));
 
   Fixture.Timers.advance(instant(milliseconds(1300)));
   const std::uint32_t Early = Model.report().Busy;
