--- a/standins/fabric/control_message.h
+++ b/standins/fabric/control_message.h
@@ -1,21 +1,23 @@
-//===- control_message.h - Changing the fabric while it runs ----*- C++ -*-===//
+//===- control_message.h - Control of the running fabric --------*- C++ -*-===//
 ///
 /// \file
-/// A control message is one UDP datagram to `control_listen`: a JSON object
-/// with any of these fields. A field that is left out keeps its value.
+/// Changes the settings of the fabric stand-in while it runs. A control message
+/// is one UDP datagram to `control_listen` that holds a JSON object with any of
+/// these fields. A field that is left out keeps its value.
 ///
-///   {"balancers": ["127.0.0.1:4000", ...]}   the list to spray over
-///   {"drop_percent": 1}                      lost, in each direction
+///   {"balancers": ["127.0.0.1:4000", ...]}   balancers that get packets
+///   {"drop_percent": 1}                      lost in each direction
 ///   {"duplicate_percent": 1}                 sent twice
-///   {"delay_ms": 3, "jitter_ms": 1}          3 to 4 ms one way
-///   {"reorder_percent": 1}                   may overtake on their own link
-///   {"cut": ["127.0.0.1:4000", ...]}         nothing to that balancer, or
-///                                            from that agent, gets through;
-///                                            [] ends all cuts
-///   {"cut": {"127.0.0.1:4000": 50}}          the same for half of the packets
+///   {"delay_ms": 3, "jitter_ms": 1}          3 to 4 ms in each direction
+///   {"reorder_percent": 1}                   may overtake on the same link
+///   {"cut": ["127.0.0.1:4000", ...]}         drops all packets to that
+///   balancer
+///                                            or from that agent; [] ends
+///                                            all cuts
+///   {"cut": {"127.0.0.1:4000": 50}}          drops half of these packets
 ///
-/// The answer, to the sender, is {"ok": true} or {"error": "..."}; a message
-/// with an error changes nothing.
+/// The sender gets the answer {"ok": true} or {"error": "..."}. A message with
+/// an error changes nothing.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -26,7 +28,8 @@
 
 namespace marjoramrail::standins {
 
-/// Carries out a control message and returns the answer.
+/// Applies the control message \p Text to \p Model and returns the JSON answer
+/// for the sender.
 std::string applyControl(fabric_model &Model, std::string_view Text);
 
 } // namespace marjoramrail::standins
--- a/standins/fabric/delay_queue.cpp
+++ b/standins/fabric/delay_queue.cpp
@@ -10,7 +10,8 @@
 std::optional<delayed_packet> delay_queue::take(instant Now) {
   if (Packets.empty() || Packets.top().Due > Now)
     return std::nullopt;
-  // top() is const only to protect the order, which pop() ends.
+  // top() is const to protect the order of the queue. Moving from it is safe
+  // here because pop() removes the element at once.
   delayed_packet Packet =
       std::move(const_cast<delayed_packet &>(Packets.top()));
   Packets.pop();
--- a/standins/fabric/delay_queue.h
+++ b/standins/fabric/delay_queue.h
@@ -1,8 +1,8 @@
-//===- delay_queue.h - Packets under way ------------------------*- C++ -*-===//
+//===- delay_queue.h - Queue of delayed packets -----------------*- C++ -*-===//
 ///
 /// \file
-/// Packets in the order in which they are due, so that one timer serves them
-/// all.
+/// Keeps delayed packets in the order of their delivery time, so that one timer
+/// is enough for all of them.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -15,11 +15,13 @@
 
 namespace marjoramrail::standins {
 
+/// The side of the network that a packet is sent to.
 enum class fabric_side { Balancers, Callers };
 
+/// A packet that is delivered at the time Due.
 struct delayed_packet {
   instant Due;
-  /// Keeps packets of one moment in their order.
+  /// Sequence number; packets with the same delivery time keep their order.
   std::uint64_t Number = 0;
   fabric_side Side = fabric_side::Balancers;
   endpoint To;
@@ -30,10 +32,11 @@
   }
 };
 
+/// A priority queue of packets, ordered by delivery time.
 class delay_queue {
 public:
   void add(instant Due, fabric_side Side, const endpoint &To, bytes_view Bytes);
-  /// Takes the first packet that is due, if any.
+  /// Removes and returns the first packet whose delivery time has come, if any.
   std::optional<delayed_packet> take(instant Now);
   std::optional<instant> nextDue() const;
 
--- a/standins/fabric/fabric_model.h
+++ b/standins/fabric/fabric_model.h
@@ -1,9 +1,9 @@
-//===- fabric_model.h - A network that sprays and spoils --------*- C++ -*-===//
+//===- fabric_model.h - Simulated network with faults -----------*- C++ -*-===//
 ///
 /// \file
-/// The decisions of the fabric stand-in, without sockets: which balancer gets a
-/// caller's packet, where an answer goes, and what the network does to it on
-/// the way.
+/// The logic of the fabric stand-in without sockets: it selects the balancer
+/// for a caller's packet and the endpoint for an answer, and simulates packet
+/// loss, duplication, delay and reordering.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -18,27 +18,29 @@
 
 namespace marjoramrail::standins {
 
-/// Packets lost on the way to (or from) one endpoint of ours.
+/// Loss of packets to one balancer or from one agent.
 struct fabric_cut {
   endpoint Endpoint;
-  /// 100 cuts it off.
+  /// Share of the packets that are dropped; 100 drops all.
   double Percent = 100;
 };
 
-/// What the network does to packets in both directions.
+/// Simulated network faults; they apply to both directions.
 struct fabric_faults {
   double DropPercent = 0;
   double DuplicatePercent = 0;
   duration Delay{};
-  /// Added to the delay, evenly spread from 0. Packets between the same two
-  /// endpoints keep their order, as on a real link whose queue is longer or
-  /// shorter; those of one flow over different balancers may overtake.
+  /// Upper bound of a uniformly distributed extra delay. Packets between the
+  /// same two endpoints keep their order, as on a real link whose queue length
+  /// varies. Packets of one flow that use different balancers may overtake each
+  /// other.
   duration Jitter{};
-  /// Packets that may overtake others on their own link all the same.
+  /// Share of the packets that may overtake others on the same link.
   double ReorderPercent = 0;
   std::vector<fabric_cut> Cuts;
 };
 
+/// Counts of packets, shown on the status page.
 struct fabric_counters {
   std::uint64_t FromCallers = 0;
   std::uint64_t FromAgents = 0;
@@ -46,16 +48,17 @@
   std::uint64_t Dropped = 0;
   std::uint64_t Cut = 0;
   std::uint64_t Duplicated = 0;
-  /// Not an IPv4/TCP packet.
+  /// Datagrams that are not IPv4/TCP packets.
   std::uint64_t Malformed = 0;
-  /// An answer to an address that no caller has sent from.
+  /// Answers to an address from which no caller has sent a packet.
   std::uint64_t UnknownCaller = 0;
   std::uint64_t NoBalancer = 0;
 };
 
+/// Forwards packets between callers and balancers with simulated faults.
 class fabric_model {
 public:
-  /// Sends towards a balancer, or towards the callers.
+  /// Sends \p Bytes to the balancer or the caller at \p To.
   using send_hook = std::function<void(fabric_side Side, const endpoint &To,
                                        bytes_view Bytes)>;
 
@@ -65,12 +68,13 @@
   const std::vector<endpoint> &balancers() const { return Balancers; }
   fabric_faults &faults() { return Faults; }
 
-  /// A caller's packet; remembers behind which endpoint its address is.
+  /// Forwards a caller's packet to a random balancer. Records \p From as the
+  /// endpoint for answers to the caller's address.
   void fromCaller(const endpoint &From, bytes_view Bytes, instant Now);
-  /// An agent's answer.
+  /// Forwards an agent's answer to the caller.
   void fromAgent(const endpoint &From, bytes_view Bytes, instant Now);
 
-  /// Sends what is due.
+  /// Sends the delayed packets whose delivery time has come.
   void deliverDue(instant Now);
   std::optional<instant> nextDue() const { return Queue.nextDue(); }
 
@@ -95,10 +99,11 @@
   send_hook Send;
   std::vector<endpoint> Balancers;
   fabric_faults Faults;
-  /// By the callers' own addresses.
+  /// Endpoints for answers, keyed by the address of the caller.
   std::unordered_map<std::uint32_t, endpoint> ReturnEndpoints;
   delay_queue Queue;
-  /// When the last packet of each link is due.
+  /// Delivery time of the last packet of each link; keeps the packets of a link
+  /// in order.
   std::map<link, instant> LastDue;
   fabric_counters Counters;
 };
--- a/standins/fabric/main.cpp
+++ b/standins/fabric/main.cpp
@@ -1,6 +1,6 @@
-// The fabric stand-in: sprays callers' packets over the balancers at random and
-// carries agents' answers back, with faults that can be changed while it runs
-// (see control_message.h).
+// The fabric stand-in: distributes callers' packets over the balancers at
+// random and returns the agents' answers, with simulated faults that can be
+// changed while it runs (see control_message.h).
 //
 // Settings: callers_listen, agents_listen, control_listen, status_listen,
 // balancers, seed, drop_percent, delay_ms, jitter_ms.
@@ -47,7 +47,7 @@
   return Settings;
 }
 
-/// The model joined to its three sockets.
+/// Connects the model to its three sockets, the timer and the status page.
 class fabric_process {
 public:
   fabric_process(event_loop &Loop, const program_settings &Settings)
@@ -91,8 +91,9 @@
     arm();
   }
 
-  /// One timer for all packets under way; packets due within its least period
-  /// leave together, so that a busy fabric does not wake for each.
+  /// Starts one timer for all delayed packets. Packets due within its minimum
+  /// period are sent together, so that the process does not wake up once per
+  /// packet under load.
   void arm() {
     const auto Due = Model.nextDue();
     if (Armed || !Due)
@@ -154,7 +155,7 @@
   if (auto Opened = Process.open(); !Opened)
     return Opened.error();
   Loop.onTerminate([&] { Loop.stop(); });
-  LOG(INFO) << "fabric: takes callers' packets on "
+  LOG(INFO) << "fabric: listening for callers' packets on "
             << toText(Settings.CallersListen);
   Loop.run();
   return {};
@@ -164,7 +165,7 @@
 
 int main(int Argc, char **Argv) {
   const std::string Path = startProgram(
-      Argc, Argv, "Stands in for the network between callers and balancers.");
+      Argc, Argv, "Simulates the network between callers and balancers.");
   const auto Failure = failureOf([&] { return serve(Path); });
   if (!Failure)
     return 0;
--- a/standins/load/attempt_log.h
+++ b/standins/load/attempt_log.h
@@ -1,8 +1,9 @@
-//===- attempt_log.h - What callers were told -------------------*- C++ -*-===//
+//===- attempt_log.h - Record of attempts of the callers --------*- C++ -*-===//
 ///
 /// \file
-/// One JSON line per ended attempt, flow event and fault, for the report: the
-/// callers' half of the evidence, beside the targets' own records.
+/// Writes one JSON line per ended attempt, flow event and fault.
+/// marjoram-report compares these lines, which show what the callers received,
+/// with the records that the targets write.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -16,6 +17,8 @@
 
 namespace marjoramrail::standins {
 
+/// What happened to a flow. OpenAtEnd: the flow was still usable when the
+/// experiment ended.
 enum class flow_event { Opened, Failed, Moved, Broken, OpenAtEnd };
 
 inline constexpr name_table<flow_event, 5> FlowEventNames = {{
@@ -26,6 +29,7 @@
     {flow_event::OpenAtEnd, "living"},
 }};
 
+/// Appends JSON lines to one file.
 class attempt_log {
 public:
   explicit attempt_log(const std::string &Path) : Out(Path) {}
--- a/standins/load/audit.cpp
+++ b/standins/load/audit.cpp
@@ -61,7 +61,7 @@
   }
 }
 
-/// The part of a request's name that its tries share.
+/// Returns the part of a request's name that all its attempts share.
 static std::string baseOf(const std::string &Request) {
   return Request.substr(0, Request.find('/'));
 }
@@ -115,7 +115,7 @@
       ++Result.RefusedButRan;
 }
 
-/// The shares of one service's hosts, added up by name.
+/// Work and flows per host, keyed by service name and host name.
 using shares_by_host = std::map<std::string, std::map<std::string, host_share>>;
 
 static shares_by_host addShares(const audit_input &Input) {
--- a/standins/load/audit.h
+++ b/standins/load/audit.h
@@ -1,8 +1,8 @@
-//===- audit.h - What an experiment proved or broke -------------*- C++ -*-===//
+//===- audit.h - Checks the records of an experiment ------------*- C++ -*-===//
 ///
 /// \file
-/// Compares what callers were told with what the targets recorded. Pure: lines
-/// in, findings out.
+/// Compares the callers' logs with the targets' records and counts violations.
+/// Does no file access: input and output are plain data.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,7 +19,7 @@
 
 namespace marjoramrail::standins {
 
-/// One ended attempt, read from a caller's log.
+/// One ended attempt from a caller's log.
 struct attempt_line {
   std::string Service;
   std::string Request;
@@ -32,6 +32,7 @@
   std::int64_t EndedUs = 0;
 };
 
+/// One flow event from a caller's log.
 struct flow_line {
   std::string Service;
   std::string Event;
@@ -41,6 +42,7 @@
   std::int64_t AtUs = 0;
 };
 
+/// One injected fault from a caller's log.
 struct fault_line {
   std::string Action;
   std::string Subject;
@@ -48,7 +50,7 @@
   std::int64_t AtUs = 0;
 };
 
-/// One line of a target's own record.
+/// One line of a target's record.
 struct run_line {
   std::string Event;
   std::string Host;
@@ -60,53 +62,60 @@
   std::int64_t AtUs = 0;
 };
 
+/// All records of one experiment.
 struct audit_input {
   std::vector<attempt_line> Attempts;
   std::vector<flow_line> Flows;
   std::vector<fault_line> Faults;
   std::vector<run_line> Runs;
 
-  /// Adds the lines of a caller's log or a target's record; a line cut short
-  /// by a kill is counted and left out.
+  /// Adds the lines of a caller's log or a target's record. A line that is
+  /// incomplete because its process was killed is counted and skipped.
   void read(std::istream &In);
   std::uint64_t MalformedLines = 0;
 };
 
+/// Hosts that get special treatment in the audit.
 struct audit_settings {
-  /// Hosts that the plan kills: their flows may break.
+  /// Hosts that the fault plan kills; their flows may break.
   std::set<std::string> KilledHosts;
-  /// Hosts that the plan freezes, drains or kills: no part of imbalance.
+  /// Hosts that the fault plan freezes, drains or kills; left out of the
+  /// imbalance figures.
   std::set<std::string> ExcludedHosts;
 };
 
+/// The counts and violations that the audit found.
 struct audit_result {
   std::uint64_t Requests = 0;
   std::uint64_t Ok = 0;
   std::uint64_t Refused = 0;
   std::uint64_t Unknown = 0;
-  /// Answers that were not whole or another request's.
+  /// Answers that were incomplete or belonged to another request.
   std::uint64_t Wrong = 0;
   std::uint64_t BrokenFlows = 0;
-  /// Of these, flows whose own host was killed.
+  /// Broken flows whose host was killed; these are no violations.
   std::uint64_t AllowedBroken = 0;
   std::uint64_t MovedFlows = 0;
   std::uint64_t Misrouted = 0;
   std::uint64_t RanTwice = 0;
-  /// Attempts that a caller was told were not run, and that ran.
+  /// Attempts that ran on a target although the caller was told that they did
+  /// not run.
   std::uint64_t RefusedButRan = 0;
   std::map<std::string, service_shares> Services;
 
   double worstImbalance() const;
-  /// No promise broke.
+  /// Whether the experiment had requests and no violation was found.
   bool passed() const;
-  /// The same, but for broken flows: a starved machine can pause a process for
-  /// longer than its peers wait for it, so they decide no test's verdict.
+  /// Like passed(), but ignores broken flows. A machine short of CPU time can
+  /// pause a process for longer than its peers wait, which breaks flows without
+  /// a fault in the software, so tests don't fail for them.
   bool passedIgnoringBrokenFlows() const;
 };
 
+/// Checks \p Input and returns what was found.
 audit_result audit(const audit_input &Input, const audit_settings &Settings);
 
-/// The line that scripts read.
+/// Returns the summary as `name=value` pairs in one line, for scripts.
 std::string summaryLine(const audit_result &Result);
 
 } // namespace marjoramrail::standins
--- a/standins/load/audit_report.h
+++ b/standins/load/audit_report.h
@@ -1,7 +1,7 @@
-//===- audit_report.h - The report of an experiment -------------*- C++ -*-===//
+//===- audit_report.h - Report of an experiment -----------------*- C++ -*-===//
 ///
 /// \file
-/// Turns evidence and its audit into the report that people read.
+/// Builds the HTML and JSON report from the records and the audit result.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -12,6 +12,7 @@
 
 namespace marjoramrail::standins {
 
+/// Returns the report of the experiment with the heading \p Title.
 experiment_report reportOf(const std::string &Title, const audit_input &Input,
                            const audit_result &Result);
 
--- a/standins/load/caller_flow.cpp
+++ b/standins/load/caller_flow.cpp
@@ -8,8 +8,8 @@
 
 using std::chrono::milliseconds;
 
-/// Past its deadline a caller waits this much longer for the answer that is on
-/// its way, then gives the request up.
+/// How long a caller waits beyond the deadline of a request, for an answer that
+/// is in transit, before it cancels the request.
 static constexpr duration ResponseGracePeriod = milliseconds(1000);
 
 caller_flow::caller_flow(timer_service &Timers, std::string Service,
@@ -128,12 +128,13 @@
 }
 
 void caller_flow::cancelRequest(h2_stream Stream) {
-  // OnClose tells the outcome: no answer, so unknown.
+  // OnClose then reports the outcome: without an answer it is unknown.
   Session->reset(Stream, h2_error::Cancel);
   Session->flush();
 }
 
-/// The agent that owns the flow, which is the last one an answer passed.
+/// Returns the agent that owns the flow, which is the last entry of the via
+/// header field of an answer.
 static std::string ownerIn(std::string_view Via) {
   const auto Space = Via.rfind(' ');
   return Space == std::string_view::npos ? ""
@@ -184,7 +185,7 @@
   closeIfIdle();
 }
 
-/// The "run" member of a refusal's body, or "".
+/// Returns the "run" member of the JSON body of a refusal, or "".
 static std::string runFieldOf(const std::string &Body) {
   const auto Json = nlohmann::json::parse(Body, nullptr, false);
   return Json.is_object() ? Json.value("run", "") : "";
@@ -203,7 +204,8 @@
   const auto Json = nlohmann::json::parse(Body, nullptr, false);
   if (!Json.is_object())
     return false;
-  // A repeat of a key finds the first attempt's answer, which is its own too.
+  // A retry with the same key can get the answer of an earlier attempt, which
+  // is correct too.
   const std::string Base = Attempt.Request.substr(0, Attempt.Request.find('/'));
   return Json.value("request", "").starts_with(Base + "/");
 }
@@ -232,8 +234,8 @@
 void caller_flow::closeIfIdle() {
   if (!GoingAway || Ended || !Pending.empty())
     return;
-  // A caller that was asked to leave ends its long stream itself; nothing of
-  // it is lost, since it starts again on the next flow.
+  // After GOAWAY the caller ends its long-lived stream itself. No data is lost,
+  // because the stream starts again on the next flow.
   endFlow(flow_outcome::Moved, "told to leave");
 }
 
--- a/standins/load/caller_flow.h
+++ b/standins/load/caller_flow.h
@@ -1,9 +1,9 @@
-//===- caller_flow.h - One flow of a caller ---------------------*- C++ -*-===//
+//===- caller_flow.h - HTTP/2 connection of a caller ------------*- C++ -*-===//
 ///
 /// \file
-/// A caller's TCP flow with an HTTP/2 session in it, as a broker's program or a
-/// driver's tablet would hold: it sends requests, keeps a long stream open,
-/// moves to a new flow when told GOAWAY, and tells how each attempt ended.
+/// A caller's TCP flow with an HTTP/2 session, as a real client program holds.
+/// It sends requests, keeps a long-lived stream open, closes once its requests
+/// have ended after GOAWAY, and reports the outcome of each attempt.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,34 +19,38 @@
 
 namespace marjoramrail::standins {
 
+/// One attempt to execute a request.
 struct attempt {
-  /// Unique per attempt; the target's record and its answer carry it.
+  /// Unique per attempt; also in the target's record and its answer.
   std::string Request;
   std::string Key;
   std::string Path;
   std::uint32_t WorkMs = 0;
   std::uint32_t DeadlineMs = 0;
   std::uint32_t DocumentBytes = 0;
-  /// Which try of the same request this is, from 1.
+  /// Number of the attempt within the same request, from 1.
   std::uint32_t Try = 1;
   instant First;
 };
 
+/// The result of an attempt.
 struct attempt_end {
   attempt_outcome Outcome = attempt_outcome::Unknown;
   std::string Status;
-  /// The target that answered, in its own words.
+  /// Name of the target that answered, from its x-host header field.
   std::string Host;
   duration RetryAfter = duration::zero();
 };
 
+/// Why a flow ended.
 enum class flow_outcome {
-  /// Told GOAWAY and moved, after its requests had ended.
+  /// Closed after GOAWAY, once its requests had ended.
   Moved,
-  /// Reset or silent while the caller still wanted it.
+  /// Reset or timed out while the caller still used it.
   Broken,
 };
 
+/// One flow of a caller to a service.
 class caller_flow {
 public:
   struct hooks {
@@ -61,13 +65,13 @@
   result<void> open(tcp_stack &Stack, const endpoint &Local,
                     const endpoint &Service);
 
-  /// Starts the long stream once the flow is open.
+  /// Keeps one long-lived stream open from the time when the flow is open.
   void enableLongStream(std::uint32_t IntervalMs);
 
   bool usable() const { return Open && !GoingAway && !Ended; }
   void send(attempt Attempt);
 
-  /// The host whose agent owns the flow, once an answer has come.
+  /// Host whose agent owns the flow; empty before the first answer.
   const std::string &host() const { return Host; }
   std::uint64_t ticks() const { return Ticks; }
 
@@ -104,7 +108,8 @@
   std::uint32_t StreamIntervalMs = 0;
   std::uint64_t Ticks = 0;
   std::string Host;
-  /// Lets a timer find out that the flow is no more.
+  /// Timer callbacks hold a weak pointer to it, to detect that the flow has
+  /// been destroyed.
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
   bool Open = false;
   bool GoingAway = false;
--- a/standins/load/fault_driver.h
+++ b/standins/load/fault_driver.h
@@ -1,9 +1,10 @@
-//===- fault_driver.h - Carries out the fault plan --------------*- C++ -*-===//
+//===- fault_driver.h - Executes the fault plan -----------------*- C++ -*-===//
 ///
 /// \file
-/// Signals processes by the pid files that the starting script wrote, talks to
-/// the fabric and the platform stand-in, and asks the script for what needs a
-/// new process, since this one starts none.
+/// Sends signals to processes, found by the pid files that scripts/site wrote,
+/// and control messages to the fabric and platform stand-ins. Faults that need
+/// a new process are requested from scripts/site, because this process starts
+/// none.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -16,6 +17,7 @@
 
 namespace marjoramrail::standins {
 
+/// Executes each planned fault at its time.
 class fault_driver {
 public:
   using done_hook = std::function<void(const planned_fault &)>;
@@ -23,9 +25,9 @@
   fault_driver(event_loop &Loop, const load_settings &Settings,
                done_hook OnDone);
 
-  /// Opens the socket to the fabric.
+  /// Opens the socket for control messages to the fabric.
   result<void> open();
-  /// Sets a timer per fault, counted from now.
+  /// Starts a timer per fault; the times of the plan count from now.
   void start();
 
 private:
--- a/standins/load/load_run.cpp
+++ b/standins/load/load_run.cpp
@@ -11,8 +11,8 @@
 static constexpr duration TickPeriod = milliseconds(10);
 static constexpr double TicksPerSecond = 100;
 static constexpr std::uint32_t MaxTries = 6;
-/// A caller that does not know whether its request ran asks again after this,
-/// under the same key.
+/// Delay before a caller that does not know whether its request ran retries it
+/// with the same key.
 static constexpr duration UnknownRetryDelay = milliseconds(300);
 static constexpr duration ReopenDelay = milliseconds(50);
 static constexpr duration MaxReopenDelay = seconds(2);
@@ -141,7 +141,7 @@
   Log.flow(Group.Load.Name, Event, toText(Slot.Local), Host, Reason,
            Loop.timers().now());
   Slot.Opened = false;
-  // The flow is still on the call stack: its owner lets it go later.
+  // A method of the flow is still on the call stack, so destroy it later.
   Loop.defer([Old = std::shared_ptr<caller_flow>(std::move(Slot.Flow))] {});
   const duration Delay =
       Moved
@@ -250,7 +250,7 @@
     ++Totals.Refused;
     return;
   case attempt_outcome::Unknown:
-    // Only a key makes another try safe.
+    // A retry is safe only with an idempotency key.
     if (MayRetry && !Attempt.Key.empty()) {
       ++Totals.Retries;
       return retry(Group, nextTry(Attempt), UnknownRetryDelay);
--- a/standins/load/load_run.h
+++ b/standins/load/load_run.h
@@ -1,9 +1,10 @@
 //===- load_run.h - Flows and requests of one experiment --------*- C++ -*-===//
 ///
 /// \file
-/// Opens flows at a rate, spreads requests over them (evenly or skewed),
-/// behaves as well-made callers do: comes back when told to, asks again under
-/// the same key when an outcome is unknown, moves when told GOAWAY.
+/// Opens flows at a given rate and distributes requests over them, evenly or
+/// skewed. Behaves like a correct client: retries after the time that the
+/// answer names, retries with the same key when an outcome is unknown, and
+/// opens a new flow after GOAWAY.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,6 +20,7 @@
 
 namespace marjoramrail::standins {
 
+/// Counts of requests and flows.
 struct load_totals {
   std::uint64_t Requests = 0;
   std::uint64_t Ok = 0;
@@ -31,13 +33,15 @@
   std::uint64_t Broken = 0;
 };
 
+/// Runs the callers of one experiment.
 class load_run {
 public:
   load_run(event_loop &Loop, tcp_stack &Stack, const load_settings &Settings,
            attempt_log &Log);
   ~load_run();
 
-  /// OnSending: all flows are open and requests begin.
+  /// Calls \p OnSending when all flows are open and requests start, and
+  /// \p OnDone when the experiment has ended.
   void start(std::function<void()> OnSending, std::function<void()> OnDone);
   const load_totals &totals() const { return Totals; }
   std::size_t openFlows() const;
--- a/standins/load/load_settings.cpp
+++ b/standins/load/load_settings.cpp
@@ -68,7 +68,7 @@
   BOOST_LEAF_CHECK(Reader.finish());
   if (!Unknown.empty())
     return fail(step::ParseSettings, "faults",
-                "action " + Unknown.front() + " is not known");
+                "unknown action " + Unknown.front());
   return Settings;
 }
 
--- a/standins/load/load_settings.h
+++ b/standins/load/load_settings.h
@@ -1,7 +1,8 @@
-//===- load_settings.h - One experiment -------------------------*- C++ -*-===//
+//===- load_settings.h - Settings of one experiment -------------*- C++ -*-===//
 ///
 /// \file
-/// What marjoram-load opens, sends and breaks, read from JSON with comments.
+/// The flows, requests and faults of marjoram-load, read from JSON with
+/// comments.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,16 +23,16 @@
   std::uint32_t Flows = 0;
   std::uint32_t OpenPerSecond = 0;
   std::uint32_t RequestsPerSecond = 0;
-  /// Flows that keep a long stream (status, alerts) open.
+  /// Share of the flows that keep a long-lived stream (status, alerts) open.
   std::uint32_t StreamPercent = 0;
   std::uint32_t StreamIntervalMs = 1000;
-  /// Requests that carry an Idempotency-Key.
+  /// Share of the requests with an Idempotency-Key header field.
   std::uint32_t KeyedPercent = 0;
   std::uint32_t WorkMs = 1;
-  /// Long work among short.
+  /// Share of the requests that take LongWorkMs instead of WorkMs.
   std::uint32_t LongPercent = 0;
   std::uint32_t LongWorkMs = 1;
-  /// More than 0: documents of this size instead of work.
+  /// If not 0, requests fetch documents of this size instead of doing work.
   std::uint32_t DocumentBytes = 0;
   std::uint32_t DeadlineMs = 2000;
   /// The first SkewFlows flows send SkewPercent of the requests.
@@ -39,18 +40,19 @@
   std::uint32_t SkewPercent = 0;
 };
 
-/// What is done to the site, and when.
+/// The kinds of faults that can be injected.
 enum class fault_action {
   Kill,
   Freeze,
   Thaw,
-  /// Asks whoever started the processes to start one (this tool starts none).
+  /// Requests the start of a process from scripts/site.
   Start,
   /// Sends Argument, a JSON object, to the fabric's control address.
   Fabric,
-  /// Sends Argument, a JSON object, to the platform's fault page.
+  /// Sends Argument, a JSON object, to /v1/faults of the platform stand-in.
   Platform,
-  /// Asks for a script step of that name: a drain, a change of configuration.
+  /// Requests a named step from scripts/site, such as a drain or a change of
+  /// the configuration.
   Step,
 };
 
@@ -64,34 +66,37 @@
     {fault_action::Step, "step"},
 }};
 
+/// One entry of the fault plan.
 struct planned_fault {
   duration At = duration::zero();
   fault_action Action{};
-  /// A process's name (its pid is in PIDS/NAME.pid) or a step.
+  /// Name of a process (its pid is in FOLDER/NAME.pid) or of a step.
   std::string Subject;
   std::string Argument;
 };
 
+/// All settings of one experiment.
 struct load_settings {
   std::uint64_t Seed = 1;
   /// How long requests are sent after the last flow has been opened.
   duration SendDuration = duration::zero();
-  /// How long requests under way may take at the end.
+  /// How long outstanding requests may take at the end.
   duration Grace = duration::zero();
   endpoint Local;
   endpoint Fabric;
   endpoint FabricControl;
   endpoint Platform;
-  /// Callers' addresses start here; one per 1,000 flows.
+  /// First address of the callers; each 1,000 flows use one address.
   std::uint32_t FirstCaller = 0;
-  /// Where attempts are recorded and pid files stand.
+  /// Folder of the attempt logs and pid files.
   std::string Folder;
-  /// Hosts whose flows may break, because the plan kills them.
+  /// Hosts that the fault plan kills; their flows may break.
   std::vector<std::string> KilledHosts;
   std::vector<service_load> Services;
   std::vector<planned_fault> Faults;
 };
 
+/// Reads the settings; fails with step::ParseSettings.
 result<load_settings> readLoadSettings(settings_reader &Reader);
 
 } // namespace marjoramrail::standins
--- a/standins/load/main.cpp
+++ b/standins/load/main.cpp
@@ -1,5 +1,5 @@
-// marjoram-load: callers with real TCP and HTTP/2, a fault plan, and a record
-// of what callers were told.
+// marjoram-load: simulates callers with real TCP and HTTP/2, executes a fault
+// plan, and records the outcome of each attempt.
 
 #include "fault_driver.h"
 #include "load_run.h"
@@ -44,8 +44,8 @@
 }
 
 int main(int Argc, char **Argv) {
-  const std::string Path =
-      startProgram(Argc, Argv, "Opens flows, sends requests, breaks things.");
+  const std::string Path = startProgram(
+      Argc, Argv, "Opens flows, sends requests and injects faults.");
   const auto Failure = failureOf([&] { return run(Path); });
   if (!Failure)
     return 0;
--- a/standins/load/report_main.cpp
+++ b/standins/load/report_main.cpp
@@ -1,4 +1,4 @@
-// marjoram-report: reads the evidence of an experiment and says what was kept.
+// marjoram-report: audits the records of an experiment and writes its report.
 
 #include "audit_report.h"
 
@@ -11,15 +11,15 @@
 using namespace marjoramrail;
 using namespace marjoramrail::standins;
 
-DEFINE_string(folder, "", "Where callers' logs and targets' records stand.");
+DEFINE_string(folder, "", "Folder of the callers' logs and targets' records.");
 DEFINE_string(prefix, "report", "The word before the summary line.");
 DEFINE_string(title, "An experiment", "The heading of the report.");
 DEFINE_string(killed, "", "Hosts that the plan kills, separated by commas.");
 DEFINE_string(excluded, "",
-              "Hosts that the plan freezes or drains: no part of imbalance.");
+              "Hosts that the plan freezes or drains; not part of imbalance.");
 
 DEFINE_bool(timing_free, false,
-            "Broken flows are printed but do not decide the exit code.");
+            "Print broken flows, but ignore them in the exit code.");
 
 static std::set<std::string> namesIn(const std::string &List) {
   std::set<std::string> Names;
@@ -58,8 +58,8 @@
 }
 
 int main(int Argc, char **Argv) {
-  gflags::SetUsageMessage("Audits the evidence of an experiment; exit code 1 "
-                          "if a promise broke.");
+  gflags::SetUsageMessage("Audits the records of an experiment; exit code 1 "
+                          "if a violation was found.");
   gflags::ParseCommandLineFlags(&Argc, &Argv, /*remove_flags=*/true);
   if (!std::filesystem::is_directory(FLAGS_folder)) {
     std::cerr << "marjoram-report: --folder=" << FLAGS_folder
--- a/standins/platform/call_rate_limiter.h
+++ b/standins/platform/call_rate_limiter.h
@@ -1,7 +1,7 @@
 //===- call_rate_limiter.h - Limit on the rate of calls ---------*- C++ -*-===//
 ///
 /// \file
-/// A token bucket: the rate allowed, with bursts of up to one second's calls.
+/// A token bucket that allows bursts of up to one second's calls.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -14,12 +14,13 @@
 
 namespace marjoramrail::standins {
 
+/// Limits the calls of one kind to a rate.
 class call_rate_limiter {
 public:
   explicit call_rate_limiter(double PerSecond)
       : PerSecond(PerSecond), Tokens(PerSecond) {}
 
-  /// Whether one more call is allowed at \p Now.
+  /// Takes one token. Returns whether the call is allowed at \p Now.
   bool take(instant Now) {
     const std::chrono::duration<double> Elapsed = Now - Last;
     Last = Now;
--- a/standins/platform/http_server.cpp
+++ b/standins/platform/http_server.cpp
@@ -11,7 +11,8 @@
 
 namespace marjoramrail::standins {
 
-/// An open request; Id tells it from a later one at the same address.
+/// Identifies an open request. Pointers cannot, because libevhtp can reuse the
+/// address of a request for a later one.
 using request_id = std::uint64_t;
 
 struct http_server::impl {
@@ -43,7 +44,7 @@
   void removeRequest(evhtp_request_t *Request);
 };
 
-/// libevhtp takes hooks of every kind as one type and casts them back.
+/// Casts a hook to the one type that libevhtp takes for hooks of every kind.
 template <typename Hook> static evhtp_hook asHook(Hook Function) {
   return reinterpret_cast<evhtp_hook>(reinterpret_cast<void (*)()>(Function));
 }
@@ -116,7 +117,7 @@
   const auto Delay = std::chrono::milliseconds(Core.faults().DelayMs);
   if (isControlPage(Read.Path) || Delay.count() == 0)
     return process(Id, Read);
-  // A late change takes effect although its sender may have given it up.
+  // A delayed change takes effect even if its sender has timed out.
   Loop.timers().after(Delay, [this, Id, Read = std::move(Read),
                               Alive = std::weak_ptr<bool>(Alive)] {
     if (!Alive.expired())
@@ -177,8 +178,8 @@
   evhtp_send_reply(Request, static_cast<evhtp_res>(Reply.Code));
 }
 
-/// Ends the connection from the socket's side; libevhtp then finds its end and
-/// frees it where it is safe to.
+/// Shuts the socket down. libevhtp then sees the end of the connection and
+/// frees it when that is safe.
 void http_server::impl::closeConnection(request_id Id) {
   bufferevent *Stream = evhtp_request_get_bev(Open.at(Id));
   shutdown(bufferevent_getfd(Stream), SHUT_RDWR);
@@ -206,7 +207,8 @@
   evhtp_unbind_socket(Impl->Http);
 }
 
-/// Follows the open connections: libevhtp does not end them with its server.
+/// Records the open connections in \p Connections, because libevhtp does not
+/// close them when its server is freed.
 static void trackConnections(evhtp_t *Http,
                              std::set<evhtp_connection_t *> &Connections) {
   evhtp_set_post_accept_cb(
@@ -240,7 +242,8 @@
   const std::string Host = Text.substr(0, Text.rfind(':'));
   constexpr int Backlog = 1024;
   if (evhtp_bind_socket(Impl->Http, Host.c_str(), Local.Port, Backlog) != 0)
-    return fail(step::OpenSocket, Text, "the platform cannot listen there");
+    return fail(step::OpenSocket, Text,
+                "the platform cannot listen on this address");
   return {};
 }
 
--- a/standins/platform/http_server.h
+++ b/standins/platform/http_server.h
@@ -1,8 +1,9 @@
-//===- http_server.h - The platform stand-in over libevhtp ------*- C++ -*-===//
+//===- http_server.h - HTTP server of the platform stand-in -----*- C++ -*-===//
 ///
 /// \file
-/// Takes HTTP requests to a platform_core, lets watches wait and delays what
-/// the faults say should be late.
+/// Serves a platform_core with libevhtp: passes HTTP requests to it, keeps
+/// watches open until they have an answer, and delays requests by the
+/// configured fault.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -15,6 +16,7 @@
 
 namespace marjoramrail::standins {
 
+/// The HTTP server of the platform stand-in.
 class http_server {
 public:
   http_server(event_loop &Loop, platform_core &Core);
@@ -26,7 +28,7 @@
   result<void> open(const endpoint &Local);
   endpoint local() const;
 
-  /// Answers what waits and takes no more connections.
+  /// Answers the waiting watches and stops accepting connections.
   void close();
 
 private:
--- a/standins/platform/main.cpp
+++ b/standins/platform/main.cpp
@@ -10,13 +10,13 @@
 using namespace marjoramrail::standins;
 
 static const char *const Usage =
-    "The platform's place in tests: the object API over HTTP/JSON.\n"
+    "Simulates the platform in tests: the object API over HTTP/JSON.\n"
     "Usage: platform --settings=FILE [--check_settings]\n"
     "Settings (JSON with comments):\n"
     "  listen             ADDRESS:PORT\n"
     "  writes_per_second  1 to 1000000, default 500\n"
     "  reads_per_second   1 to 1000000, default 2000\n"
-    "  seed               of the answers to lose, default 1\n"
+    "  seed               selects the answers to lose, default 1\n"
     "  objects            files or folders of objects to start with";
 
 namespace {
@@ -89,7 +89,7 @@
   if (auto Loaded = load(Core.store(), Settings.Objects); !Loaded)
     return Loaded.error();
   if (onlyCheckSettings()) {
-    LOG(INFO) << "platform: settings are right";
+    LOG(INFO) << "platform: settings are valid";
     return {};
   }
   event_loop Loop;
@@ -100,7 +100,7 @@
     Server.close();
     Loop.stop();
   });
-  LOG(INFO) << "platform: listens on " << toText(Server.local()) << " with "
+  LOG(INFO) << "platform: listening on " << toText(Server.local()) << " with "
             << Core.store().version() << " objects";
   Loop.run();
   return {};
--- a/standins/platform/object_store.h
+++ b/standins/platform/object_store.h
@@ -1,8 +1,8 @@
-//===- object_store.h - Objects with versions -------------------*- C++ -*-===//
+//===- object_store.h - Versioned object store ------------------*- C++ -*-===//
 ///
 /// \file
-/// What the platform keeps: objects whose versions come from one counter, with
-/// conditional changes. Pure: no network, no clock.
+/// The objects of the platform stand-in. All versions come from one counter,
+/// and changes are conditional on the version. Uses no network and no clock.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,25 +17,28 @@
 
 namespace marjoramrail::standins {
 
+/// Stores objects with a short history of versions.
 class object_store {
 public:
-  /// Versions of one object kept for answers from the past.
+  /// Number of versions kept per object, for serveOldVersion().
   static constexpr std::size_t VersionsKept = 8;
 
   std::uint64_t version() const { return Version; }
 
-  /// Answers reads, lists and watches as of store version \p Horizon, as a
-  /// replica that has fallen behind does. Changes see the present.
+  /// Answers reads, lists and watches as of store version
+  /// \p MaxVisibleVersion, like a replica that has fallen behind. Changes use
+  /// the current version.
   void serveOldVersion(std::optional<std::uint64_t> MaxVisibleVersion) {
     this->MaxVisibleVersion = MaxVisibleVersion;
   }
 
   platform_reply read(const object_key &Key) const;
   platform_reply list(const std::string &Kind) const;
-  /// Everything last changed after \p Since, deletions among it.
+  /// Returns the objects last changed after \p Since, including deleted ones.
   platform_reply changes(std::uint64_t Since) const;
 
-  /// Changes an object if \p Expected is the version that stands.
+  /// Changes an object if \p Expected is its current version (0 if it does not
+  /// exist).
   platform_reply write(const platform_object &Object, std::uint64_t Expected);
   platform_reply remove(const platform_object &Object, std::uint64_t Expected);
 
@@ -48,7 +51,7 @@
   platform_reply change(const platform_object &Object, std::uint64_t Expected);
 
   std::map<object_key, history> Objects;
-  /// The key last changed at each version, for watches.
+  /// The key of the object last changed at each version, for watches.
   std::map<std::uint64_t, object_key> KeysByVersion;
   std::uint64_t Version = 0;
   std::optional<std::uint64_t> MaxVisibleVersion;
--- a/standins/platform/platform_core.h
+++ b/standins/platform/platform_core.h
@@ -1,8 +1,8 @@
-//===- platform_core.h - The object API without a network -------*- C++ -*-===//
+//===- platform_core.h - Object API without a network -----------*- C++ -*-===//
 ///
 /// \file
-/// Decides what each HTTP request of platform.h gets: limits, faults, the
-/// store, and watches that wait.
+/// Handles the HTTP requests that marjoramrail/platform.h describes: applies
+/// rate limits and faults, accesses the store, and lets watches wait.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,6 +17,7 @@
 
 namespace marjoramrail::standins {
 
+/// The parts of an HTTP request that the platform stand-in uses.
 struct http_request {
   std::string Method;
   std::string Path;
@@ -28,33 +29,37 @@
   std::string Body;
 };
 
+/// An HTTP response.
 struct http_reply {
   int Code = 200;
   std::string Body;
-  /// Seconds; 0 = no such field.
+  /// Value of Retry-After in seconds; 0 omits the header field.
   int RetryAfter = 0;
 };
 
-/// Whether \p Path is one of the stand-in's own pages, which no fault touches:
-/// /v1/faults, /v1/counters and /readyz.
+/// Whether \p Path is a page that controls or observes the stand-in and is not
+/// affected by faults: /v1/faults, /v1/counters and /readyz.
 bool isControlPage(std::string_view Path);
 
-/// What becomes of a request.
+/// How the server responds to a request.
 struct request_decision {
   enum class action { Answer, CloseWithoutAnswer, WaitForChange };
 
   action Action = action::Answer;
   http_reply Reply;
-  /// Of a watch that waits.
+  /// For WaitForChange: the version after which changes are awaited, and how
+  /// long.
   std::uint64_t Since = 0;
   duration Wait = duration::zero();
 };
 
+/// Rate limits of the platform stand-in.
 struct platform_limits {
   double WritesPerSecond = 500;
   double ReadsPerSecond = 2000;
 };
 
+/// Counts of calls, shown at /v1/counters.
 struct call_counters {
   std::uint64_t Reads = 0;
   std::uint64_t Lists = 0;
@@ -67,6 +72,7 @@
   std::uint64_t LostAnswers = 0;
 };
 
+/// The platform stand-in without its HTTP server.
 class platform_core {
 public:
   platform_core(const platform_limits &Limits, std::uint64_t Seed);
@@ -77,9 +83,9 @@
 
   request_decision handle(const http_request &Request, instant Now);
 
-  /// The answer to a waiting watch, if there is one by now.
+  /// Returns the response to a waiting watch if it has one now.
   std::optional<request_decision> pollWatch(std::uint64_t Since) const;
-  /// The answer to a watch that has waited its time.
+  /// Returns the response to a watch whose waiting time is over.
   http_reply watchReply(std::uint64_t Since) const;
 
 private:
--- a/standins/platform/platform_faults.h
+++ b/standins/platform/platform_faults.h
@@ -1,14 +1,14 @@
-//===- platform_faults.h - Faults that can be switched on -------*- C++ -*-===//
+//===- platform_faults.h - Faults of the platform stand-in ------*- C++ -*-===//
 ///
 /// \file
-/// What is wrong with the platform at the moment. Switched while it runs by
-/// PUT /v1/faults, whose JSON changes the fields that it names:
+/// The faults that the platform stand-in simulates. PUT /v1/faults changes them
+/// at run time; its JSON body changes the fields that it names:
 ///   {"down": true}                every call is refused with 503
-///   {"cut": true}                 connections end with no answer, nothing done
+///   {"cut": true}                 connections close without an answer, no
+///   effect
 ///   {"delay_ms": 500}             every call takes effect that much later
-///   {"lose_answers_percent": 10}  changes take effect, their answer is lost
-///   {"serve_old_version": 7}      reads answer as of version 7; 0 = the
-///   present
+///   {"lose_answers_percent": 10}  changes take effect, their answers are lost
+///   {"serve_old_version": 7}      reads answer as of version 7; 0 = current
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,6 +19,7 @@
 
 namespace marjoramrail::standins {
 
+/// The faults that are switched on.
 struct platform_faults {
   bool Down = false;
   bool Cut = false;
@@ -31,6 +32,7 @@
 result<platform_faults> changeFaults(const platform_faults &Faults,
                                      std::string_view Json);
 
+/// Returns all fields as the JSON object that /v1/faults shows.
 std::string toJson(const platform_faults &Faults);
 
 } // namespace marjoramrail::standins
--- a/standins/target/main.cpp
+++ b/standins/target/main.cpp
@@ -1,5 +1,5 @@
-// The target stand-in: one back-end host of a service, over cleartext HTTP/2,
-// or an echo server for services of the protocol tcp.
+// The target stand-in: simulates one back-end host of a service, with cleartext
+// HTTP/2, or as an echo server for services with the protocol tcp.
 
 #include "target_server.h"
 
@@ -46,7 +46,7 @@
   return Settings;
 }
 
-/// Sends back what it receives, for services whose bytes are opaque.
+/// Sends back what it receives; used for services with the protocol tcp.
 class echo_server {
 public:
   explicit echo_server(event_loop &Loop)
@@ -89,7 +89,7 @@
   else
     BOOST_LEAF_CHECK(Server.open(Settings.Listen));
   Loop.onTerminate([&] { Loop.stop(); });
-  LOG(INFO) << "target: " << Settings.Name << " listens on "
+  LOG(INFO) << "target: " << Settings.Name << " listening on "
             << toText(Settings.Listen);
   Loop.run();
   return {};
@@ -99,7 +99,7 @@
 
 int main(int Argc, char **Argv) {
   const std::string Path =
-      startProgram(Argc, Argv, "Stands in for one target host of a service.");
+      startProgram(Argc, Argv, "Simulates one target host of a service.");
   const auto Failure = failureOf([&] { return serve(Path); });
   if (!Failure)
     return 0;
--- a/standins/target/run_record.cpp
+++ b/standins/target/run_record.cpp
@@ -25,8 +25,8 @@
       {"work_us", Work.count()},
       {"at_us", Now.time_since_epoch().count()},
   };
-  // Flushed at once: a target that is killed must not lose what it ran, or a
-  // second run elsewhere would look like the first.
+  // Flush each line: if a killed target lost the record of a run, a second run
+  // on another target would look like the first one.
   Out << Line.dump() << std::endl;
 }
 
--- a/standins/target/run_record.h
+++ b/standins/target/run_record.h
@@ -1,9 +1,9 @@
-//===- run_record.h - What ran on one target --------------------*- C++ -*-===//
+//===- run_record.h - Record of requests that ran on a target ---*- C++ -*-===//
 ///
 /// \file
-/// One JSON line per event of a request, appended to a file: the judge of
-/// at-most-once, misrouting and imbalance, since it does not rest on the
-/// system's own word.
+/// Appends one JSON line per event of a request to a file. The audit checks
+/// at-most-once execution, misrouting and imbalance with it, because it is
+/// independent of what the balancers and agents report.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,6 +17,7 @@
 
 namespace marjoramrail::standins {
 
+/// Events of a request on a target.
 enum class run_event { Begin, End, Cancel, Shed };
 
 inline constexpr name_table<run_event, 4> RunEventNames = {{
@@ -26,18 +27,19 @@
     {run_event::Shed, "shed"},
 }};
 
-/// What a request says of itself.
+/// Header fields that identify a request.
 struct request_metadata {
-  /// The service that the caller meant.
+  /// The service that the caller addressed (x-service).
   std::string Service;
-  /// The caller's own number of the request.
+  /// The caller's identifier of the attempt (x-request).
   std::string Request;
   std::string Key;
 };
 
+/// Writes the record of one target.
 class run_record {
 public:
-  /// \p Path may be empty: nothing is kept.
+  /// If \p Path is empty, nothing is recorded.
   run_record(std::string Host, std::string Service, const std::string &Path);
 
   void add(run_event Event, const request_metadata &Metadata, duration Work,
--- a/standins/target/target_model.h
+++ b/standins/target/target_model.h
@@ -1,9 +1,9 @@
-//===- target_model.h - Slots and faults of a target stand-in ---*- C++ -*-===//
+//===- target_model.h - Simulated capacity of a target ----------*- C++ -*-===//
 ///
 /// \file
-/// A target host as the brief describes it: slots, a short queue, cold start,
-/// shedding, cancellation, deadlines and a load report that lags or misleads.
-/// Pure: time comes from a timer_service.
+/// Simulates a target host: slots, a short queue, cold start, load shedding,
+/// cancellation, deadlines, and a load report that can be late or wrong. Does
+/// no I/O; time comes from a timer_service.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,53 +20,57 @@
 
 namespace marjoramrail::standins {
 
+/// Capacity and faults of the simulated target.
 struct target_settings {
   std::uint32_t Slots = 4;
-  /// Requests that wait for a slot; more are shed.
+  /// Maximum number of requests that wait for a slot; further ones are shed.
   std::uint32_t QueueLimit = 64;
-  /// Work takes longer by SlowPercent for this long after the start.
+  /// For this long after the start, work takes ColdPercent of its usual time.
   duration ColdStart = duration::zero();
   std::uint32_t ColdPercent = 300;
-  /// How old the load is that the target reports.
+  /// Age of the load that the target reports.
   duration LoadLag = duration::zero();
-  /// What it reports of its true load, in percent: 0 always looks idle.
+  /// Reported load in percent of the actual load; 0 always looks idle.
   std::uint32_t LoadPercent = 100;
 };
 
+/// How a request ended on the target.
 enum class work_outcome { Done, Shed, DeadlinePassed };
 
 /// One request as the target sees it.
 struct target_request {
   std::uint64_t Id = 0;
   duration Work = duration::zero();
-  /// Zero: none.
+  /// Zero means no deadline.
   duration Deadline = duration::zero();
   std::function<void()> OnBegin;
   std::function<void(work_outcome)> OnEnd;
 };
 
+/// Slots in use and requests in the queue.
 struct target_load {
   std::uint32_t Slots = 0;
   std::uint32_t Busy = 0;
   std::uint32_t Waiting = 0;
 };
 
+/// Runs requests in slots and queues or sheds the rest.
 class target_model {
 public:
   target_model(timer_service &Timers, const target_settings &Settings);
 
-  /// Runs, queues or sheds \p Request; its hooks tell which.
+  /// Runs, queues or sheds \p Request; its hooks report which.
   void submit(target_request Request);
 
-  /// The caller gave up: frees the slot or the place in the queue. Returns
+  /// Cancels a request and frees its slot or its place in the queue. Returns
   /// whether the request had begun.
   bool cancel(std::uint64_t Id);
 
-  /// What the load endpoint says.
+  /// The load that the load endpoint reports, see LoadLag and LoadPercent.
   target_load report() const;
   target_load actual() const;
 
-  /// Work takes \p Percent of its usual time from now on (1000 = 10x slower).
+  /// Makes work take \p Percent of its usual time (1000 = 10 times slower).
   void setSlow(std::uint32_t Percent) { SlowPercent = Percent; }
 
 private:
--- a/standins/target/target_server.cpp
+++ b/standins/target/target_server.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// The number in \p Text, or \p Default where there is none.
+/// Returns the number in \p Text, or \p Default if there is none.
 std::int64_t numberIn(std::string_view Text, std::int64_t Default) {
   std::int64_t Value = Default;
   const auto [End, Error] =
@@ -32,7 +32,7 @@
 
 } // namespace
 
-/// One kernel connection from an agent.
+/// One TCP connection from an agent.
 class target_server::connection {
 public:
   connection(target_server &Server, std::unique_ptr<tcp_stream> Peer);
--- a/standins/target/target_server.h
+++ b/standins/target/target_server.h
@@ -1,15 +1,15 @@
-//===- target_server.h - The HTTP/2 side of a target stand-in ---*- C++ -*-===//
+//===- target_server.h - HTTP/2 server of a target stand-in -----*- C++ -*-===//
 ///
 /// \file
 /// Serves, over cleartext HTTP/2 with prior knowledge:
 ///
-///   POST /work          runs for x-work-ms in a slot; answers who ran it
+///   POST /work          runs for x-work-ms in a slot; answers the host's name
 ///   GET  /document/N    N bytes, after x-work-ms in a slot
-///   GET  /stream        one line every x-interval-ms until the caller leaves
-///   GET  /load          {"slots":4,"busy":1,"waiting":0}, may lag or mislead
+///   GET  /stream        one line every x-interval-ms until the caller closes
+///   GET  /load          {"slots":4,"busy":1,"waiting":0}, may be late or wrong
 ///   POST /fault/slow/P  work takes P percent of its time from now on
 ///
-/// and keeps the record of what ran, which is the judge of every experiment.
+/// and records each request that ran, for the audit of the experiment.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,6 +25,7 @@
 
 namespace marjoramrail::standins {
 
+/// Accepts connections of the agent and passes requests to the model.
 class target_server {
 public:
   target_server(event_loop &Loop, std::string Host, target_model &Model,
