--- a/standins/load/caller_flow.h
+++ b/standins/load/caller_flow.h
@@ -46,7 +46,7 @@
 enum class flow_outcome {
   /// Closed after GOAWAY, once its requests had ended.
   Moved,
-  /// Reset or timed out while the caller still used it.
+  /// Ended by the peer, a reset or a timeout while the caller still used it.
   Broken,
 };
 
--- a/standins/target/target_server.h
+++ b/standins/target/target_server.h
@@ -5,7 +5,7 @@
 ///
 ///   POST /work          runs for x-work-ms in a slot; answers the host's name
 ///   GET  /document/N    N bytes, after x-work-ms in a slot
-///   GET  /stream        one line every x-interval-ms until the caller closes
+///   GET  /stream        one line every x-interval-ms until the stream closes
 ///   GET  /load          {"slots":4,"busy":1,"waiting":0}, may be late or wrong
 ///   POST /fault/slow/P  work takes P percent of its time from now on
 ///
--- a/test/site/site_test.sh
+++ b/test/site/site_test.sh
@@ -1,9 +1,10 @@
 #!/usr/bin/env bash
-# Every process of Vlaamse Visexport at a hundredth of its connections, real
-# TCP and HTTP/2 from callers to targets. A request that reaches another
-# service, runs twice, or runs though its caller was told otherwise fails the
-# test; so does a site that serves nothing. Broken flows and times are printed
-# and decide nothing, since they depend on how busy the machine is.
+# Runs every process of the deployment Vlaamse Visexport at a hundredth of its
+# connections, with real TCP and HTTP/2 from callers to targets. The test fails
+# if a request reaches another service, runs twice, or runs although its caller
+# was told that it did not, or if no request is served. Broken flows and times
+# are printed but do not fail the test, because they depend on the load of the
+# machine.
 #
 # usage: site_test.sh SOURCE BUILD
 set -euo pipefail
--- a/test/standins/audit_test.cpp
+++ b/test/standins/audit_test.cpp
@@ -42,7 +42,7 @@
   CHECK_FALSE(Result.passed());
 }
 
-TEST_CASE("audit finds an attempt that was refused and ran all the same") {
+TEST_CASE("audit counts an attempt that was refused although it ran") {
   audit_input Input;
   Input.Attempts = {attempt("1/1", "", "refused")};
   Input.Runs = {begin("a", "1/1", "")};
@@ -50,7 +50,7 @@
   CHECK(audit(Input, {}).RefusedButRan == 1);
 }
 
-TEST_CASE("audit counts a request by its last try") {
+TEST_CASE("audit counts a request by the outcome of its last attempt") {
   audit_input Input;
   Input.Attempts = {attempt("1/1", "", "refused"), attempt("1/2", "", "ok")};
 
@@ -61,14 +61,14 @@
   CHECK(Result.Refused == 0);
 }
 
-TEST_CASE("audit finds a request that reached another service's target") {
+TEST_CASE("audit counts a request that reached a target of another service") {
   audit_input Input;
   Input.Runs = {begin("a", "1/1", "", "archive")};
 
   CHECK(audit(Input, {}).Misrouted == 1);
 }
 
-TEST_CASE("audit allows broken flows only of killed hosts") {
+TEST_CASE("audit allows broken flows only for killed hosts") {
   audit_input Input;
   Input.Flows = {{"ledger", "broken", "f1", "a", "reset", 0},
                  {"ledger", "broken", "f2", "b", "reset", 0}};
@@ -81,7 +81,7 @@
   CHECK(Result.AllowedBroken == 1);
 }
 
-TEST_CASE("evidence leaves out a line that a kill cut short") {
+TEST_CASE("audit_input skips a line that was truncated by a kill") {
   std::istringstream In("{\"line\":\"attempt\",\"request\":\"1/1\"}\n{\"li");
   audit_input Input;
 
--- a/test/standins/fabric_model_test.cpp
+++ b/test/standins/fabric_model_test.cpp
@@ -43,7 +43,7 @@
 } // namespace
 
 TEST_CASE_FIXTURE(fabric_fixture,
-                  "one flow's packets spread over all balancers") {
+                  "packets of one flow are distributed over all balancers") {
   call(1000);
 
   CHECK(sentTo(First) > 400);
@@ -51,7 +51,7 @@
 }
 
 TEST_CASE_FIXTURE(fabric_fixture,
-                  "an answer goes to the endpoint that the caller is behind") {
+                  "an answer goes to the endpoint that the caller sent from") {
   answer();
   CHECK(ToCallers.empty());
   CHECK(Model.counters().UnknownCaller == 1);
@@ -62,7 +62,7 @@
 }
 
 TEST_CASE_FIXTURE(fabric_fixture,
-                  "drop and duplicate hit their share of the packets") {
+                  "drop and duplicate affect the configured share of packets") {
   CHECK(applyControl(Model, R"({"drop_percent": 20})") == R"({"ok":true})");
   call(1000);
   CHECK(Model.counters().Dropped > 150);
@@ -75,7 +75,8 @@
   CHECK(ToBalancers.size() < 1600);
 }
 
-TEST_CASE_FIXTURE(fabric_fixture, "delayed packets leave when they are due") {
+TEST_CASE_FIXTURE(fabric_fixture,
+                  "delayed packets are sent when they are due") {
   applyControl(Model, R"({"delay_ms": 3, "jitter_ms": 1})");
   call(10);
   CHECK(ToBalancers.empty());
@@ -87,8 +88,9 @@
   CHECK_FALSE(Model.nextDue());
 }
 
-TEST_CASE_FIXTURE(fabric_fixture,
-                  "a cut endpoint gets and gives nothing until the cut ends") {
+TEST_CASE_FIXTURE(
+    fabric_fixture,
+    "a cut endpoint receives and sends nothing until the cut ends") {
   applyControl(Model, R"({"cut": ["127.0.0.1:7001", "127.0.0.1:6000"]})");
   call(100);
   answer();
@@ -106,7 +108,7 @@
 }
 
 TEST_CASE_FIXTURE(fabric_fixture,
-                  "the list of balancers changes while packets come") {
+                  "the list of balancers can change at run time") {
   applyControl(Model, R"({"balancers": ["127.0.0.1:7002"]})");
   call(10);
   CHECK(sentTo(Second) == 10);
@@ -118,7 +120,8 @@
 
 TEST_CASE_FIXTURE(fabric_fixture,
                   "a control message with an error changes nothing") {
-  // Half a change would make an experiment's figures those of another one.
+  // If a part of the change were applied, the experiment would run with faults
+  // that nobody configured, and its figures would be wrong.
   for (const char *Text : {"{", "[]", R"({"delay_ms": 5, "unheard_of": 1})",
                            R"({"delay_ms": 5, "drop_percent": 101})",
                            R"({"delay_ms": 5, "balancers": ["here"]})",
@@ -129,7 +132,8 @@
   }
 }
 
-TEST_CASE_FIXTURE(fabric_fixture, "what is no packet is counted and dropped") {
+TEST_CASE_FIXTURE(fabric_fixture,
+                  "a datagram that is no packet is counted and dropped") {
   Model.fromCaller(Caller, {}, Now);
   Model.fromAgent(Agent, {}, Now);
 
@@ -137,9 +141,10 @@
   CHECK(ToBalancers.empty());
 }
 
-TEST_CASE_FIXTURE(fabric_fixture, "jitter keeps the order of one link") {
-  // Answers that overtook each other made the callers' TCP take them for lost
-  // and fall back to one segment per delayed acknowledgement; documents took
+TEST_CASE_FIXTURE(fabric_fixture,
+                  "jitter keeps the order of packets on one link") {
+  // If answers overtake each other, the callers' TCP treats them as lost and
+  // falls back to one segment per delayed acknowledgement; documents then took
   // 200 ms instead of 10.
   std::vector<std::uint8_t> Order;
   fabric_model Jittering(
--- a/test/standins/platform/client_and_server_test.cpp
+++ b/test/standins/platform/client_and_server_test.cpp
@@ -11,7 +11,7 @@
 
 const endpoint AnyPort{0x7f000001, 0};
 
-/// The client and the stand-in on one loop, over real sockets.
+/// The client and the stand-in on one event loop, connected by real sockets.
 class client_and_server {
 public:
   client_and_server() : Core({}, 1), Server(Loop, Core) {
@@ -30,7 +30,7 @@
     };
   }
 
-  /// Sets a fault the way an operator of a test does, without the network.
+  /// Sets a fault as PUT /v1/faults does, but without the network.
   void fault(const std::string &Json) {
     http_request Request;
     Request.Method = "PUT";
@@ -72,7 +72,7 @@
   CHECK(Reply.Object.WriterSequence == 1);
 }
 
-TEST_CASE("a conflict shows what stands") {
+TEST_CASE("a conflict returns the current object") {
   client_and_server Test;
   Test.Core.store().write(Test.write("[1]").Object, 0);
   platform_reply Reply;
@@ -84,7 +84,7 @@
   CHECK(Reply.Object.Body == "[1]");
 }
 
-TEST_CASE("a body of one megabyte passes") {
+TEST_CASE("a body of one megabyte is accepted") {
   client_and_server Test;
   platform_reply Reply;
   const std::string Body = "\"" + std::string(1024 * 1024 - 2, 'x') + "\"";
@@ -96,9 +96,9 @@
   CHECK(Reply.Object.Body == Body);
 }
 
-TEST_CASE("a lost answer to a write is told as unknown, once") {
-  // The write took effect and the connection broke. A caller that hears
-  // "failed" would write again; one that hears "unknown" reads back first.
+TEST_CASE("a lost answer to a write is reported once, as unknown") {
+  // The write took effect, then the connection broke. If the client reported a
+  // failure, its caller would write again; after "unknown" it reads back first.
   client_and_server Test;
   Test.fault(R"({"lose_answers_percent": 100})");
   platform_reply Reply;
@@ -112,7 +112,7 @@
   CHECK(Test.Callbacks == 1);
 }
 
-TEST_CASE("a write that no server takes is told as not done") {
+TEST_CASE("a write that no server accepts is reported as not done") {
   client_and_server Test;
   const endpoint Closed{0x7f000001, 1};
   platform_client Client(Test.Loop, {.Servers = {Closed}, .Writer = "test"});
@@ -125,7 +125,7 @@
   CHECK(Reply.Reason.find("127.0.0.1:1") != std::string::npos);
 }
 
-TEST_CASE("a read goes on to the next server when one refuses connections") {
+TEST_CASE("a read uses the next server when one refuses connections") {
   client_and_server Test;
   Test.Core.store().write(Test.write("[1]").Object, 0);
   const endpoint Closed{0x7f000001, 1};
@@ -140,7 +140,7 @@
   CHECK(Reply.Object.Body == "[1]");
 }
 
-TEST_CASE("a watch waits for a change and does not hold up other calls") {
+TEST_CASE("a watch waits for a change and does not block other calls") {
   client_and_server Test;
   platform_reply Changes;
   platform_reply Written;
@@ -169,7 +169,7 @@
   CHECK(Reply.Objects.empty());
 }
 
-TEST_CASE("a platform that is down names the time to come back") {
+TEST_CASE("a platform that is down returns the time to retry") {
   client_and_server Test;
   Test.fault(R"({"down": true})");
   platform_reply Reply;
@@ -181,9 +181,9 @@
   CHECK(Reply.RetryAfter == seconds(1));
 }
 
-TEST_CASE("a late write takes effect after its sender was told unknown") {
-  // The platform is slower than the client waits. The write still arrives: a
-  // sender that had taken the silence for a failure would be wrong.
+TEST_CASE("a delayed write takes effect after its sender got unknown") {
+  // The platform takes longer than the client's timeout, but the write still
+  // takes effect. The client must not report the timeout as a failure.
   client_and_server Test;
   Test.fault(R"({"delay_ms": 200})");
   platform_client Client(Test.Loop, {.Servers = {Test.Server.local()},
@@ -202,9 +202,9 @@
   CHECK(Test.Core.store().version() == 1);
 }
 
-TEST_CASE("calls under way are answered when the client goes") {
-  // A process that stops must not leave a core waiting for a callback that
-  // never comes, nor call it twice.
+TEST_CASE("outstanding calls are answered when the client is destroyed") {
+  // When a process stops, each outstanding call must get its callback exactly
+  // once: a missing callback would leave its caller waiting for ever.
   client_and_server Test;
   int Unknown = 0;
   int Unavailable = 0;
@@ -257,8 +257,7 @@
 
 namespace {
 
-/// A client that asks again and again until it is answered; when, by its own
-/// count of calls.
+/// Repeats a call until it succeeds. Returns the number of calls.
 int callsUntilAnswered(client_and_server &Test,
                        const platform_client_settings &Settings) {
   platform_client Client(Test.Loop, Settings);
@@ -279,10 +278,10 @@
 
 } // namespace
 
-TEST_CASE("a first read into silence is soon asked again") {
-  // A process starts while the platform swallows all calls. It can serve nobody
-  // before it has read; the call that it made into the silence is lost, and
-  // waiting for it would add its whole time-out to the outage.
+TEST_CASE("a first read without an answer is soon repeated") {
+  // A process starts while the platform answers no calls. It cannot serve
+  // traffic before its first read succeeds. Its first call is lost, and waiting
+  // for the full timeout of that call would prolong the outage.
   client_and_server Test;
   Test.fault(R"({"delay_ms": 60000})");
   Test.Loop.timers().after(milliseconds(150),
@@ -296,9 +295,9 @@
   CHECK(Test.Loop.timers().now() - Began < seconds(10));
 }
 
-TEST_CASE("a platform that is merely slow is read all the same") {
-  // Every answer takes longer than a first read waits. Asked with that patience
-  // alone, the platform would never be read.
+TEST_CASE("a platform that is only slow can still be read") {
+  // Every answer takes longer than the timeout of the first read. If all reads
+  // used that timeout, none would ever succeed.
   client_and_server Test;
   Test.fault(R"({"delay_ms": 150})");
   const int CallCount =
@@ -312,7 +311,7 @@
 
 namespace {
 
-/// Serves one list in pieces, as over a link that is narrow or busy.
+/// Serves one list in pieces, as over a slow or busy link.
 class slow_server {
 public:
   slow_server(event_loop &Loop, std::size_t Pieces, duration Gap)
@@ -329,7 +328,7 @@
   }
 
   endpoint local() const { return Listener.local(); }
-  /// Stops after so many pieces, and says nothing more.
+  /// Number of pieces after which the server sends nothing more.
   std::size_t StopAfterPieces = SIZE_MAX;
 
 private:
@@ -389,12 +388,13 @@
 
 } // namespace
 
-TEST_CASE("an answer that keeps coming is waited for") {
-  // A configuration of a megabyte comes to an entry VM with a narrow link, or
-  // from a peer that serves several. It takes longer than a call may wait for
-  // an answer. Given up and asked for anew it comes from its first byte again,
-  // and never gets through: two balancers used an old configuration for 17 s,
-  // and their logs show call after call that failed with most bytes come.
+TEST_CASE("an answer that keeps arriving does not time out") {
+  // A configuration of one megabyte arrives over a slow link, or from a peer
+  // that serves several clients, and takes longer than the timeout of a call.
+  // If the client cancelled and repeated the call, the transfer would start
+  // from the first byte again and never finish: two balancers used an old
+  // configuration for 17 s, and their logs showed repeated calls that failed
+  // after most bytes had arrived.
   event_loop Loop;
   const slow_server Server(Loop, /*Pieces=*/20, milliseconds(50));
 
@@ -404,9 +404,9 @@
   CHECK(Reply.StoreVersion == 7);
 }
 
-TEST_CASE("an answer that stops coming is given up") {
-  // A connection goes silent half way through an answer, for good. Whoever
-  // waits for the rest would wait for ever.
+TEST_CASE("an answer that stops arriving times out") {
+  // A connection stops delivering data in the middle of an answer, for good. A
+  // client without a timeout would wait for ever.
   event_loop Loop;
   slow_server Server(Loop, /*Pieces=*/20, milliseconds(20));
   Server.StopAfterPieces = 5;
--- a/test/standins/platform/object_store_test.cpp
+++ b/test/standins/platform/object_store_test.cpp
@@ -16,7 +16,7 @@
   return Object;
 }
 
-TEST_CASE("object_store counts versions over all objects") {
+TEST_CASE("object_store uses one version counter for all objects") {
   object_store Store;
 
   CHECK(Store.write(object("ledger"), 0).Object.Version == 1);
@@ -27,9 +27,9 @@
   CHECK(Store.list("service").Objects.size() == 2);
 }
 
-TEST_CASE("object_store refuses a change of a version that has gone") {
-  // Two operators read version 1; the second one's write would undo the first
-  // one's without either of them noticing.
+TEST_CASE("object_store refuses a change of an outdated version") {
+  // Two operators read version 1 and both write. Without the check the second
+  // write would overwrite the first one, and neither operator would notice.
   object_store Store;
   Store.write(object("ledger"), 0);
   Store.write(object("ledger", "[1]"), 1);
@@ -41,7 +41,7 @@
   CHECK(Store.write(object("ledger"), 0).Outcome == platform_outcome::Conflict);
 }
 
-TEST_CASE("object_store tells watches of deletions") {
+TEST_CASE("object_store reports deletions to watches") {
   object_store Store;
   Store.write(object("ledger"), 0);
   Store.write(object("archive"), 0);
@@ -57,9 +57,9 @@
   CHECK(Store.write(object("ledger"), 0).Outcome == platform_outcome::Ok);
 }
 
-TEST_CASE("object_store answers from the past where it is told to") {
-  // A replica of the platform has fallen behind: a node that believed it would
-  // go back to a configuration that was replaced long ago.
+TEST_CASE("object_store can answer from an old version") {
+  // Simulates a replica of the platform that has fallen behind. A node that
+  // accepted its answers would return to a configuration that was replaced.
   object_store Store;
   Store.write(object("ledger", "[1]"), 0);
   Store.write(object("ledger", "[2]"), 1);
@@ -73,7 +73,7 @@
   CHECK(Store.changes(0).Objects.size() == 1);
 }
 
-TEST_CASE("object_store refuses bodies that are too large or no JSON") {
+TEST_CASE("object_store refuses bodies that are too large or not JSON") {
   object_store Store;
   const std::string TooLarge =
       "\"" + std::string(internal::MaxObjectBytes, 'x') + "\"";
--- a/test/standins/platform/platform_core_test.cpp
+++ b/test/standins/platform/platform_core_test.cpp
@@ -24,8 +24,7 @@
 
 static const std::string Ledger = "/v1/objects/service/ledger";
 
-TEST_CASE(
-    "platform_core refuses calls over its rates and says when to return") {
+TEST_CASE("platform_core refuses calls over its rates with a retry time") {
   platform_core Core({.WritesPerSecond = 2, .ReadsPerSecond = 1}, 1);
   const instant Start{};
 
@@ -49,9 +48,9 @@
   CHECK(Core.handle(get(Ledger), instant()).Reply.Code == 429);
 }
 
-TEST_CASE("platform_core loses answers of writes that took effect") {
-  // The answer to a write is lost on its way. A writer that takes silence for
-  // failure writes again and may undo what others wrote in between.
+TEST_CASE("platform_core can lose the answers of writes that took effect") {
+  // The answer to a write is lost. A writer that treats the missing answer as a
+  // failure writes again and may overwrite what others wrote in between.
   platform_core Core({}, 1);
   Core.handle(put("/v1/faults", R"({"lose_answers_percent": 100})"), instant());
 
@@ -61,7 +60,7 @@
   CHECK(Core.store().version() == 1);
 }
 
-TEST_CASE("platform_core does nothing while it is down") {
+TEST_CASE("platform_core changes nothing while it is down") {
   platform_core Core({}, 1);
   Core.handle(put("/v1/faults", R"({"down": true})"), instant());
 
@@ -74,7 +73,7 @@
   CHECK(Core.handle(put(Ledger, "{}"), instant()).Reply.Code == 200);
 }
 
-TEST_CASE("platform_core refuses faults that it does not know") {
+TEST_CASE("platform_core refuses unknown faults") {
   platform_core Core({}, 1);
 
   const request_decision Decision =
--- a/test/standins/target_model_test.cpp
+++ b/test/standins/target_model_test.cpp
@@ -40,7 +40,8 @@
   CHECK(Model.actual().Waiting == 1);
 }
 
-TEST_CASE("target_model gives a cancelled request's slot to the next") {
+TEST_CASE(
+    "target_model gives the slot of a cancelled request to the next one") {
   model_fixture Fixture;
   Fixture.Settings.Slots = 1;
   target_model Model(Fixture.Timers, Fixture.Settings);
@@ -66,7 +67,7 @@
   CHECK(Fixture.Begun.size() == 1);
 }
 
-TEST_CASE("target_model reports a load that lags") {
+TEST_CASE("target_model reports its load with the configured delay") {
   model_fixture Fixture;
   Fixture.Settings.LoadLag = milliseconds(500);
   target_model Model(Fixture.Timers, Fixture.Settings);
