--- a/cmake/libraries.cmake
+++ b/cmake/libraries.cmake
@@ -1,6 +1,6 @@
 # marjoramrail_library(NAME DEPENDS ...) builds src/NAME into a static library
-# and test/NAME into one doctest program. A folder without sources is left out,
-# so that a library can be declared before its first file lands.
+# and test/NAME into one doctest program. If src/NAME has no sources, the library
+# has only headers, so that it can be declared before its first file exists.
 function(marjoramrail_library NAME)
   cmake_parse_arguments(LIB "" "" "DEPENDS" ${ARGN})
   file(GLOB SOURCES CONFIGURE_DEPENDS ${CMAKE_SOURCE_DIR}/src/${NAME}/*.cpp)
