--- a/standins/fabric/fabric_model.h
+++ b/standins/fabric/fabric_model.h
@@ -30,10 +30,10 @@
   double DropPercent = 0;
   double DuplicatePercent = 0;
   duration Delay{};
-  /// Upper bound of a uniformly distributed extra delay. Packets between the
-  /// same two endpoints keep their order, as on a real link whose queue length
-  /// varies. Packets of one flow that use different balancers may overtake each
-  /// other.
+  /// Maximum of an extra delay that is uniformly distributed from 0. Packets
+  /// between the same two endpoints keep their order, as on a real link whose
+  /// queue length varies. Packets of one flow that use different balancers may
+  /// overtake each other.
   duration Jitter{};
   /// Share of the packets that may overtake others on the same link.
   double ReorderPercent = 0;
--- a/standins/load/fault_driver.cpp
+++ b/standins/load/fault_driver.cpp
@@ -56,7 +56,7 @@
   std::ifstream In(Settings.Folder + "/" + Name + ".pid");
   pid_t Pid = 0;
   if (!(In >> Pid) || Pid <= 1 || kill(Pid, Signal) != 0)
-    LOG(ERROR) << "load: cannot send a signal to the process " << Name;
+    LOG(ERROR) << "load: process " << Name << " cannot be signalled";
 }
 
 void fault_driver::requestFromScript(const std::string &Command) {
--- a/standins/load/load_settings.cpp
+++ b/standins/load/load_settings.cpp
@@ -68,7 +68,7 @@
   BOOST_LEAF_CHECK(Reader.finish());
   if (!Unknown.empty())
     return fail(step::ParseSettings, "faults",
-                "unknown action " + Unknown.front());
+                "action " + Unknown.front() + " is unknown");
   return Settings;
 }
 
--- a/standins/load/load_settings.h
+++ b/standins/load/load_settings.h
@@ -32,7 +32,8 @@
   /// Share of the requests that take LongWorkMs instead of WorkMs.
   std::uint32_t LongPercent = 0;
   std::uint32_t LongWorkMs = 1;
-  /// If not 0, requests fetch documents of this size instead of doing work.
+  /// If more than 0, requests fetch documents of this size instead of doing
+  /// work.
   std::uint32_t DocumentBytes = 0;
   std::uint32_t DeadlineMs = 2000;
   /// The first SkewFlows flows send SkewPercent of the requests.
--- a/test/standins/platform/client_and_server_test.cpp
+++ b/test/standins/platform/client_and_server_test.cpp
@@ -339,7 +339,7 @@
     tcp_stream::hooks Hooks;
     Hooks.OnConnected = [] {};
     Hooks.OnData = [this](std::string_view) { begin(); };
-    Hooks.OnClosed = [this](const std::string &) { Closed = true; };
+    Hooks.OnClosed = [this](const std::string &) { Disconnected = true; };
     Hooks.OnDrained = [] {};
     Stream->setHooks(Hooks);
   }
@@ -353,7 +353,7 @@
   }
 
   void sendPiece() {
-    if (Closed || PiecesLeft == 0 || Sent == StopAfterPieces)
+    if (Disconnected || PiecesLeft == 0 || Sent == StopAfterPieces)
       return;
     --PiecesLeft;
     Stream->write(
@@ -365,7 +365,7 @@
   std::size_t PiecesLeft;
   std::size_t Sent = 0;
   bool Begun = false;
-  bool Closed = false;
+  bool Disconnected = false;
   std::string Text;
   std::unique_ptr<tcp_stream> Stream;
   tcp_listener Listener;
