--- a/standins/fabric/main.cpp
+++ b/standins/fabric/main.cpp
@@ -1,6 +1,6 @@
-// The fabric stand-in: sprays callers' packets over the balancers at random and
-// carries agents' answers back, with faults that can be changed while it runs
-// (see control_message.h).
+// The fabric stand-in: distributes callers' packets over the balancers at
+// random and returns the agents' answers, with simulated faults that can be
+// changed while it runs (see control_message.h).
 //
 // Settings: callers_listen, agents_listen, control_listen, status_listen,
 // balancers, seed, drop_percent, delay_ms, jitter_ms.
@@ -47,7 +47,7 @@
   return Settings;
 }
 
-/// The model joined to its three sockets.
+/// Connects the model to its three sockets, the timer and the status page.
 class fabric_process {
 public:
   fabric_process(event_loop &Loop, const program_settings &Settings)
@@ -67,7 +67,7 @@
         Status(Loop, Metrics, {}) {
     Model.setBalancers(Settings.Balancers);
     Model.faults() = Settings.Faults;
-    showCounters();
+    exportCounters();
   }
 
   result<void> open() {
@@ -81,24 +81,25 @@
   }
 
 private:
-  using take_packet = void (fabric_model::*)(const endpoint &, bytes_view,
-                                             instant);
+  using packet_handler = void (fabric_model::*)(const endpoint &, bytes_view,
+                                                instant);
 
-  void receive(std::span<const datagram> Batch, take_packet Take) {
+  void receive(std::span<const datagram> Batch, packet_handler Handler) {
     const instant Now = Loop.timers().now();
     for (const datagram &Datagram : Batch)
-      (Model.*Take)(Datagram.From, Datagram.Bytes, Now);
+      (Model.*Handler)(Datagram.From, Datagram.Bytes, Now);
     arm();
   }
 
-  /// One timer for all packets under way; packets due within its least period
-  /// leave together, so that a busy fabric does not wake for each.
+  /// Starts one timer for all delayed packets. Packets due within its minimum
+  /// period are sent together, so that the process does not wake up once per
+  /// packet under load.
   void arm() {
     const auto Due = Model.nextDue();
     if (Armed || !Due)
       return;
-    constexpr duration LeastPeriod = std::chrono::microseconds(200);
-    const duration Delay = std::max(LeastPeriod, *Due - Loop.timers().now());
+    constexpr duration MinPeriod = std::chrono::microseconds(200);
+    const duration Delay = std::max(MinPeriod, *Due - Loop.timers().now());
     Armed = true;
     Loop.timers().after(Delay, [this] {
       Armed = false;
@@ -118,20 +119,20 @@
     }
   }
 
-  void showCounters() {
+  void exportCounters() {
     const fabric_counters &Counters = Model.counters();
-    const auto Show = [this](const char *Name, const std::uint64_t &Value) {
+    const auto Export = [this](const char *Name, const std::uint64_t &Value) {
       Metrics.gauge(Name, [&Value] { return static_cast<double>(Value); });
     };
-    Show("fabric_from_callers", Counters.FromCallers);
-    Show("fabric_from_agents", Counters.FromAgents);
-    Show("fabric_delivered", Counters.Delivered);
-    Show("fabric_dropped", Counters.Dropped);
-    Show("fabric_cut", Counters.Cut);
-    Show("fabric_duplicated", Counters.Duplicated);
-    Show("fabric_unreadable", Counters.Unreadable);
-    Show("fabric_unknown_caller", Counters.UnknownCaller);
-    Show("fabric_no_balancer", Counters.NoBalancer);
+    Export("fabric_from_callers", Counters.FromCallers);
+    Export("fabric_from_agents", Counters.FromAgents);
+    Export("fabric_delivered", Counters.Delivered);
+    Export("fabric_dropped", Counters.Dropped);
+    Export("fabric_cut", Counters.Cut);
+    Export("fabric_duplicated", Counters.Duplicated);
+    Export("fabric_unreadable", Counters.Malformed);
+    Export("fabric_unknown_caller", Counters.UnknownCaller);
+    Export("fabric_no_balancer", Counters.NoBalancer);
   }
 
   event_loop &Loop;
@@ -154,7 +155,7 @@
   if (auto Opened = Process.open(); !Opened)
     return Opened.error();
   Loop.onTerminate([&] { Loop.stop(); });
-  LOG(INFO) << "fabric: takes callers' packets on "
+  LOG(INFO) << "fabric: listening for callers' packets on "
             << toText(Settings.CallersListen);
   Loop.run();
   return {};
@@ -164,7 +165,7 @@
 
 int main(int Argc, char **Argv) {
   const std::string Path = startProgram(
-      Argc, Argv, "Stands in for the network between callers and balancers.");
+      Argc, Argv, "Simulates the network between callers and balancers.");
   const auto Failure = failureOf([&] { return serve(Path); });
   if (!Failure)
     return 0;
--- a/standins/platform/http_server.cpp
+++ b/standins/platform/http_server.cpp
@@ -11,7 +11,8 @@
 
 namespace marjoramrail::standins {
 
-/// An open request; Id tells it from a later one at the same address.
+/// Identifies an open request. Pointers cannot, because libevhtp can reuse the
+/// address of a request for a later one.
 using request_id = std::uint64_t;
 
 struct http_server::impl {
@@ -21,7 +22,7 @@
   void process(request_id Id, const http_request &Read);
   void send(request_id Id, const http_reply &Reply);
   void closeConnection(request_id Id);
-  void settle(request_id Id, const verdict &Verdict);
+  void applyDecision(request_id Id, const request_decision &Decision);
   void pollWatches();
   void expireWatch(request_id Id);
 
@@ -40,10 +41,10 @@
   request_id LastId = 0;
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
 
-  void forget(evhtp_request_t *Request);
+  void removeRequest(evhtp_request_t *Request);
 };
 
-/// libevhtp takes hooks of every kind as one type and casts them back.
+/// Casts a hook to the one type that libevhtp takes for hooks of every kind.
 template <typename Hook> static evhtp_hook asHook(Hook Function) {
   return reinterpret_cast<evhtp_hook>(reinterpret_cast<void (*)()>(Function));
 }
@@ -66,7 +67,7 @@
   }
 }
 
-static int keepPair(evhtp_kv_t *Pair, void *User) {
+static int addQueryParameter(evhtp_kv_t *Pair, void *User) {
   auto &Query = *static_cast<std::map<std::string, std::string> *>(User);
   if (Pair->key && Pair->val)
     Query[std::string(Pair->key, Pair->klen)] =
@@ -79,7 +80,7 @@
   Read.Method = methodOf(Request);
   Read.Path = Request->uri->path->full;
   if (Request->uri->query)
-    evhtp_kvs_for_each(Request->uri->query, keepPair, &Read.Query);
+    evhtp_kvs_for_each(Request->uri->query, addQueryParameter, &Read.Query);
   Read.IfMatch = fieldOf(Request, "If-Match");
   Read.Writer = fieldOf(Request, "Writer");
   Read.WriterSequence = fieldOf(Request, "Writer-Sequence");
@@ -88,7 +89,7 @@
   return Read;
 }
 
-void http_server::impl::forget(evhtp_request_t *Request) {
+void http_server::impl::removeRequest(evhtp_request_t *Request) {
   const auto Found = Ids.find(Request);
   if (Found == Ids.end())
     return;
@@ -105,17 +106,18 @@
   const request_id Id = ++LastId;
   Open[Id] = Request;
   Ids[Request] = Id;
-  evhtp_hook_request_fini_cb Forget = [](evhtp_request_t *Gone, void *User) {
-    static_cast<impl *>(User)->forget(Gone);
+  evhtp_hook_request_fini_cb OnFinished = [](evhtp_request_t *Closed,
+                                             void *User) {
+    static_cast<impl *>(User)->removeRequest(Closed);
     return static_cast<evhtp_res>(EVHTP_RES_OK);
   };
-  evhtp_request_set_hook(Request, evhtp_hook_on_request_fini, asHook(Forget),
-                         this);
+  evhtp_request_set_hook(Request, evhtp_hook_on_request_fini,
+                         asHook(OnFinished), this);
   http_request Read = readRequest(Request);
   const auto Delay = std::chrono::milliseconds(Core.faults().DelayMs);
-  if (isOwnPage(Read.Path) || Delay.count() == 0)
+  if (isControlPage(Read.Path) || Delay.count() == 0)
     return process(Id, Read);
-  // A late change takes effect although its sender may have given it up.
+  // A delayed change takes effect even if its sender has timed out.
   Loop.timers().after(Delay, [this, Id, Read = std::move(Read),
                               Alive = std::weak_ptr<bool>(Alive)] {
     if (!Alive.expired())
@@ -125,22 +127,23 @@
 
 void http_server::impl::process(request_id Id, const http_request &Read) {
   const std::uint64_t Before = Core.store().version();
-  const verdict Verdict = Core.handle(Read, Loop.timers().now());
-  settle(Id, Verdict);
+  const request_decision Decision = Core.handle(Read, Loop.timers().now());
+  applyDecision(Id, Decision);
   if (Core.store().version() != Before || Read.Path == "/v1/faults")
     pollWatches();
 }
 
-void http_server::impl::settle(request_id Id, const verdict &Verdict) {
+void http_server::impl::applyDecision(request_id Id,
+                                      const request_decision &Decision) {
   if (Open.count(Id) == 0)
     return;
-  if (Verdict.Action == verdict::action::Answer)
-    return send(Id, Verdict.Reply);
-  if (Verdict.Action == verdict::action::CloseWithoutAnswer)
+  if (Decision.Action == request_decision::action::Answer)
+    return send(Id, Decision.Reply);
+  if (Decision.Action == request_decision::action::CloseWithoutAnswer)
     return closeConnection(Id);
   const timer_id Timer =
-      Loop.timers().after(Verdict.Wait, [this, Id] { expireWatch(Id); });
-  Watches[Id] = {Verdict.Since, Timer};
+      Loop.timers().after(Decision.Wait, [this, Id] { expireWatch(Id); });
+  Watches[Id] = {Decision.Since, Timer};
 }
 
 void http_server::impl::expireWatch(request_id Id) {
@@ -152,12 +155,12 @@
 void http_server::impl::pollWatches() {
   const auto Waiting = Watches;
   for (const auto &[Id, Watch] : Waiting) {
-    const auto Verdict = Core.pollWatch(Watch.Since);
-    if (!Verdict)
+    const auto Decision = Core.pollWatch(Watch.Since);
+    if (!Decision)
       continue;
     Loop.timers().cancel(Watch.Timer);
     Watches.erase(Id);
-    settle(Id, *Verdict);
+    applyDecision(Id, *Decision);
   }
 }
 
@@ -175,8 +178,8 @@
   evhtp_send_reply(Request, static_cast<evhtp_res>(Reply.Code));
 }
 
-/// Ends the connection from the socket's side; libevhtp then finds its end and
-/// frees it where it is safe to.
+/// Shuts the socket down. libevhtp then sees the end of the connection and
+/// frees it when that is safe.
 void http_server::impl::closeConnection(request_id Id) {
   bufferevent *Stream = evhtp_request_get_bev(Open.at(Id));
   shutdown(bufferevent_getfd(Stream), SHUT_RDWR);
@@ -204,21 +207,22 @@
   evhtp_unbind_socket(Impl->Http);
 }
 
-/// Follows the open connections: libevhtp does not end them with its server.
-static void followConnections(evhtp_t *Http,
-                              std::set<evhtp_connection_t *> &Connections) {
+/// Records the open connections in \p Connections, because libevhtp does not
+/// close them when its server is freed.
+static void trackConnections(evhtp_t *Http,
+                             std::set<evhtp_connection_t *> &Connections) {
   evhtp_set_post_accept_cb(
       Http,
       [](evhtp_connection_t *Connection, void *User) {
-        auto *Followed = static_cast<std::set<evhtp_connection_t *> *>(User);
-        Followed->insert(Connection);
-        evhtp_hook_connection_fini_cb Forget = [](evhtp_connection_t *Gone,
-                                                  void *Set) {
-          static_cast<std::set<evhtp_connection_t *> *>(Set)->erase(Gone);
-          return static_cast<evhtp_res>(EVHTP_RES_OK);
-        };
+        auto *Tracked = static_cast<std::set<evhtp_connection_t *> *>(User);
+        Tracked->insert(Connection);
+        evhtp_hook_connection_fini_cb OnFinished =
+            [](evhtp_connection_t *Closed, void *Set) {
+              static_cast<std::set<evhtp_connection_t *> *>(Set)->erase(Closed);
+              return static_cast<evhtp_res>(EVHTP_RES_OK);
+            };
         evhtp_connection_set_hook(Connection, evhtp_hook_on_connection_fini,
-                                  asHook(Forget), User);
+                                  asHook(OnFinished), User);
         return static_cast<evhtp_res>(EVHTP_RES_OK);
       },
       &Connections);
@@ -227,7 +231,7 @@
 result<void> http_server::open(const endpoint &Local) {
   Impl->Http = evhtp_new(Impl->Loop.base(), nullptr);
   evhtp_set_max_body_size(Impl->Http, 2 * internal::MaxObjectBytes);
-  followConnections(Impl->Http, Impl->Connections);
+  trackConnections(Impl->Http, Impl->Connections);
   evhtp_set_gencb(
       Impl->Http,
       [](evhtp_request_t *Request, void *User) {
@@ -238,7 +242,8 @@
   const std::string Host = Text.substr(0, Text.rfind(':'));
   constexpr int Backlog = 1024;
   if (evhtp_bind_socket(Impl->Http, Host.c_str(), Local.Port, Backlog) != 0)
-    return fail(step::OpenSocket, Text, "the platform cannot listen there");
+    return fail(step::OpenSocket, Text,
+                "the platform cannot listen on this address");
   return {};
 }
 
