--- a/src/resource/service.cpp
+++ b/src/resource/service.cpp
@@ -33,13 +33,13 @@
   if (Zones.empty() || Zones.size() > MaxZonesPerService)
     Reader.refuse("zones", "expected 1 to " +
                                std::to_string(MaxZonesPerService) +
-                               " zone names");
+                               " names of zones");
   std::set<std::string> Seen;
   for (const std::string &Zone : Zones) {
     if (!isName(Zone))
-      Reader.refuse("zones", std::string("invalid name: ") + NameRule);
+      Reader.refuse("zones", std::string("of a name: ") + NameRule);
     if (!Seen.insert(Zone).second)
-      Reader.refuse("zones", "lists " + Zone + " twice");
+      Reader.refuse("zones", "names " + Zone + " twice");
   }
   return Zones;
 }
@@ -98,10 +98,10 @@
     }
     if (Other.Number == Service.Number)
       return fail(step::ValidateObject, Peer,
-                  "field number: is already used by service " + Other.Name);
+                  "field number: is that of service " + Other.Name);
     if (Other.Address == Service.Address)
       return fail(step::ValidateObject, Peer,
-                  "field address: is already used by service " + Other.Name);
+                  "field address: is that of service " + Other.Name);
   }
   return {};
 }
--- a/src/runtime/settings_reader.cpp
+++ b/src/runtime/settings_reader.cpp
@@ -137,7 +137,7 @@
   if (!Value)
     return Default.value_or("");
   if (!Value->is_string()) {
-    Impl->fault(Field, "expected a string");
+    Impl->fault(Field, "expected a text");
     return "";
   }
   return Value->get<std::string>();
@@ -202,14 +202,14 @@
   if (!Value)
     return Texts;
   if (!Value->is_array()) {
-    Impl->fault(Field, "expected a list of strings");
+    Impl->fault(Field, "expected a list of texts");
     return Texts;
   }
   for (const json &Item : *Value) {
     if (Item.is_string())
       Texts.push_back(Item.get<std::string>());
     else
-      Impl->fault(Field, Item.dump() + ": expected a string");
+      Impl->fault(Field, Item.dump() + ": expected a text");
   }
   return Texts;
 }
