--- a/daemons/agent/agent_view.cpp
+++ b/daemons/agent/agent_view.cpp
@@ -102,8 +102,8 @@
 
 /// Records in the platform that an agent has run on this host. Key records are
 /// kept in memory only, and an agent that wrongly considered itself the first
-/// on its host would run an amendment a second time. It takes one write in the
-/// lifetime of a host.
+/// on its host would run a request a second time when it is retried with the
+/// same idempotency key. It takes one write in the lifetime of a host.
 void agent_process::markFirstStart() {
   platform_object Mark;
   Mark.Key = {"agent", Settings.Name};
--- a/daemons/forwarder/target_admission.h
+++ b/daemons/forwarder/target_admission.h
@@ -1,8 +1,9 @@
 //===- target_admission.h - When a target gets new flows --------*- C++ -*-===//
 ///
 /// \file
-/// A target gets new flows once every balancer and agent that may be asked
-/// about them can know the target, and until the target reports that it leaves.
+/// A target gets new flows once all balancers and agents that may receive their
+/// packets have had time to learn of the target, and until the target reports
+/// that it leaves.
 ///
 /// Without this delay, a balancer that does not know a new target yet would
 /// find no owner candidate for one of its flows and have the flow reset. A
--- a/daemons/marjoramctl/confirmed_change.cpp
+++ b/daemons/marjoramctl/confirmed_change.cpp
@@ -95,7 +95,8 @@
                        [Self = shared_from_this(), Next] { (*Self.*Next)(); });
 }
 
-/// \p Stands is the object that was read back or that made a repeat fail.
+/// \p Stands is the reply to a read-back or to a refused repeat. It holds the
+/// object that is stored now.
 void confirmed_change::resolve(const platform_reply &Stands) {
   const bool Missing = Stands.Outcome == platform_outcome::NotFound ||
                        (Stands.Outcome == platform_outcome::Conflict &&
--- a/include/marjoramrail/resource.h
+++ b/include/marjoramrail/resource.h
@@ -148,7 +148,7 @@
   /// Number of nodes that have applied the view.
   std::uint32_t AppliedOn = 0;
   std::uint32_t Nodes = 0;
-  /// The names of a few of the Nodes - AppliedOn nodes that have not yet.
+  /// The names of some of the nodes that have not applied the view yet.
   std::vector<std::string> Lagging;
   std::uint32_t TargetsReady = 0;
   std::uint32_t TargetsDraining = 0;
--- a/include/marjoramrail/runtime.h
+++ b/include/marjoramrail/runtime.h
@@ -8,8 +8,11 @@
 /// Usage:
 /// \code
 ///   event_loop Loop;
-///   udp_socket Socket(Loop, Local, [&](std::span<const datagram> Batch)
-///   {...}); Loop.onTerminate([&] { Core.drain(); }); Loop.run();
+///   udp_socket Socket(Loop,
+///                     [&](std::span<const datagram> Batch) { ... });
+///   BOOST_LEAF_CHECK(Socket.open(Local));
+///   Loop.onTerminate([&] { Core.drain(); });
+///   Loop.run();
 /// \endcode
 ///
 //===----------------------------------------------------------------------===//
--- a/standins/fabric/control_message.h
+++ b/standins/fabric/control_message.h
@@ -11,9 +11,8 @@
 ///   {"delay_ms": 3, "jitter_ms": 1}          3 to 4 ms in each direction
 ///   {"reorder_percent": 1}                   may overtake on the same link
 ///   {"cut": ["127.0.0.1:4000", ...]}         drops all packets to that
-///   balancer
-///                                            or from that agent; [] ends
-///                                            all cuts
+///                                            balancer or from that
+///                                            agent; [] ends all cuts
 ///   {"cut": {"127.0.0.1:4000": 50}}          drops half of these packets
 ///
 /// The sender gets the answer {"ok": true} or {"error": "..."}. A message with
--- a/standins/platform/platform_faults.h
+++ b/standins/platform/platform_faults.h
@@ -4,8 +4,8 @@
 /// The faults that the platform stand-in simulates. PUT /v1/faults changes them
 /// at run time; its JSON body changes the fields that it names:
 ///   {"down": true}                every call is refused with 503
-///   {"cut": true}                 connections close without an answer, no
-///   effect
+///   {"cut": true}                 connections close without an answer;
+///                                 the calls have no effect
 ///   {"delay_ms": 500}             every call takes effect that much later
 ///   {"lose_answers_percent": 10}  changes take effect, their answers are lost
 ///   {"serve_old_version": 7}      reads answer as of version 7; 0 = current
