--- a/daemons/forwarder/callback_log.cpp
+++ b/daemons/forwarder/callback_log.cpp
@@ -2,7 +2,8 @@
 
 namespace marjoramrail::daemons {
 
-/// Callers' packets are delayed by the duration of a callback.
+/// A callback that takes this long is logged, because callers' packets are
+/// delayed by as much.
 static constexpr duration LongTurn = std::chrono::milliseconds(20);
 /// An answer later than this is unusual even for a slow store.
 static constexpr duration SlowCall = std::chrono::milliseconds(500);
--- a/include/marjoramrail/runtime.h
+++ b/include/marjoramrail/runtime.h
@@ -36,9 +36,10 @@
 
 namespace marjoramrail {
 
-/// A libevent loop with a timer_service that follows the monotonic clock. The
-/// clock includes the time during which the machine is suspended, so that
-/// information from before a suspension counts as old after it.
+/// A libevent loop with a timer_service that follows CLOCK_BOOTTIME. Unlike
+/// CLOCK_MONOTONIC, this clock includes the time during which the machine is
+/// suspended, so that information from before a suspension counts as old after
+/// it.
 class event_loop {
 public:
   event_loop();
--- a/src/runtime/event_loop.cpp
+++ b/src/runtime/event_loop.cpp
@@ -30,7 +30,8 @@
 };
 
 static instant monotonicNow() {
-  // CLOCK_MONOTONIC does not count the time in which the machine is suspended.
+  // Not CLOCK_MONOTONIC, which does not count the time in which the machine is
+  // suspended.
   timespec Now{};
   clock_gettime(CLOCK_BOOTTIME, &Now);
   return instant(std::chrono::seconds(Now.tv_sec) +
