--- a/bench/routing/imbalance.cpp
+++ b/bench/routing/imbalance.cpp
@@ -18,8 +18,8 @@
 /// Mean lifetime of a flow at the target size: 88 million open flows, 520,000
 /// new ones per second.
 static constexpr duration FlowLifetime = seconds(169);
-/// The imbalance is measured this long after a change; what a new host lacks
-/// until then is part of the peak.
+/// The imbalance is measured this long after a change. Until then a new host
+/// still has few flows, and only the peak is measured.
 static constexpr duration SettlePeriod = seconds(20);
 /// The reported imbalance is the highest within this time.
 static constexpr duration Window = seconds(5);
--- a/src/agent/generation_activation.h
+++ b/src/agent/generation_activation.h
@@ -1,5 +1,4 @@
-//===- generation_activation.h - When a generation takes new flows *- C++
-//-*-===//
+//===- generation_activation.h - When generations take flows ----*- C++ -*-===//
 ///
 /// \file
 /// Tracks which agents have acknowledged which generation of a service.
--- a/src/agent/neighbour_ring.h
+++ b/src/agent/neighbour_ring.h
@@ -28,7 +28,8 @@
 /// acknowledgements of under 100 bytes a second.
 class neighbour_ring {
 public:
-  /// A balancer that sent no packets for longer need not be notified.
+  /// A balancer that sent no packets for longer has no flows to lose, so it is
+  /// not notified.
   static constexpr duration BalancerTimeout = std::chrono::seconds(10);
   /// The 12,000 balancers of the largest planned site, plus some that were
   /// replaced.
--- a/src/routing/service_router.cpp
+++ b/src/routing/service_router.cpp
@@ -11,8 +11,8 @@
 
 using namespace internal;
 
-/// Differs from the seed 0 with which the agents' tables hash flows, so that
-/// the two hashes are independent.
+/// Differs from 0, the seed with which flow_key_hash hashes flows for the
+/// agents' tables.
 static constexpr std::uint64_t RoutingSeed = 0x6d6172726f757465;
 
 static std::uint64_t hostHash(std::uint64_t FlowHash, host_id Host) {
--- a/src/work/concurrency_limit.h
+++ b/src/work/concurrency_limit.h
@@ -16,8 +16,8 @@
 /// reverted, so a target that is slow for another reason is not slowed further
 /// by fewer slots. The mean of 128 exponentially distributed times is within 9%
 /// of the true mean, less than half of the smallest effect to be detected (one
-/// slot more of four: 25%). When the target sheds a request, the limit is set
-/// below the number of requests in flight at once.
+/// slot more of four: 25%). When the target sheds a request, the limit is
+/// immediately set below the number of requests in flight.
 ///
 //===----------------------------------------------------------------------===//
 
--- a/src/work/key_claims.cpp
+++ b/src/work/key_claims.cpp
@@ -119,12 +119,12 @@
     conclude(Attempt.Record.Key, Now);
     return;
   default:
-    return; // ViewMismatch: tick() asks again.
+    return; // ViewMismatch: tick() sends the claim again.
   }
 }
 
-/// Asks the other replicas as well, because the end of a run may have reached
-/// only one of them.
+/// Queries the remaining replicas as well, because the end of a run may have
+/// reached only one of them.
 void key_claims::impl::onHeld(attempt &Attempt, const key_message &Answer,
                               instant Now) {
   const key_state State = Answer.Record.State;
--- a/src/work/retry_budget.h
+++ b/src/work/retry_budget.h
@@ -2,11 +2,11 @@
 ///
 /// \file
 /// Load pattern: after an outage every caller without an answer retries
-/// repeatedly. The retries displace first tries, which turn into retries in
-/// turn, so the load stays above the target's capacity after its cause has
-/// ended. The service is fully used but has almost no goodput. While requests
-/// wait, retries may therefore be at most Share of the first tries. While slots
-/// are free, retries delay nobody and are not counted.
+/// repeatedly. The retries displace first tries, which then become retries
+/// themselves, so the load stays above the target's capacity after its cause
+/// has ended. The service is fully used but has almost no goodput. While
+/// requests wait, retries may therefore be at most Share of the first tries.
+/// While slots are free, retries delay nobody and are not counted.
 ///
 //===----------------------------------------------------------------------===//
 
--- a/test/stack/tcp_stack_test.cpp
+++ b/test/stack/tcp_stack_test.cpp
@@ -207,9 +207,9 @@
 }
 
 TEST_CASE("flows in TIME_WAIT above the limit are freed, the oldest first") {
-  // If the agent closes thousands of flows per second, each stays in TIME_WAIT
-  // for two minutes, and lwIP searches all of them for every packet. Without
-  // the limit the packet rate of the agent would drop.
+  // lwIP keeps each flow that the agent closes in TIME_WAIT for two minutes and
+  // searches these flows linearly for every packet. At thousands of closed
+  // flows per second there would be hundreds of thousands without the limit.
   loopback_stack Loop({.MaxTimeWait = 10});
   for (std::uint16_t Port = 4000; Port < 4050; ++Port) {
     const auto Flow = Loop.open(Port);
--- a/test/work/load_model.h
+++ b/test/work/load_model.h
@@ -102,9 +102,11 @@
   std::uint64_t GivenUp = 0;
   /// Requests in progress that a planned stop cut off.
   std::uint64_t CutOff = 0;
-  /// Refused later than a free slot would have given the answer.
+  /// Refused after a longer time than an answer from a free slot would have
+  /// taken.
   std::uint64_t LateRefusals = 0;
-  /// Returned at the time they were told, and of these those that were refused.
+  /// Attempts made after the retry-after of a refusal, and the number of these
+  /// that were refused again.
   std::uint64_t Returned = 0;
   std::uint64_t ReturnedRefused = 0;
   std::uint64_t Relayed = 0;
