--- a/include/marjoramrail/agent.h
+++ b/include/marjoramrail/agent.h
@@ -140,7 +140,8 @@
   Extended,
   OverShare,
   Draining,
-  /// A host that must acknowledge the newest generation has not done so yet.
+  /// This agent is not among the flow's choices under the newest active
+  /// generation, for example because a host has yet to acknowledge a newer one.
   GenerationNotActive,
   /// A retransmitted SYN, passed to the same agent as the first one.
   RedirectRepeated,
--- a/include/marjoramrail/proxy.h
+++ b/include/marjoramrail/proxy.h
@@ -68,9 +68,8 @@
   host_id Host{};
   /// Name of this agent, appended to the Via field of each answer (RFC 9110,
   /// 7.6.3), so that a caller's log shows which agents handled the request. The
-  /// last name is the agent that owns the flow; a name before it is
-  /// the agent to which the request was relayed. If empty, no Via field is
-  /// added.
+  /// last name is the agent that owns the flow; a name before it is the agent
+  /// to which the request was relayed. If empty, no Via field is added.
   std::string Name;
   endpoint Target;
   admission_settings Admission;
