--- a/src/work/relay_choice.cpp
+++ b/src/work/relay_choice.cpp
@@ -23,8 +23,8 @@
 
 namespace {
 
-/// Maximum share relayed for balance. A host whose own reports are misleading
-/// thus still runs some requests, which show its real state.
+/// Maximum share relayed for balance. A host with misleading reports thus still
+/// runs some requests, which show its real state.
 constexpr double MaxShifted = 0.95;
 /// Smaller differences in Busy are noise of a few slots.
 constexpr double DeadZone = 0.02;
