--- a/src/work/key_claims.cpp
+++ b/src/work/key_claims.cpp
@@ -119,7 +119,7 @@
     conclude(Attempt.Record.Key, Now);
     return;
   default:
-    return; // ViewMismatch: tick() sends the claim again.
+    return; // ViewMismatch: tick() sends the message again.
   }
 }
 
