--- a/include/marjoramrail/directory.h
+++ b/include/marjoramrail/directory.h
@@ -361,9 +361,9 @@
   std::uint64_t routesVersion() const;
   /// Every change that the store accepted before this moment is known here.
   std::optional<instant> knownAsOf() const;
-  /// Removes the store entries of an agent that is permanently gone. Only the
-  /// first balancer of the zone (lowest address) does this; on the others the
-  /// call has no effect.
+  /// Removes the store entries of an agent that has failed permanently. Only
+  /// the first balancer of the zone (lowest address) does this; on the others
+  /// the call has no effect.
   void removeTarget(const endpoint &Agent);
   /// The targets of this balancer's zone if this balancer is the first of the
   /// zone and has been running long enough to know that; otherwise none.
--- a/include/marjoramrail/fleet.h
+++ b/include/marjoramrail/fleet.h
@@ -24,7 +24,7 @@
 ///        .OnView = [&](const membership &Members) {
 ///          Core.takeView(Members.View); },
 ///        .OnDeclaredDead = [&](std::uint32_t Incarnation) {
-///          Core.forgetFlows(Incarnation); }});
+///          Core.restart(Incarnation); }});
 ///   // for each datagram:
 ///   if (isFleetMessage(Bytes)) { Heartbeats.input(From, Bytes); return; }
 ///   // after a batch of timers: Socket.flush()
--- a/include/marjoramrail/flowstore.h
+++ b/include/marjoramrail/flowstore.h
@@ -78,7 +78,7 @@
                                          const std::string &Body);
 
 /// Object kind of checkpoints. It differs from the kind of targets and
-/// balancers, because nobody watches checkpoints.
+/// balancers, because checkpoints are not watched.
 inline constexpr const char *CheckpointKind = "marjoramrail-flows";
 /// Key of the object that holds the checkpoint of \p Zone's targets.
 object_key checkpointKey(const std::string &Zone);
@@ -128,7 +128,7 @@
 ///
 /// When a VM loses power, its agent and target forget all flows. An idle caller
 /// notices only when it sends its next request. If that request may run only
-/// once, it cannot be repeated, because nobody can tell whether it has run.
+/// once, it cannot be repeated, because it is unknown whether it has run.
 /// Requests then fail for many seconds after power has returned. With the flows
 /// from the store, the agent sends each caller a reset before its next request,
 /// and the caller opens a new flow.
--- a/src/directory/peer_selector.h
+++ b/src/directory/peer_selector.h
@@ -31,10 +31,11 @@
   static constexpr std::size_t Fanout = 2;
   /// In every fifth round one message goes to an unresponsive peer.
   static constexpr std::uint64_t RoundsPerSilentPeer = 5;
-  /// A peer counts as dead after this number of unanswered messages
+  /// A peer counts as dead if it has not answered at least this number of
+  /// messages and DeadAfter has passed as well.
   static constexpr int DeadAfterMessages = 5;
-  /// and after this time without a response: restarts and temporary network
-  /// faults are shorter.
+  /// Minimum time without a response before a peer counts as dead: restarts and
+  /// temporary network faults are shorter.
   static constexpr duration DeadAfter = std::chrono::minutes(1);
   /// A peer counts as live for this time after its last message. The time spans
   /// several rounds, so that lost datagrams have no effect.
@@ -71,7 +72,7 @@
   /// The same among the peers of \p Zone.
   std::size_t rankIn(std::uint32_t Zone, instant Now) const;
   bool isOfZone(const endpoint &Peer, std::uint32_t Zone) const;
-  /// Whether \p Peer counts as permanently gone.
+  /// Whether \p Peer counts as dead, as far as this balancer can tell.
   bool isDead(const endpoint &Peer, instant Now) const;
   void forget(const endpoint &Peer) { Peers.erase(Peer); }
   /// Selects the peers for the next round of sync messages. \p NeedsUpdates:
--- a/src/directory/sync_message.cpp
+++ b/src/directory/sync_message.cpp
@@ -10,10 +10,10 @@
 
 using json = nlohmann::json;
 
-/// The encoded message: u16 magic | u8 format | u8 flags | i64 asked | u32, u16
-/// self | u32 zone | 2 x (u64 version, u64 change, i64 age) | u64 changes since
-/// | u64 up to | changes as CBOR, [[name, version, body or null for deleted],
-/// ...], or nothing
+/// The encoded message: u16 magic | u8 format | u8 flags | i64 requested at |
+/// u32, u16 self | u32 zone | 2 x (u64 version, u64 change, i64 age) |
+/// u64 changes since | u64 up to | changes as CBOR, [[name, version, body or
+/// null for deleted], ...], or nothing
 static constexpr std::uint16_t SyncMessageMagic = 0x4d47;
 static constexpr std::uint8_t SyncMessageFormat = 4;
 static constexpr std::uint8_t ReplyBit = 1;
--- a/src/fleet/byte_budget.h
+++ b/src/fleet/byte_budget.h
@@ -1,11 +1,11 @@
 //===- byte_budget.h - Byte budget for control traffic ----------*- C++ -*-===//
 ///
 /// \file
-/// Limits the bytes that a node sends for control. Without a limit, a storm of
-/// changes would make every node send each version of each view to its peers
-/// and take bandwidth from the callers. What does not fit is deferred, and
-/// versions superseded meanwhile are never sent. A burst of four seconds' worth
-/// lets a single change go out at once.
+/// Limits the bytes that a node sends for control. Without a limit, many
+/// simultaneous changes would make every node send each version of each view to
+/// its peers and take bandwidth from the callers. What does not fit is
+/// deferred, and versions superseded meanwhile are never sent. A burst of four
+/// seconds' worth lets a single change go out at once.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,7 +22,7 @@
 enum class urgency {
   /// Heartbeats and reports on hosts: small and limited in number by
   /// themselves. If they were deferred for lack of budget, live nodes would be
-  /// taken for dead.
+  /// considered dead.
   Now,
   /// Views and updates about them.
   Soon,
--- a/src/fleet/membership_plan.h
+++ b/src/fleet/membership_plan.h
@@ -8,7 +8,7 @@
 ///   generation a second, since each generation makes packets' owner lists
 ///   longer and has to be acknowledged by agents before new flows open under
 ///   it.
-/// - Many hosts are wrongly taken for dead: at most a third of the serving
+/// - Many hosts are wrongly considered dead: at most a third of the serving
 ///   targets leave per step, so that the others can take their load and the
 ///   mistake is noticed before the whole service is down.
 /// - The last serving target is neither drained nor marked dead: a target that
--- a/src/fleet/peer_table.h
+++ b/src/fleet/peer_table.h
@@ -5,7 +5,7 @@
 /// Motivala, 2002): each node probes one random peer per period; a peer that
 /// does not answer becomes suspect, the suspicion spreads, and the suspect
 /// refutes it with a higher incarnation. The work per node does not grow with
-/// the fleet. As in Lifeguard (Dadgar et al., 2017), a node also doubts its own
+/// the fleet. As in Lifeguard (Dadgar et al., 2017), a node also checks its own
 /// link: when most of the probed peers do not answer, the probing node is
 /// probably the one that is cut off.
 ///
--- a/src/forward/agent_table.h
+++ b/src/forward/agent_table.h
@@ -14,9 +14,9 @@
 /// A candidate list also contains agents that were sent nothing for a long
 /// time. When an owner lookup begins, the balancer requests a load report from
 /// these. Agents that have not answered by the time the caller retransmits are
-/// placed behind the others in the next lookup. Without the request, a failed
-/// VM would swallow every packet of a flow whose owner comes after it in the
-/// list.
+/// placed behind the others in the next lookup. Without the request, every
+/// packet of a flow whose owner comes after a failed VM in the list would be
+/// lost at that VM.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -112,8 +112,8 @@
   /// Requests per round to agents of the own zone. Bounds the control traffic
   /// in a zone with thousands of agents.
   static constexpr std::size_t ReportRequestsPerRound = 16;
-  /// Requests per round to agents of other zones. Only agents that have not
-  /// answered an earlier request are asked again.
+  /// Requests per round to agents of other zones. Only suspect agents and
+  /// agents that have not answered an earlier request get one.
   static constexpr std::size_t RemoteReportRequestsPerRound = 4;
   /// Up to this many changed agents, the order is renewed at once. With more,
   /// as after a power failure, it is renewed once per BulkRenewalInterval.
--- a/src/forward/candidate_list.cpp
+++ b/src/forward/candidate_list.cpp
@@ -19,7 +19,7 @@
 }
 
 /// Sort key of an agent in every list: its zone, or a position after all zones
-/// for agents that do not respond.
+/// for deprioritized agents, which may have failed.
 static std::uint64_t rankOf(const agent_state &Agent, bool IsDeprioritized) {
   constexpr std::uint64_t BehindAllZones = std::uint64_t{1} << 32;
   return Agent.ZoneOrder + (IsDeprioritized ? BehindAllZones : 0);
--- a/src/forward/forward_agent.cpp
+++ b/src/forward/forward_agent.cpp
@@ -10,12 +10,12 @@
 namespace {
 
 /// A balancer that has sent nothing for this long gets no more reports. Longer
-/// than agent_table::AskAfter, the interval at which balancers request
-/// reports, so that a balancer that requests them gets reports without a gap.
+/// than agent_table::ReportRequestDelay, after which balancers request a
+/// report, so that a balancer that requests them gets reports without a gap.
 constexpr duration ReportDuration = std::chrono::seconds(2);
 /// Interval of the reports to the last known balancer while no balancer makes
-/// contact. Rare enough to cost next to nothing, and frequent enough for an
-/// agent that is reachable again after a long network partition.
+/// contact. Long enough to cost almost nothing, and short enough for an agent
+/// that is reachable again after a long network partition.
 constexpr duration LastBalancerReportPeriod = std::chrono::seconds(5);
 /// Interval of the checks of the store's registry while no balancer makes
 /// contact. Equals the time for which the entry of an unreachable VM is kept,
@@ -89,7 +89,7 @@
 
 /// The flows of a process that has ended are lost. Their callers get a reset
 /// before they send their next request: a request that may run only once cannot
-/// be repeated after it was sent on a lost flow, because nobody can tell
+/// be repeated after it was sent on a lost flow, because it is unknown
 /// whether it has run.
 void forward_agent::impl::resetAll(instant Now) {
   Load.removeAllFlows(Now, [&](const flow_key &Key, const watched_flow &Flow) {
@@ -229,9 +229,8 @@
 
 /// The target's entry may have been removed from the store while this agent was
 /// unreachable, and the last known balancer may have stopped as well. Then no
-/// balancer would ever contact this agent again, and a healthy target would get
-/// no flows for the rest of its life. So the agent has the store's registry
-/// checked.
+/// balancer would ever contact this agent again, and a healthy target would
+/// never get flows again. So the agent has the store's registry checked.
 void forward_agent::impl::detectIsolation(instant Now) {
   const bool HasContact = !Balancers.empty() || !ReportOnceTo.empty();
   if (HasContact || !LastContactOrCheckAt) {
--- a/src/forward/placement.cpp
+++ b/src/forward/placement.cpp
@@ -261,8 +261,9 @@
 }
 
 /// Returns the targets that have reported recently, if they suffice to estimate
-/// the load of their zones. The others were idle at their last report, and
-/// would otherwise be found to be full one by one.
+/// the load of their zones. The others were idle at their last report and may
+/// be full by now; the balancer would notice this only by placing flows at
+/// each.
 std::vector<std::size_t>
 flow_choice::recentlyReported(const std::vector<std::size_t> &Positions) const {
   std::vector<std::size_t> Recent;
--- a/test/fleet/fleet_node_test.cpp
+++ b/test/fleet/fleet_node_test.cpp
@@ -73,7 +73,7 @@
 
 TEST_CASE("a host that one balancer cannot reach is not declared dead") {
   // A link between one balancer and one host fails in one direction. The host
-  // still serves all others; declaring it dead would cut its flows.
+  // still serves all others; declaring it dead would break its flows.
   site Site;
   REQUIRE(Site.settle());
   Site.Cut = [&](const process &From, const process &To) {
--- a/test/fleet/gossip_test.cpp
+++ b/test/fleet/gossip_test.cpp
@@ -125,8 +125,8 @@
 }
 
 TEST_CASE("no node is declared dead when a fifth of datagrams is lost") {
-  // A congested link between zones drops packets. If that were taken for the
-  // death of nodes, flows would move without need while links are scarce.
+  // A congested link between zones drops packets. If nodes were marked dead
+  // because of it, flows would move without need while links are scarce.
   wide_fleet Fleet(20);
   REQUIRE(Fleet.settle());
   Fleet.Loss = 0.2;
--- a/test/fleet/membership_plan_test.cpp
+++ b/test/fleet/membership_plan_test.cpp
@@ -99,7 +99,7 @@
 }
 
 TEST_CASE("at most a third of the targets leave per step") {
-  // Many hosts are wrongly taken for dead, or a zone fails: the other targets
+  // Many hosts are wrongly considered dead, or a zone fails: the other targets
   // have to take their flows.
   plan_fixture Plan(9);
   for (int I = 1; I <= 6; ++I)
--- a/test/fleet/shard_lease_test.cpp
+++ b/test/fleet/shard_lease_test.cpp
@@ -120,7 +120,7 @@
 
 TEST_CASE("a claim whose answer was lost is found by reading back") {
   // The write took effect, but the connection broke before the answer came. A
-  // node that took this for a failure would wait until its own lease expires.
+  // node that treated this as a failure would wait until its own lease expires.
   lease_fixture Fixture;
   contender First(Fixture.Timers, Fixture.Platform, "a");
   Fixture.Platform.LoseAnswers = 1;
--- a/test/flowstore/flow_checkpoint_test.cpp
+++ b/test/flowstore/flow_checkpoint_test.cpp
@@ -37,7 +37,7 @@
                   "callers get resets for flows lost with a VM") {
   // A VM loses power and comes back; neither its agent nor its target knows the
   // flows they had. A caller that sends a request that may run only once on
-  // such a flow cannot repeat it, because nobody can tell whether it has run.
+  // such a flow cannot repeat it, because it is unknown whether it has run.
   checkpointAndLosePower();
   reporter_process &Agent = startAgent(Web);
   advanceTime(100ms);
@@ -120,7 +120,7 @@
     "checkpoints of a large site are as fresh as of a small one") {
   // All VMs of a zone with 41 targets lose power soon after a flow was opened.
   // If the checkpoint lacks the flow, its caller gets no reset and loses its
-  // next request on a flow that nobody holds.
+  // next request on a flow that no target holds.
   for (int Number = 0; Number < 41; ++Number)
     runAgent("target." + std::to_string(Number), FirstRun, TwoFlows);
   advanceTime(4s);
@@ -293,9 +293,9 @@
 }
 
 TEST_CASE_FIXTURE(checkpoint_fixture, "two collectors cause few conflicts") {
-  // Two balancers of a zone cannot reach each other, and each takes itself for
-  // the first. Their writes conflict, and each conflict costs calls to the
-  // store.
+  // Two balancers of a zone cannot reach each other, and each considers
+  // itself the first. Their writes conflict, and each conflict costs calls to
+  // the store.
   const auto Second = startCollector();
   reporter_process &Agent = runAgent(Web, FirstRun, TwoFlows);
   advanceTime(4s);
@@ -368,7 +368,7 @@
 }
 
 TEST_CASE_FIXTURE(checkpoint_fixture, "flows of a removed agent are removed") {
-  // Thousands of VMs are replaced per day, and nobody else removes their flows
+  // Thousands of VMs are replaced per day, and nothing else removes their flows
   // from the checkpoint.
   runAgent(Web, FirstRun, TwoFlows);
   runAgent("target.web-2", FirstRun, TwoFlows);
--- a/test/forward/flows_test.cpp
+++ b/test/forward/flows_test.cpp
@@ -75,7 +75,8 @@
   CHECK(Hops == 1);
 }
 
-TEST_CASE_FIXTURE(small_site, "a reused port is not taken for the old flow") {
+TEST_CASE_FIXTURE(small_site,
+                  "a reused port is not mistaken for the old flow") {
   // A caller reuses a port, and its new flow was placed at another target. The
   // agent of the old flow has it in its records as owned by its target.
   const flow_key Flow = flowOf(1001);
@@ -149,7 +150,7 @@
 
 TEST_CASE_FIXTURE(
     small_site,
-    "a frozen target does not swallow packets of other targets' flows") {
+    "a frozen target does not lose packets of other targets' flows") {
   // One target hangs. Packets of other targets' flows, looked up by a balancer
   // that does not know their owners, must not be lost there.
   std::map<std::uint16_t, std::uint32_t> Acks;
@@ -235,7 +236,7 @@
   CHECK(ownerOf(flowOf(1002)) == 8);
 }
 
-TEST_CASE_FIXTURE(small_site, "a lookup asks each target once") {
+TEST_CASE_FIXTURE(small_site, "a lookup tries each target once") {
   const flow_key Flow = flowOf(1001);
   const std::uint32_t Ack = open(1, Flow);
   const unsigned Owner = ownerOf(Flow);
--- a/test/forward/long_lookups_test.cpp
+++ b/test/forward/long_lookups_test.cpp
@@ -52,7 +52,7 @@
     Hosts[Number].Agent->onRouted(balancerAt(1), Buffer, Now);
   }
 
-  /// Returns a target that a new balancer's lookup asks before the flow's
+  /// Returns a target that a new balancer's lookup tries before the flow's
   /// owner, and to which the balancer itself sends nothing.
   std::optional<unsigned> targetAskedBeforeOwner(std::uint16_t Port,
                                                  std::uint32_t Ack,
