--- a/src/directory/route_activation.h
+++ b/src/directory/route_activation.h
@@ -1,11 +1,12 @@
 //===- route_activation.h - When a configuration takes effect ---*- C++ -*-===//
 ///
 /// \file
-/// Delays the additions of a new configuration until every balancer can know
-/// them. If a balancer sent flows to a new service at once, another balancer
-/// that does not know the service yet would receive packets of these flows,
-/// find no owner among the targets it knows and reset them. Removals and
-/// changes of weights take effect at once.
+/// Decides when a configuration takes effect. One that adds services has to
+/// wait until every balancer can know them. If a balancer sent flows to a new
+/// service at once, another balancer that does not know the service yet would
+/// receive packets of these flows, find no owner among the targets it knows and
+/// reset them. A configuration that only removes services or changes weights
+/// takes effect at once.
 ///
 /// A version never replaces a newer one, in whatever order updates arrive.
 ///
@@ -22,7 +23,8 @@
 public:
   /// Accepts a newer table; false if it is not newer than the newest one known.
   bool take(route_table Table, const route_record &Record, instant Now);
-  /// Activates additions whose wait is over; true if something changed.
+  /// Activates the newest configuration if its wait is over; true if something
+  /// changed.
   bool advance(instant Now);
   /// When advance() has to be called next, if at all.
   std::optional<instant> nextChange() const;
--- a/src/fleet/peer_table.h
+++ b/src/fleet/peer_table.h
@@ -28,8 +28,7 @@
 
   const balancer_info &self() const { return Self; }
 
-  /// Takes an update from any node. Returns true if it changed the set of
-  /// living peers.
+  /// Takes an update from any node. Returns true if it changed living().
   bool take(const peer_update &Update, instant Now);
 
   /// Records a message sent by the peer itself.
@@ -42,7 +41,7 @@
   std::optional<balancer_info> random();
 
   /// Marks peers that did not answer as suspect, and peers suspected for too
-  /// long as dead. Returns true if the table changed.
+  /// long as dead. Returns true if living() changed.
   bool tick(instant Now);
 
   /// Alive or suspect peers, including this node, ordered by name.
--- a/test/forward/unresponsive_agents_test.cpp
+++ b/test/forward/unresponsive_agents_test.cpp
@@ -155,8 +155,8 @@
 TEST_CASE_FIXTURE(three_zones,
                   "a VM that has reported recently may have failed") {
   // The agent reported to the balancer half a second before the flow's packet
-  // arrives, and its VM has failed since. If the old report counted, the VM
-  // would swallow the caller's retransmissions as well.
+  // arrives, and its VM has failed since. If the old report counted, the
+  // caller's retransmissions would be lost there as well.
   const std::vector<opened> Flows = openFlows({3});
   std::size_t Unanswered = 0;
   for (const opened &Opened : Flows) {
