--- a/src/fleet/heartbeat_receiver.cpp
+++ b/src/fleet/heartbeat_receiver.cpp
@@ -80,8 +80,8 @@
     push(Host, *Members);
   const bool Ours =
       std::find(Assigned.begin(), Assigned.end(), Self) != Assigned.end();
-  // The host now sends its heartbeats to other balancers; missing ones here
-  // will mean nothing.
+  // The host now sends its heartbeats to other balancers; missing ones here do
+  // not indicate a failure.
   if (!Ours)
     Hosts.erase(Key);
 }
--- a/src/forward/forward_agent.cpp
+++ b/src/forward/forward_agent.cpp
@@ -246,7 +246,7 @@
 
 /// No balancer makes contact if there is no traffic, or if this agent was
 /// unreachable and its target's entry has been removed from the store. The
-/// answer of the last known balancer tells which of the two it is.
+/// answer of the last known balancer shows which of the two it is.
 void forward_agent::impl::reportToLastBalancer(instant Now) {
   if (!LastBalancer || Now - LastBalancer->second < LastBalancerReportPeriod)
     return;
--- a/src/forward/routed_packets.cpp
+++ b/src/forward/routed_packets.cpp
@@ -98,9 +98,9 @@
   return agent_outcome::Delivered;
 }
 
-/// The packet came through other agents first. The notice tells the balancer
-/// which agent's target owns the flow, so that it sends the next packets here
-/// directly.
+/// Sends an owner notice if the packet came through other agents first. The
+/// notice informs the balancer which agent's target owns the flow, so that the
+/// balancer sends the next packets here directly.
 void forward_agent::impl::sendOwnerNotice(const routed_packet &Routed,
                                           const flow_key &Flow, instant Now) {
   if (Routed.Position == 0 || Routed.Balancer == endpoint())
