--- a/daemons/forwarder/callback_log.cpp
+++ b/daemons/forwarder/callback_log.cpp
@@ -4,7 +4,7 @@
 
 /// A callback that takes this long is logged, because callers' packets are
 /// delayed by as much.
-static constexpr duration LongTurn = std::chrono::milliseconds(20);
+static constexpr duration LongCallback = std::chrono::milliseconds(20);
 /// An answer later than this is unusual even for a slow store.
 static constexpr duration SlowCall = std::chrono::milliseconds(500);
 static constexpr std::size_t LargeAnswerBytes = 64 * 1024;
@@ -24,17 +24,17 @@
         "marjoramrail_turn_seconds_" + std::string(Name);
 }
 
-void callback_log::take(const callback_timing &Turn) {
-  Metrics.observe(HistogramNames[static_cast<std::size_t>(Turn.What)],
-                  seconds(Turn.Took));
-  if (Turn.Took < LongTurn || !Log.wants(event_kind::LongTurn))
+void callback_log::take(const callback_timing &Timing) {
+  Metrics.observe(HistogramNames[static_cast<std::size_t>(Timing.What)],
+                  seconds(Timing.Took));
+  if (Timing.Took < LongCallback || !Log.wants(event_kind::LongTurn))
     return;
   timeline_event Event;
   Event.What = event_kind::LongTurn;
-  Event.Why = std::string(nameOf(CallbackKindNames, Turn.What)) + " of " +
-              std::to_string(Turn.Items) + ", processor " +
-              std::to_string(Turn.Processor.count()) + " us";
-  Event.TookMs = milliseconds(Turn.Took);
+  Event.Why = std::string(nameOf(CallbackKindNames, Timing.What)) + " of " +
+              std::to_string(Timing.Items) + ", processor " +
+              std::to_string(Timing.Processor.count()) + " us";
+  Event.TookMs = milliseconds(Timing.Took);
   Log.record(std::move(Event));
 }
 
@@ -58,8 +58,8 @@
   Log.record(std::move(Event));
 }
 
-callback_hook callback_log::onTurn() {
-  return [this](const callback_timing &Turn) { take(Turn); };
+callback_hook callback_log::onCallback() {
+  return [this](const callback_timing &Timing) { take(Timing); };
 }
 
 std::function<void(const platform_call_end &)> callback_log::onCallEnd() {
@@ -68,7 +68,7 @@
 
 platform_client_settings watched(platform_client_settings Settings,
                                  callback_log &Log) {
-  Settings.OnTurn = Log.onTurn();
+  Settings.OnCallback = Log.onCallback();
   Settings.OnCallEnd = Log.onCallEnd();
   return Settings;
 }
--- a/daemons/forwarder/callback_log.h
+++ b/daemons/forwarder/callback_log.h
@@ -21,12 +21,12 @@
 public:
   callback_log(event_log &Log, metrics &Metrics);
 
-  void take(const callback_timing &Turn);
+  void take(const callback_timing &Timing);
   void take(const platform_call_end &End);
 
   /// Hooks for the parts that report callbacks and calls. They refer to this
   /// object, which must outlive them.
-  callback_hook onTurn();
+  callback_hook onCallback();
   std::function<void(const platform_call_end &)> onCallEnd();
 
 private:
--- a/daemons/forwarder/forward_agent_process.cpp
+++ b/daemons/forwarder/forward_agent_process.cpp
@@ -18,7 +18,7 @@
     const site_adapter &Adapter)
     : Loop(Loop), Settings(Settings), Adapter(Adapter),
       Log(Loop, Settings.Name), Callbacks(Log, Metrics),
-      Calls(Loop, Log, Metrics), OnTurn(Callbacks.onTurn()),
+      Calls(Loop, Log, Metrics), OnCallback(Callbacks.onCallback()),
       Requests(Log, Metrics, this->Adapter),
       Routed(Loop, [this](auto Batch) { onRouted(Batch); }),
       TargetPackets(Loop, [this](auto Batch) { onTargetPackets(Batch); }),
@@ -259,7 +259,8 @@
 }
 
 void forward_agent_process::onRouted(std::span<const datagram> Batch) {
-  const callback_timer Taking(OnTurn, callback_kind::PeerPackets, Batch.size());
+  const callback_timer Taking(OnCallback, callback_kind::PeerPackets,
+                              Batch.size());
   const instant Now = Loop.timers().now();
   for (const datagram &Datagram : Batch)
     if (!Flows || !Flows->input(Datagram.From, Datagram.Bytes))
@@ -270,7 +271,7 @@
 }
 
 void forward_agent_process::onTargetPackets(std::span<const datagram> Batch) {
-  const callback_timer Taking(OnTurn, callback_kind::TargetPackets,
+  const callback_timer Taking(OnCallback, callback_kind::TargetPackets,
                               Batch.size());
   const instant Now = Loop.timers().now();
   LastFromTarget = Now;
--- a/daemons/forwarder/forward_agent_process.h
+++ b/daemons/forwarder/forward_agent_process.h
@@ -69,7 +69,7 @@
   metrics Metrics;
   callback_log Callbacks;
   store_calls Calls;
-  callback_hook OnTurn;
+  callback_hook OnCallback;
   request_log Requests;
   udp_socket Routed;
   udp_socket TargetPackets;
--- a/daemons/forwarder/forward_balancer_process.cpp
+++ b/daemons/forwarder/forward_balancer_process.cpp
@@ -68,7 +68,7 @@
     const site_adapter &Adapter)
     : Loop(Loop), Settings(Settings), Adapter(Adapter),
       Log(Loop, Settings.Name), Callbacks(Log, Metrics),
-      Calls(Loop, Log, Metrics), OnTurn(Callbacks.onTurn()),
+      Calls(Loop, Log, Metrics), OnCallback(Callbacks.onCallback()),
       Callers(Loop, [this](auto Batch) { onCallers(Batch); }),
       Peers(Loop, [this](auto Batch) { onPeers(Batch); }),
       Store(Loop,
@@ -119,7 +119,7 @@
     Loop.defer(std::move(Task));
   };
   Hooks.OnRules = [this](const rule_changes &Changes) {
-    const callback_timer Taking(OnTurn, callback_kind::TakeRules,
+    const callback_timer Taking(OnCallback, callback_kind::TakeRules,
                                 Changes.Changed.size());
     Core.changeRoutes(Changes);
   };
@@ -134,7 +134,7 @@
   Hooks.OnEvent = [this](event_kind What, const std::string &Why) {
     Log.record(What, Why);
   };
-  Hooks.OnTurn = OnTurn;
+  Hooks.OnCallback = OnCallback;
   return Hooks;
 }
 
@@ -246,13 +246,13 @@
 
 void forward_balancer_process::takeTargets() {
   const std::vector<target_entry> Targets = Directory.targets();
-  const callback_timer Taking(OnTurn, callback_kind::TakeTargets,
+  const callback_timer Taking(OnCallback, callback_kind::TakeTargets,
                               Targets.size());
   Core.setTargets(Targets, Loop.timers().now());
 }
 
 void forward_balancer_process::onCallers(std::span<const datagram> Batch) {
-  const callback_timer Forwarding(OnTurn, callback_kind::CallerPackets,
+  const callback_timer Forwarding(OnCallback, callback_kind::CallerPackets,
                                   Batch.size());
   LastPacketAt = Loop.timers().now();
   Packets += Batch.size();
@@ -264,7 +264,8 @@
 }
 
 void forward_balancer_process::onPeers(std::span<const datagram> Batch) {
-  const callback_timer Taking(OnTurn, callback_kind::PeerPackets, Batch.size());
+  const callback_timer Taking(OnCallback, callback_kind::PeerPackets,
+                              Batch.size());
   for (const datagram &Datagram : Batch) {
     if (directory::isForDirectory(Datagram.Bytes))
       Directory.input(Datagram.From, Datagram.Bytes);
--- a/daemons/forwarder/forward_balancer_process.h
+++ b/daemons/forwarder/forward_balancer_process.h
@@ -52,7 +52,7 @@
   metrics Metrics;
   callback_log Callbacks;
   store_calls Calls;
-  callback_hook OnTurn;
+  callback_hook OnCallback;
   udp_socket Callers;
   udp_socket Peers;
   platform_client Store;
--- a/include/marjoramrail/directory.h
+++ b/include/marjoramrail/directory.h
@@ -328,7 +328,7 @@
   /// available.
   std::function<void(event_kind What, const std::string &Why)> OnEvent;
   /// Reports the duration of longer pieces of work; may be empty.
-  callback_hook OnTurn;
+  callback_hook OnCallback;
 };
 
 class directory {
--- a/include/marjoramrail/platform.h
+++ b/include/marjoramrail/platform.h
@@ -259,7 +259,7 @@
   std::function<void(const platform_call_end &)> OnCallEnd = {};
   /// Reports the duration of decoding responses and of the callbacks; may be
   /// empty.
-  callback_hook OnTurn = {};
+  callback_hook OnCallback = {};
 };
 
 /// Implements platform_api over HTTP/1.1 (libevent).
--- a/src/directory/directory.cpp
+++ b/src/directory/directory.cpp
@@ -143,7 +143,7 @@
   Loader.OnRefused = [this](const std::string &Why) {
     Hooks.OnEvent(event_kind::RoutesRefused, Why);
   };
-  Loader.OnTurn = Hooks.OnTurn;
+  Loader.OnCallback = Hooks.OnCallback;
   return Loader;
 }
 
@@ -226,7 +226,7 @@
 void directory::impl::notifyRules() {
   if (!std::exchange(RulesChanged, false))
     return;
-  callback_timer Turn(Hooks.OnTurn, callback_kind::BuildRules);
+  callback_timer Turn(Hooks.OnCallback, callback_kind::BuildRules);
   const rule_changes Changes = Activation.changes(Record);
   Turn.setItems(Changes.Changed.size() + Changes.Removed.size());
   if (!Changes.empty())
@@ -324,7 +324,7 @@
   // The compact form of a configuration that is being read does not exist yet.
   if (Feed == &Impl->Routes && Impl->Loader.busy())
     return std::nullopt;
-  callback_timer Turn(Impl->Hooks.OnTurn, callback_kind::ServeCopies);
+  callback_timer Turn(Impl->Hooks.OnCallback, callback_kind::ServeCopies);
   platform_reply List;
   List.StoreVersion = Feed->version();
   for (const auto &[Name, Object] : Feed->objects())
--- a/src/directory/directory_peers.cpp
+++ b/src/directory/directory_peers.cpp
@@ -56,7 +56,8 @@
   Peers.recordMessage(Message->Self, Message->Zone, Timers.now(),
                       Message->IsServed);
   if (!Message->IsReply) {
-    const callback_timer Turn(Hooks.OnTurn, callback_kind::AnswerSyncMessage);
+    const callback_timer Turn(Hooks.OnCallback,
+                              callback_kind::AnswerSyncMessage);
     sync_message Reply = makeSyncMessage();
     Reply.IsReply = true;
     Reply.RequestedAtUs = Message->RequestedAtUs;
--- a/src/directory/directory_writes.cpp
+++ b/src/directory/directory_writes.cpp
@@ -104,7 +104,7 @@
 
 std::optional<std::string> directory::impl::compareRecord() {
   const route_services &Current = Activation.newestServices();
-  const callback_timer Turn(Hooks.OnTurn, callback_kind::CompareRecord,
+  const callback_timer Turn(Hooks.OnCallback, callback_kind::CompareRecord,
                             Current.entries().size());
   return Record.update(Current, Timers.now());
 }
--- a/src/directory/route_loader.h
+++ b/src/directory/route_loader.h
@@ -36,7 +36,7 @@
     /// now be used.
     std::function<void()> OnTableReady;
     std::function<void(const std::string &Why)> OnRefused;
-    callback_hook OnTurn;
+    callback_hook OnCallback;
   };
 
   explicit route_loader(hooks Hooks) : Hooks(std::move(Hooks)) {}
--- a/test/directory/directory_cluster.h
+++ b/test/directory/directory_cluster.h
@@ -62,7 +62,7 @@
     };
     Hooks.OnRules = [](const rule_changes &) {};
     Hooks.OnTargets = [] {};
-    Hooks.OnTurn = [this, Number](const callback_timing &Turn) {
+    Hooks.OnCallback = [this, Number](const callback_timing &Turn) {
       Compared[Number] += Turn.What == callback_kind::CompareRecord;
     };
     Hooks.OnEvent = [](event_kind, const std::string &) {};
--- a/test/directory/many_routes_test.cpp
+++ b/test/directory/many_routes_test.cpp
@@ -75,7 +75,7 @@
     Hooks.Send = [](const endpoint &, std::span<const std::uint8_t>) {};
     Hooks.ListFromPeer = [](const endpoint &, const std::string &,
                             const platform_callback &) {};
-    Hooks.OnTurn = [this](const callback_timing &Turn) {
+    Hooks.OnCallback = [this](const callback_timing &Turn) {
       ItemsByWork[Turn.What] += Turn.Items;
     };
     Directory = std::make_unique<directory>(
