--- a/daemons/forwarder/callback_log.cpp
+++ b/daemons/forwarder/callback_log.cpp
@@ -66,8 +66,8 @@
   return [this](const platform_call_end &End) { take(End); };
 }
 
-platform_client_settings watched(platform_client_settings Settings,
-                                 callback_log &Log) {
+platform_client_settings withCallbackLog(platform_client_settings Settings,
+                                         callback_log &Log) {
   Settings.OnCallback = Log.onCallback();
   Settings.OnCallEnd = Log.onCallEnd();
   return Settings;
--- a/daemons/forwarder/callback_log.h
+++ b/daemons/forwarder/callback_log.h
@@ -38,8 +38,8 @@
 
 /// Returns \p Settings with hooks that report the client's calls and callbacks
 /// to \p Log.
-platform_client_settings watched(platform_client_settings Settings,
-                                 callback_log &Log);
+platform_client_settings withCallbackLog(platform_client_settings Settings,
+                                         callback_log &Log);
 
 } // namespace marjoramrail::daemons
 
--- a/daemons/forwarder/event_log.cpp
+++ b/daemons/forwarder/event_log.cpp
@@ -15,7 +15,8 @@
     : Loop(Loop), Lines(Loop, STDOUT_FILENO),
       Events(
           Process, wallClockMs,
-          [this](const std::string &Line) { Lines.write(Line); }, KeptLines) {}
+          [this](const std::string &Line) { Lines.write(Line); },
+          MaxRecentLines) {}
 
 bool event_log::wants(event_kind What) {
   if (Budget.take(What, Loop.timers().now()))
--- a/daemons/forwarder/event_log.h
+++ b/daemons/forwarder/event_log.h
@@ -45,7 +45,7 @@
 
 private:
   /// Recent lines that the page /timeline shows.
-  static constexpr std::size_t KeptLines = 256;
+  static constexpr std::size_t MaxRecentLines = 256;
 
   event_loop &Loop;
   line_writer Lines;
--- a/daemons/forwarder/forward_agent_process.cpp
+++ b/daemons/forwarder/forward_agent_process.cpp
@@ -22,11 +22,12 @@
       Requests(Log, Metrics, this->Adapter),
       Routed(Loop, [this](auto Batch) { onRouted(Batch); }),
       TargetPackets(Loop, [this](auto Batch) { onTargetPackets(Batch); }),
-      Store(Loop,
-            counted(watched(storeSettings(Settings.Name, Settings.Store,
-                                          Adapter, Settings.DisabledMechanisms),
-                            Callbacks),
-                    Calls)),
+      Store(Loop, withCallCounts(
+                      withCallbackLog(
+                          storeSettings(Settings.Name, Settings.Store, Adapter,
+                                        Settings.DisabledMechanisms),
+                          Callbacks),
+                      Calls)),
       Core({.Service = serviceNumber(Settings.Service),
             .Self = Settings.RoutedListen,
             .DisabledMechanisms = Settings.DisabledMechanisms},
@@ -96,8 +97,9 @@
 /// A reset flow also loses the request that waits for an answer on it; the
 /// event then names that request.
 void forward_agent_process::recordFlow(const flow_event &Event) {
-  const std::string Request =
-      Event.What == event_kind::FlowReset ? Requests.lost(Event.Flow) : "";
+  const std::string Request = Event.What == event_kind::FlowReset
+                                  ? Requests.takePending(Event.Flow)
+                                  : "";
   Log.record(Event, Settings.Service, Request);
 }
 
--- a/daemons/forwarder/forward_balancer_process.cpp
+++ b/daemons/forwarder/forward_balancer_process.cpp
@@ -71,11 +71,12 @@
       Calls(Loop, Log, Metrics), OnCallback(Callbacks.onCallback()),
       Callers(Loop, [this](auto Batch) { onCallers(Batch); }),
       Peers(Loop, [this](auto Batch) { onPeers(Batch); }),
-      Store(Loop,
-            counted(watched(storeSettings(Settings.Name, Settings.Store,
-                                          Adapter, Settings.DisabledMechanisms),
-                            Callbacks),
-                    Calls)),
+      Store(Loop, withCallCounts(
+                      withCallbackLog(
+                          storeSettings(Settings.Name, Settings.Store, Adapter,
+                                        Settings.DisabledMechanisms),
+                          Callbacks),
+                      Calls)),
       Core({.Self = Settings.PeersListen,
             .Zone = Settings.Zone,
             .FlowLife = Settings.FlowLife,
@@ -167,8 +168,8 @@
   Client.Writer = Settings.Name;
   Client.Timeout = PeerTimeout;
   Client.Dialect = peerDialect();
-  PeerClient =
-      std::make_unique<platform_client>(Loop, watched(Client, Callbacks));
+  PeerClient = std::make_unique<platform_client>(
+      Loop, withCallbackLog(Client, Callbacks));
   PeerClient->api().List(Kind, std::move(Done));
 }
 
--- a/daemons/forwarder/process_pages.cpp
+++ b/daemons/forwarder/process_pages.cpp
@@ -5,9 +5,10 @@
 status_page::hooks readyHooks(const site_adapter &Adapter,
                               std::function<bool()> Ready) {
   status_page::hooks Hooks;
-  Hooks.Serve = [Asks = Adapter.IsReadinessRequest, Ready = std::move(Ready)](
+  Hooks.Serve = [IsProbe = Adapter.IsReadinessRequest,
+                 Ready = std::move(Ready)](
                     const page_request &Request) -> std::optional<page_answer> {
-    if (!Asks(Request))
+    if (!IsProbe(Request))
       return std::nullopt;
     return page_answer{static_cast<std::uint16_t>(Ready() ? 200 : 503), ""};
   };
--- a/daemons/forwarder/request_log.cpp
+++ b/daemons/forwarder/request_log.cpp
@@ -24,7 +24,7 @@
   Metrics.observe("marjoramrail_answer_seconds",
                   std::chrono::duration<double>(Took).count());
   timeline_event Event;
-  Event.Request = lost(Flow);
+  Event.Request = takePending(Flow);
   Event.What = event_kind::RequestAnswered;
   if (Took > Usual * SlowFactor && Took > SlowThreshold)
     Event.What = event_kind::RequestSlow;
@@ -41,7 +41,7 @@
   Log.record(std::move(Event));
 }
 
-std::string request_log::lost(const flow_key &Flow) {
+std::string request_log::takePending(const flow_key &Flow) {
   const auto Found = Waiting.find(Flow);
   if (Found == Waiting.end())
     return "";
--- a/daemons/forwarder/request_log.h
+++ b/daemons/forwarder/request_log.h
@@ -40,7 +40,7 @@
   }
   /// Removes the request that waits for an answer on \p Flow and returns its
   /// id, or "" if there is none.
-  std::string lost(const flow_key &Flow);
+  std::string takePending(const flow_key &Flow);
 
 private:
   /// Bound on requests that wait for an answer, far above what a target queues.
--- a/daemons/forwarder/store_calls.cpp
+++ b/daemons/forwarder/store_calls.cpp
@@ -36,8 +36,8 @@
     Log.record(event_kind::StoreCalls, text());
 }
 
-platform_client_settings counted(platform_client_settings Settings,
-                                 store_calls &Calls) {
+platform_client_settings withCallCounts(platform_client_settings Settings,
+                                        store_calls &Calls) {
   Settings.OnCallEnd = [&Calls, Before = std::move(Settings.OnCallEnd)](
                            const platform_call_end &End) {
     Calls.take(End);
--- a/daemons/forwarder/store_calls.h
+++ b/daemons/forwarder/store_calls.h
@@ -45,8 +45,8 @@
 };
 
 /// Returns \p Settings with a hook that counts the client's calls in \p Calls.
-platform_client_settings counted(platform_client_settings Settings,
-                                 store_calls &Calls);
+platform_client_settings withCallCounts(platform_client_settings Settings,
+                                        store_calls &Calls);
 
 } // namespace marjoramrail::daemons
 
--- a/test/daemons/store_calls_test.cpp
+++ b/test/daemons/store_calls_test.cpp
@@ -40,7 +40,7 @@
   int Seen = 0;
   platform_client_settings Settings;
   Settings.OnCallEnd = [&](const platform_call_end &) { ++Seen; };
-  counted(Settings, Calls)
+  withCallCounts(Settings, Calls)
       .OnCallEnd(callOf(platform_verb::Read, {"site", "routes"}));
 
   CHECK(Seen == 1);
