--- a/daemons/forwarder/process_pages.cpp
+++ b/daemons/forwarder/process_pages.cpp
@@ -5,8 +5,7 @@
 status_page::hooks readyHooks(const site_adapter &Adapter,
                               std::function<bool()> Ready) {
   status_page::hooks Hooks;
-  Hooks.Serve = [IsProbe = Adapter.IsReadinessRequest,
-                 Ready = std::move(Ready)](
+  Hooks.Serve = [IsProbe = Adapter.IsReadinessProbe, Ready = std::move(Ready)](
                     const page_request &Request) -> std::optional<page_answer> {
     if (!IsProbe(Request))
       return std::nullopt;
--- a/daemons/forwarder/site_adapter.h
+++ b/daemons/forwarder/site_adapter.h
@@ -34,7 +34,7 @@
   std::function<std::optional<target_call>(const page_request &)>
       DecodeTargetCall;
   /// Whether the request is the site's readiness probe.
-  std::function<bool(const page_request &)> IsReadinessRequest;
+  std::function<bool(const page_request &)> IsReadinessProbe;
   /// The id of the request that starts in the packet, or "".
   std::function<std::string(bytes_view Packet)> RequestIdOf;
   /// The status code of the answer that starts in the packet, or 0.
