--- a/daemons/agent/agent_process.cpp
+++ b/daemons/agent/agent_process.cpp
@@ -1,5 +1,5 @@
 #include "agent_process.h"
-#include "h2_side.h"
+#include "h2_flow_handler.h"
 #include "tcp_splice.h"
 
 #include <chrono>
@@ -12,7 +12,7 @@
 using std::chrono::system_clock;
 
 /// Unanswered keepalive probes after which a flow is considered unresponsive.
-static constexpr unsigned SilentProbes = 3;
+static constexpr unsigned MaxUnansweredProbes = 3;
 
 static std::int64_t wallClockMs() {
   return duration_cast<std::chrono::milliseconds>(
@@ -69,24 +69,25 @@
 void agent_process::accept(std::unique_ptr<stack_flow> Flow) {
   const flow_key Key = Flow->key();
   Flow->keepAlive(Settings.SilentFlow / 2,
-                  Settings.SilentFlow / 2 / SilentProbes, SilentProbes);
+                  Settings.SilentFlow / 2 / MaxUnansweredProbes,
+                  MaxUnansweredProbes);
   record(event_kind::FlowAccepted, toText(Key), "");
-  auto OnFlowEnd = [this, Key](side_end End) { onFlowEnded(Key, End); };
+  auto OnFlowEnd = [this, Key](handler_end End) { onFlowEnded(Key, End); };
   if (Settings.Protocol == service_protocol::Tcp)
     Flows[Key] = std::make_unique<tcp_splice>(
         Loop, std::move(Flow), Settings.Target, std::move(OnFlowEnd));
   else
-    Flows[Key] = std::make_unique<h2_side>(std::move(Flow), *Proxy,
-                                           std::move(OnFlowEnd));
+    Flows[Key] = std::make_unique<h2_flow_handler>(std::move(Flow), *Proxy,
+                                                   std::move(OnFlowEnd));
 }
 
-void agent_process::onFlowEnded(const flow_key &Flow, side_end End) {
+void agent_process::onFlowEnded(const flow_key &Flow, handler_end End) {
   record(event_kind::FlowClosed, toText(Flow), "");
-  if (End == side_end::Closed)
+  if (End == handler_end::Closed)
     Owner->flowClosing(Flow, Loop.timers().now());
   else
     Owner->flowRemoved(Flow);
-  flow_side *Side = Flows.at(Flow).get();
+  flow_handler *Side = Flows.at(Flow).get();
   Loop.defer([this, Flow, Side] {
     // The caller may have reused its port for a new flow meanwhile.
     const auto Found = Flows.find(Flow);
--- a/daemons/agent/agent_process.h
+++ b/daemons/agent/agent_process.h
@@ -10,7 +10,7 @@
 #define MARJORAMRAIL_DAEMONS_AGENT_AGENT_PROCESS_H
 
 #include "agent_settings.h"
-#include "flow_side.h"
+#include "flow_handler.h"
 #include "kernel_stream.h"
 #include "marjoramrail/agent.h"
 #include "marjoramrail/fleet.h"
@@ -64,7 +64,7 @@
   void drain(const std::string &Why);
   void resume();
   void accept(std::unique_ptr<stack_flow> Flow);
-  void onFlowEnded(const flow_key &Flow, side_end End);
+  void onFlowEnded(const flow_key &Flow, handler_end End);
   void onDeclaredDead(std::uint32_t Incarnation);
   void tick();
   void finishIfIdle();
@@ -95,7 +95,7 @@
   std::unique_ptr<request_proxy> Proxy;
   std::optional<membership> Members;
   /// The version of the service's rules that was requested last.
-  std::uint64_t RulesAsked = 0;
+  std::uint64_t RequestedRulesVersion = 0;
   bool RulesKnown = false;
   /// No agent ran on this host before, so it cannot have lost key records.
   bool NeverRan = false;
@@ -103,7 +103,8 @@
   std::map<std::uint64_t, std::unique_ptr<peer_connection>> PeerConnections;
   std::uint64_t LastPeerConnection = 0;
   std::optional<endpoint> Address;
-  std::unordered_map<flow_key, std::unique_ptr<flow_side>, flow_key_hash> Flows;
+  std::unordered_map<flow_key, std::unique_ptr<flow_handler>, flow_key_hash>
+      Flows;
   instant LastConfirmed;
   bool Draining = false;
   std::int64_t DrainingSinceMs = 0;
--- a/daemons/agent/agent_view.cpp
+++ b/daemons/agent/agent_view.cpp
@@ -61,14 +61,14 @@
 /// down.
 void agent_process::takeView(const membership &Next) {
   Members = Next;
-  if (Platform && Next.SpecVersion != RulesAsked)
+  if (Platform && Next.SpecVersion != RequestedRulesVersion)
     readRules(Next.SpecVersion);
   if (Begun || !Platform)
     useView(Next);
 }
 
 void agent_process::readRules(std::uint64_t SpecVersion) {
-  RulesAsked = SpecVersion;
+  RequestedRulesVersion = SpecVersion;
   Platform->api().Read(
       {std::string(nameOf(ResourceKindNames, resource_kind::Service)),
        Settings.Service},
@@ -94,7 +94,7 @@
         << "agent: keeping the rules of its settings, the platform answered "
         << nameOf(PlatformOutcomeNames, Reply.Outcome);
     // The next view requests the rules again.
-    RulesAsked = 0;
+    RequestedRulesVersion = 0;
   }
   if (!std::exchange(RulesKnown, true))
     markFirstStart();
@@ -302,10 +302,10 @@
   const instant Now = Loop.timers().now();
   if (!Owner)
     return;
-  if (const auto Heard = HeartbeatSender.lastReceived();
-      Heard && *Heard > LastConfirmed) {
-    LastConfirmed = *Heard;
-    Owner->confirmView(*Heard);
+  if (const auto LastReceived = HeartbeatSender.lastReceived();
+      LastReceived && *LastReceived > LastConfirmed) {
+    LastConfirmed = *LastReceived;
+    Owner->confirmView(*LastReceived);
   }
   Owner->tick(Now);
   if (Stopping)
--- a/daemons/agent/h2_side.cpp
+++ b/daemons/agent/h2_flow_handler.cpp
@@ -1,4 +1,4 @@
-#include "h2_side.h"
+#include "h2_flow_handler.h"
 
 namespace marjoramrail {
 
@@ -7,8 +7,8 @@
   return hashOf({{Flow.Caller.Address, 0}, Flow.Service}, 0);
 }
 
-h2_side::h2_side(std::unique_ptr<stack_flow> Flow, request_proxy &Proxy,
-                 flow_end_hook OnFlowEnd)
+h2_flow_handler::h2_flow_handler(std::unique_ptr<stack_flow> Flow,
+                                 request_proxy &Proxy, flow_end_hook OnFlowEnd)
     : Caller(std::move(Flow)), Output(*Caller),
       OnFlowEnd(std::move(OnFlowEnd)) {
   listenToCaller();
@@ -18,9 +18,9 @@
   Session = Proxy.open({callerHash(Caller->key()), false}, std::move(Hooks));
 }
 
-h2_side::~h2_side() = default;
+h2_flow_handler::~h2_flow_handler() = default;
 
-void h2_side::listenToCaller() {
+void h2_flow_handler::listenToCaller() {
   stack_flow::hooks Hooks;
   Hooks.OnData = [this](std::string_view Bytes) {
     Caller->consumed(Bytes.size());
@@ -29,29 +29,30 @@
   Hooks.OnEnd = [this] { onSessionEnded(proxy_flow_end::Finished); };
   Hooks.OnWritable = [this] { pump(); };
   Hooks.OnClosed = [this](flow_end End) {
-    endFlow(End == flow_end::Finished ? side_end::Closed : side_end::Gone);
+    endFlow(End == flow_end::Finished ? handler_end::Closed
+                                      : handler_end::Released);
   };
   Caller->setHooks(std::move(Hooks));
 }
 
-void h2_side::onSessionEnded(proxy_flow_end Why) {
+void h2_flow_handler::onSessionEnded(proxy_flow_end Why) {
   if (Why == proxy_flow_end::Unresponsive) {
     Caller->abort();
-    return endFlow(side_end::Gone);
+    return endFlow(handler_end::Released);
   }
   Ending = true;
   pump();
 }
 
-void h2_side::pump() {
+void h2_flow_handler::pump() {
   Output.pump();
   if (!Ending || Output.size() > 0)
     return;
   Caller->close();
-  endFlow(side_end::Closed);
+  endFlow(handler_end::Closed);
 }
 
-void h2_side::endFlow(side_end End) {
+void h2_flow_handler::endFlow(handler_end End) {
   if (const auto Hook = std::exchange(OnFlowEnd, nullptr))
     Hook(End);
 }
--- a/daemons/agent/h2_side.h
+++ b/daemons/agent/h2_flow_handler.h
@@ -1,26 +1,26 @@
-//===- h2_side.h - A caller's flow that carries HTTP/2 ----------*- C++ -*-===//
+//===- h2_flow_handler.h - A caller's flow that carries HTTP/2 --*- C++ -*-===//
 ///
 /// \file
 /// Connects a caller's HTTP/2 flow to the request proxy.
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef MARJORAMRAIL_DAEMONS_AGENT_H2_SIDE_H
-#define MARJORAMRAIL_DAEMONS_AGENT_H2_SIDE_H
+#ifndef MARJORAMRAIL_DAEMONS_AGENT_H2_FLOW_HANDLER_H
+#define MARJORAMRAIL_DAEMONS_AGENT_H2_FLOW_HANDLER_H
 
+#include "flow_handler.h"
 #include "flow_output.h"
-#include "flow_side.h"
 #include "marjoramrail/proxy.h"
 
 namespace marjoramrail {
 
 /// Connects a caller's flow to its session in the proxy. HTTP/2 flow control
 /// bounds the bytes that are queued in either direction.
-class h2_side : public flow_side {
+class h2_flow_handler : public flow_handler {
 public:
-  h2_side(std::unique_ptr<stack_flow> Caller, request_proxy &Proxy,
-          flow_end_hook OnFlowEnd);
-  ~h2_side() override;
+  h2_flow_handler(std::unique_ptr<stack_flow> Caller, request_proxy &Proxy,
+                  flow_end_hook OnFlowEnd);
+  ~h2_flow_handler() override;
 
   /// Does nothing: the proxy sends GOAWAY on all its flows itself.
   void drain() override {}
@@ -29,7 +29,7 @@
   void listenToCaller();
   void onSessionEnded(proxy_flow_end Why);
   void pump();
-  void endFlow(side_end End);
+  void endFlow(handler_end End);
 
   std::unique_ptr<stack_flow> Caller;
   flow_output Output;
@@ -40,4 +40,4 @@
 
 } // namespace marjoramrail
 
-#endif // MARJORAMRAIL_DAEMONS_AGENT_H2_SIDE_H
+#endif // MARJORAMRAIL_DAEMONS_AGENT_H2_FLOW_HANDLER_H
--- a/daemons/agent/kernel_stream.cpp
+++ b/daemons/agent/kernel_stream.cpp
@@ -36,16 +36,16 @@
                                  request_proxy &Proxy,
                                  std::function<void()> OnFlowEnd)
     : Stream(std::move(Taken)) {
-  const auto Over = [&Loop, OnFlowEnd = std::move(OnFlowEnd)] {
+  const auto EndFlow = [&Loop, OnFlowEnd = std::move(OnFlowEnd)] {
     Loop.defer(OnFlowEnd);
   };
   proxy_flow::hooks Hooks;
   Hooks.Output = [this](std::string_view Bytes) { Stream->write(Bytes); };
-  Hooks.OnEnded = [Over](proxy_flow_end) { Over(); };
+  Hooks.OnEnded = [EndFlow](proxy_flow_end) { EndFlow(); };
   Session = Proxy.open({0, true}, std::move(Hooks));
   tcp_stream::hooks Streaming;
   Streaming.OnData = [this](std::string_view Bytes) { Session->input(Bytes); };
-  Streaming.OnClosed = [Over](const std::string &) { Over(); };
+  Streaming.OnClosed = [EndFlow](const std::string &) { EndFlow(); };
   Stream->setHooks(std::move(Streaming));
 }
 
--- a/daemons/agent/tcp_splice.cpp
+++ b/daemons/agent/tcp_splice.cpp
@@ -18,7 +18,8 @@
   Hooks.OnEnd = [this] { Target->finishWriting(); };
   Hooks.OnWritable = [this] { pump(); };
   Hooks.OnClosed = [this](flow_end End) {
-    endFlow(End == flow_end::Finished ? side_end::Closed : side_end::Gone);
+    endFlow(End == flow_end::Finished ? handler_end::Closed
+                                      : handler_end::Released);
   };
   Caller->setHooks(std::move(Hooks));
 }
@@ -65,10 +66,10 @@
     return pump();
   // A truncated message must not look like a complete one.
   Caller->abort();
-  endFlow(side_end::Gone);
+  endFlow(handler_end::Released);
 }
 
-void tcp_splice::endFlow(side_end End) {
+void tcp_splice::endFlow(handler_end End) {
   if (const auto Hook = std::exchange(OnFlowEnd, nullptr))
     Hook(End);
 }
--- a/daemons/agent/tcp_splice.h
+++ b/daemons/agent/tcp_splice.h
@@ -8,8 +8,8 @@
 #ifndef MARJORAMRAIL_DAEMONS_AGENT_TCP_SPLICE_H
 #define MARJORAMRAIL_DAEMONS_AGENT_TCP_SPLICE_H
 
+#include "flow_handler.h"
 #include "flow_output.h"
-#include "flow_side.h"
 #include "marjoramrail/runtime.h"
 
 namespace marjoramrail {
@@ -22,7 +22,7 @@
 /// queue to the target is long, the caller's receive window is not opened, and
 /// while the queue to the caller is long, the agent does not read from the
 /// target.
-class tcp_splice : public flow_side {
+class tcp_splice : public flow_handler {
 public:
   /// Bytes queued in one direction before the sending side is throttled.
   static constexpr std::size_t MaxQueued = 256 * 1024;
@@ -42,7 +42,7 @@
   void pump();
   void targetDrained();
   void targetClosed(const std::string &Reason);
-  void endFlow(side_end End);
+  void endFlow(handler_end End);
 
   std::unique_ptr<stack_flow> Caller;
   flow_output Output;
--- a/daemons/balancer/balancer_process.cpp
+++ b/daemons/balancer/balancer_process.cpp
@@ -64,8 +64,8 @@
 }
 
 void balancer_process::reportFleetContact() {
-  if (const std::optional<instant> Heard = Fleet.node().lastReceived())
-    Port.core().noteFleetContact(*Heard);
+  if (const std::optional<instant> LastReceived = Fleet.node().lastReceived())
+    Port.core().noteFleetContact(*LastReceived);
 }
 
 void balancer_process::record(event_kind What, const std::string &Service,
