--- a/daemons/marjoramctl/apply.cpp
+++ b/daemons/marjoramctl/apply.cpp
@@ -23,7 +23,7 @@
   void check();
   void writeNext();
   void onWritten(const platform_reply &Reply);
-  void tellRest() const;
+  void printUnwritten() const;
 
   ctl_context &Context;
   std::optional<std::uint64_t> IfVersion;
@@ -31,7 +31,7 @@
   finish Done;
   /// The stored objects, by kind and by key.
   std::map<std::string, std::vector<platform_object>> ByKind;
-  std::map<object_key, platform_object> Standing;
+  std::map<object_key, platform_object> Stored;
   std::size_t Next = 0;
 };
 
@@ -48,7 +48,7 @@
                                           {Name, "*"}, Reply));
     Self->ByKind[Name] = Reply.Objects;
     for (const platform_object &Object : Reply.Objects)
-      Self->Standing[Object.Key] = Object;
+      Self->Stored[Object.Key] = Object;
     Self->list(Kind + 1);
   });
 }
@@ -65,11 +65,11 @@
   if (Next == Objects.size())
     return Done(exit_code::Ok);
   const object_key Key = keyOf(Objects[Next]);
-  const auto Found = Standing.find(Key);
-  const bool Stands = Found != Standing.end();
-  const std::uint64_t Version = Stands ? Found->second.Version : 0;
+  const auto Found = Stored.find(Key);
+  const bool Exists = Found != Stored.end();
+  const std::uint64_t Version = Exists ? Found->second.Version : 0;
   const std::uint64_t Expected = IfVersion.value_or(Version);
-  if (Stands && Found->second.Body == Objects[Next].Spec &&
+  if (Exists && Found->second.Body == Objects[Next].Spec &&
       Expected == Version) {
     Context.Out(toText(Key) + " unchanged, version " + std::to_string(Version));
     ++Next;
@@ -86,7 +86,7 @@
   if (Reply.Outcome != platform_outcome::Ok) {
     const exit_code Code =
         printReplyFailure(Context, step::WritePlatform, Key, Reply);
-    tellRest();
+    printUnwritten();
     return Done(Code);
   }
   Context.Out(toText(Key) + " applied, version " +
@@ -97,7 +97,7 @@
 
 /// A write failed after others had succeeded. Before applying the file again,
 /// the operator must know which objects were written.
-void apply_run::tellRest() const {
+void apply_run::printUnwritten() const {
   if (Objects.size() == 1)
     return;
   std::string Rest;
--- a/daemons/marjoramctl/confirmed_change.cpp
+++ b/daemons/marjoramctl/confirmed_change.cpp
@@ -31,7 +31,7 @@
 private:
   void answered(const platform_reply &Reply);
   void readBack();
-  void resolve(const platform_reply &Stands);
+  void resolve(const platform_reply &Stored);
   void later(void (confirmed_change::*Next)());
   bool ours(const platform_object &Object) const;
   void succeed(const platform_object &Object);
@@ -95,21 +95,21 @@
                        [Self = shared_from_this(), Next] { (*Self.*Next)(); });
 }
 
-/// \p Stands is the reply to a read-back or to a refused repeat. It holds the
+/// \p Stored is the reply to a read-back or to a refused repeat. It holds the
 /// object that is stored now.
-void confirmed_change::resolve(const platform_reply &Stands) {
-  const bool Missing = Stands.Outcome == platform_outcome::NotFound ||
-                       (Stands.Outcome == platform_outcome::Conflict &&
-                        Stands.Object.Version == 0);
-  const bool Found = !Missing && (Stands.Outcome == platform_outcome::Ok ||
-                                  Stands.Outcome == platform_outcome::Conflict);
+void confirmed_change::resolve(const platform_reply &Stored) {
+  const bool Missing = Stored.Outcome == platform_outcome::NotFound ||
+                       (Stored.Outcome == platform_outcome::Conflict &&
+                        Stored.Object.Version == 0);
+  const bool Found = !Missing && (Stored.Outcome == platform_outcome::Ok ||
+                                  Stored.Outcome == platform_outcome::Conflict);
   if (!Missing && !Found)
     return later(&confirmed_change::readBack);
   if (Removes && Missing)
     return succeed({});
-  if (Found && !Removes && ours(Stands.Object))
-    return succeed(Stands.Object);
-  const std::uint64_t Version = Missing ? 0 : Stands.Object.Version;
+  if (Found && !Removes && ours(Stored.Object))
+    return succeed(Stored.Object);
+  const std::uint64_t Version = Missing ? 0 : Stored.Object.Version;
   if (Version == Write.Expected)
     return later(&confirmed_change::start);
   // A platform that answers with outdated state does not show whether the write
@@ -118,10 +118,10 @@
     return later(&confirmed_change::readBack);
   platform_reply Reply;
   Reply.Outcome = platform_outcome::Conflict;
-  Reply.Object = Stands.Object;
+  Reply.Object = Stored.Object;
   Reply.Reason = Missing ? "it has been deleted meanwhile"
                          : "version " + std::to_string(Version) + " of " +
-                               Stands.Object.Writer +
+                               Stored.Object.Writer +
                                " stands; whether ours stood before it cannot "
                                "be known";
   Done(Reply);
--- a/daemons/marjoramctl/object_files.cpp
+++ b/daemons/marjoramctl/object_files.cpp
@@ -23,8 +23,8 @@
 }
 
 /// An object in two files is refused: one file would overwrite the other.
-static bool tellRepeats(ctl_context &Context,
-                        const std::vector<resource_object> &Objects) {
+static bool reportDuplicates(ctl_context &Context,
+                             const std::vector<resource_object> &Objects) {
   std::set<object_key> Seen;
   bool Repeats = false;
   for (const resource_object &Object : Objects) {
@@ -52,7 +52,7 @@
       printFailure(Context, *Failure);
     Faulty |= Failure.has_value();
   }
-  if (tellRepeats(Context, All) || Faulty)
+  if (reportDuplicates(Context, All) || Faulty)
     return std::nullopt;
   std::stable_sort(All.begin(), All.end(),
                    [](const resource_object &A, const resource_object &B) {
@@ -64,59 +64,59 @@
 namespace {
 
 /// The objects that would be stored after \p Objects have been applied.
-struct standing {
+struct stored_objects {
   std::map<std::string, service_spec> Services;
   std::set<std::string> Zones;
 };
 
 } // namespace
 
-static standing readStanding(const std::vector<platform_object> &Services,
-                             const std::vector<platform_object> &Zones) {
-  standing Standing;
+static stored_objects readStored(const std::vector<platform_object> &Services,
+                                 const std::vector<platform_object> &Zones) {
+  stored_objects Stored;
   for (const platform_object &Object : Services)
     // A stored object that cannot be parsed is skipped. It must not prevent an
     // operator from applying the object that repairs it.
     static_cast<void>(failureOf([&]() -> result<void> {
       BOOST_LEAF_AUTO(Spec, parseService(Object.Body, Object.Key.Name));
-      Standing.Services[Spec.Name] = Spec;
+      Stored.Services[Spec.Name] = Spec;
       return {};
     }));
   for (const platform_object &Object : Zones)
-    Standing.Zones.insert(Object.Key.Name);
-  return Standing;
+    Stored.Zones.insert(Object.Key.Name);
+  return Stored;
 }
 
 static result<void> checkService(const resource_object &Object,
-                                 standing &Standing) {
+                                 stored_objects &Stored) {
   BOOST_LEAF_AUTO(Spec, parseService(Object.Spec, Object.Name));
   std::vector<service_spec> Others;
-  for (const auto &[Name, Service] : Standing.Services)
+  for (const auto &[Name, Service] : Stored.Services)
     Others.push_back(Service);
   if (auto Checked = checkAgainst(Spec, Others); !Checked)
     return Checked.error();
   for (const std::string &Zone : Spec.Zones)
-    if (Standing.Zones.count(Zone) == 0)
+    if (Stored.Zones.count(Zone) == 0)
       return fail(step::ValidateObject, "service/" + Spec.Name,
                   "field zones: there is no zone " + Zone);
-  Standing.Services[Spec.Name] = Spec;
+  Stored.Services[Spec.Name] = Spec;
   return {};
 }
 
 bool checkTogether(ctl_context &Context,
                    const std::vector<resource_object> &Objects,
-                   const std::vector<platform_object> &StandingServices,
-                   const std::vector<platform_object> &StandingZones) {
-  standing Standing = readStanding(StandingServices, StandingZones);
+                   const std::vector<platform_object> &StoredServices,
+                   const std::vector<platform_object> &StoredZones) {
+  stored_objects Stored = readStored(StoredServices, StoredZones);
   for (const resource_object &Object : Objects)
     if (Object.Kind == resource_kind::Zone)
-      Standing.Zones.insert(Object.Name);
+      Stored.Zones.insert(Object.Name);
   bool Right = true;
   for (const resource_object &Object : Objects) {
     if (Object.Kind != resource_kind::Service)
       continue;
     const auto Failure =
-        failureOf([&] { return checkService(Object, Standing); });
+        failureOf([&] { return checkService(Object, Stored); });
     if (Failure)
       printFailure(Context, *Failure);
     Right &= !Failure;
--- a/daemons/marjoramctl/object_files.h
+++ b/daemons/marjoramctl/object_files.h
@@ -25,8 +25,8 @@
 /// every fault.
 bool checkTogether(ctl_context &Context,
                    const std::vector<resource_object> &Objects,
-                   const std::vector<platform_object> &StandingServices,
-                   const std::vector<platform_object> &StandingZones);
+                   const std::vector<platform_object> &StoredServices,
+                   const std::vector<platform_object> &StoredZones);
 
 } // namespace marjoramrail::ctl
 
--- a/daemons/marjoramctl/watch.cpp
+++ b/daemons/marjoramctl/watch.cpp
@@ -24,7 +24,7 @@
 private:
   duration waitLeft() const;
   void onReply(const platform_reply &Reply);
-  void skipToPresent(const platform_reply &Gone);
+  void skipToCurrentVersion(const platform_reply &Reply);
   bool wanted(const object_key &Key) const {
     return (Kind.empty() || Key.Kind == Kind) &&
            (Name.empty() || Key.Name == Name);
@@ -59,9 +59,9 @@
 
 /// The platform no longer has the requested changes. The watch continues from
 /// the current version and reports the gap, whose changes are not shown.
-void watch_run::skipToPresent(const platform_reply &Gone) {
+void watch_run::skipToCurrentVersion(const platform_reply &Reply) {
   printReplyFailure(Context, step::WatchPlatform,
-                    {Kind.empty() ? "*" : Kind, "*"}, Gone);
+                    {Kind.empty() ? "*" : Kind, "*"}, Reply);
   Context.Platform.List(
       Kind, [Self = shared_from_this()](const platform_reply &Present) {
         if (Present.Outcome != platform_outcome::Ok)
@@ -73,7 +73,7 @@
 
 void watch_run::onReply(const platform_reply &Reply) {
   if (Reply.Outcome == platform_outcome::HistoryGone)
-    return skipToPresent(Reply);
+    return skipToCurrentVersion(Reply);
   if (Reply.Outcome != platform_outcome::Ok) {
     // An outage does not end a watch. The line explains why no changes appear.
     printReplyFailure(Context, step::WatchPlatform,
