--- a/daemons/forwarder/callback_log.h
+++ b/daemons/forwarder/callback_log.h
@@ -21,12 +21,12 @@
 public:
   callback_log(event_log &Log, metrics &Metrics);
 
-  void take(const callback_timing &Turn);
+  void take(const callback_timing &Timing);
   void take(const platform_call_end &End);
 
   /// Hooks for the parts that report callbacks and calls. They refer to this
   /// object, which must outlive them.
-  callback_hook onTurn();
+  callback_hook onCallback();
   std::function<void(const platform_call_end &)> onCallEnd();
 
 private:
@@ -38,8 +38,8 @@
 
 /// Returns \p Settings with hooks that report the client's calls and callbacks
 /// to \p Log.
-platform_client_settings watched(platform_client_settings Settings,
-                                 callback_log &Log);
+platform_client_settings withCallbackLog(platform_client_settings Settings,
+                                         callback_log &Log);
 
 } // namespace marjoramrail::daemons
 
--- a/daemons/forwarder/forward_agent_process.cpp
+++ b/daemons/forwarder/forward_agent_process.cpp
@@ -18,15 +18,16 @@
     const site_adapter &Adapter)
     : Loop(Loop), Settings(Settings), Adapter(Adapter),
       Log(Loop, Settings.Name), Callbacks(Log, Metrics),
-      Calls(Loop, Log, Metrics), OnTurn(Callbacks.onTurn()),
+      Calls(Loop, Log, Metrics), OnCallback(Callbacks.onCallback()),
       Requests(Log, Metrics, this->Adapter),
       Routed(Loop, [this](auto Batch) { onRouted(Batch); }),
       TargetPackets(Loop, [this](auto Batch) { onTargetPackets(Batch); }),
-      Store(Loop,
-            counted(watched(storeSettings(Settings.Name, Settings.Store,
-                                          Adapter, Settings.DisabledMechanisms),
-                            Callbacks),
-                    Calls)),
+      Store(Loop, withCallCounts(
+                      withCallbackLog(
+                          storeSettings(Settings.Name, Settings.Store, Adapter,
+                                        Settings.DisabledMechanisms),
+                          Callbacks),
+                      Calls)),
       Core({.Service = serviceNumber(Settings.Service),
             .Self = Settings.RoutedListen,
             .DisabledMechanisms = Settings.DisabledMechanisms},
@@ -96,8 +97,9 @@
 /// A reset flow also loses the request that waits for an answer on it; the
 /// event then names that request.
 void forward_agent_process::recordFlow(const flow_event &Event) {
-  const std::string Request =
-      Event.What == event_kind::FlowReset ? Requests.lost(Event.Flow) : "";
+  const std::string Request = Event.What == event_kind::FlowReset
+                                  ? Requests.takePending(Event.Flow)
+                                  : "";
   Log.record(Event, Settings.Service, Request);
 }
 
@@ -259,7 +261,8 @@
 }
 
 void forward_agent_process::onRouted(std::span<const datagram> Batch) {
-  const callback_timer Taking(OnTurn, callback_kind::PeerPackets, Batch.size());
+  const callback_timer Taking(OnCallback, callback_kind::PeerPackets,
+                              Batch.size());
   const instant Now = Loop.timers().now();
   for (const datagram &Datagram : Batch)
     if (!Flows || !Flows->input(Datagram.From, Datagram.Bytes))
@@ -270,7 +273,7 @@
 }
 
 void forward_agent_process::onTargetPackets(std::span<const datagram> Batch) {
-  const callback_timer Taking(OnTurn, callback_kind::TargetPackets,
+  const callback_timer Taking(OnCallback, callback_kind::TargetPackets,
                               Batch.size());
   const instant Now = Loop.timers().now();
   LastFromTarget = Now;
