--- a/include/marjoramrail/work.h
+++ b/include/marjoramrail/work.h
@@ -428,7 +428,7 @@
               const key_settings &Settings, replica_history Past);
   ~key_replica();
 
-  key_messages take(const key_view &View, instant Now);
+  key_messages applyView(const key_view &View, instant Now);
   key_messages receive(const key_message &Message, instant Now);
   /// Call it about every Resend.
   key_messages tick(instant Now);
@@ -476,7 +476,7 @@
              const key_settings &Settings);
   ~key_claims();
 
-  key_messages take(const key_view &View, instant Now);
+  key_messages applyView(const key_view &View, instant Now);
   /// Starts a claim. results() returns its verdict at the latest after
   /// ClaimTimeout.
   key_messages claim(const std::string &Key, instant Now);
--- a/src/proxy/idempotency_service.cpp
+++ b/src/proxy/idempotency_service.cpp
@@ -18,8 +18,8 @@
 }
 
 void idempotency_service::setView(const key_view &View) {
-  post(Replica.take(View, Timers.now()));
-  post(Claims.take(View, Timers.now()));
+  post(Replica.applyView(View, Timers.now()));
+  post(Claims.applyView(View, Timers.now()));
 }
 
 void idempotency_service::receive(const key_message &Message) {
--- a/src/work/admission.cpp
+++ b/src/work/admission.cpp
@@ -116,8 +116,9 @@
 std::size_t admission::impl::longSlots(std::size_t Slots) const {
   if (Slots < 2)
     return Slots;
-  const auto Kept = std::size_t(std::ceil(double(Slots) * Settings.ShortShare));
-  return Slots - std::clamp<std::size_t>(Kept, 1, Slots - 1);
+  const auto ReservedForShort =
+      std::size_t(std::ceil(double(Slots) * Settings.ShortShare));
+  return Slots - std::clamp<std::size_t>(ReservedForShort, 1, Slots - 1);
 }
 
 bool admission::impl::hasSlot(work_kind Kind, instant Now) const {
@@ -177,7 +178,7 @@
   const std::size_t Counted =
       std::min<std::size_t>(Limit.limit(Now), Settings.Slots);
   const double Slots = double(std::max<std::size_t>(Counted, 1));
-  Busy.held(double(inSlots()) / Slots, Now);
+  Busy.recordUse(double(inSlots()) / Slots, Now);
 }
 
 load_report admission::impl::load(instant Now) {
@@ -208,13 +209,13 @@
   // A relayed request returns to the agent that relayed it, which reserves time
   // for it if needed.
   const double ServiceSeconds = Request.RelayedBy ? 0 : Times.expected(Request);
-  const duration Later =
+  const duration Delay =
       RetryEstimator.book(ServiceSeconds, Queue.work(Request.Kind),
                           servers(Request.Kind, Now), Now);
   return {.Id = Request.Id,
           .Verdict = verdict::Refuse,
           .Reason = Why,
-          .RetryAfter = std::max(Later, Limit.pause(Now))};
+          .RetryAfter = std::max(Delay, Limit.pause(Now))};
 }
 
 std::optional<decision> admission::impl::relay(const work_request &Request,
@@ -309,9 +310,9 @@
 /// nothing waiting. Waiting requests are never evicted to make room, so no
 /// refusal comes late.
 bool admission::impl::hasRoom(const work_request &Request, instant Now) const {
-  const double Most =
+  const double MaxWork =
       toSeconds(waitBound(Request.Kind)) * servers(Request.Kind, Now);
-  const double Free = Most - Queue.work(Request.Kind);
+  const double Free = MaxWork - Queue.work(Request.Kind);
   if (Queue.size() >= Settings.MaxWaiting || Free <= 0)
     return false;
   return Queue.workOf(Request.Caller, Request.Kind) <= Free;
--- a/src/work/busy_share.h
+++ b/src/work/busy_share.h
@@ -21,7 +21,7 @@
 public:
   /// Must be called before the use of slots changes. \p Share is the share of
   /// slots that was in use since the last call.
-  void held(double Share, instant Now) {
+  void recordUse(double Share, instant Now) {
     const double Passed = std::chrono::duration<double>(Now - At).count();
     At = Now;
     Smoothed += (Share - Smoothed) * (1 - std::exp(-Passed / SmoothSeconds));
--- a/src/work/concurrency_limit.cpp
+++ b/src/work/concurrency_limit.cpp
@@ -136,9 +136,9 @@
     HoldOff = FirstHoldOff;
     return;
   }
-  const duration Asked =
+  const duration RequestedPause =
       RetryAfter > duration::zero() ? RetryAfter : DefaultPause;
-  PausedUntil = std::max(PausedUntil, Now + std::min(Asked, MaxPause));
+  PausedUntil = std::max(PausedUntil, Now + std::min(RequestedPause, MaxPause));
 }
 
 } // namespace marjoramrail::internal
--- a/src/work/key_claims.cpp
+++ b/src/work/key_claims.cpp
@@ -178,7 +178,7 @@
 void key_claims::impl::resend(instant Now) {
   std::erase_if(
       Notices, [&](const auto &Entry) { return !Ring.up(Entry.first.second); });
-  for (auto &[Where, Notice] : Notices) {
+  for (auto &[KeyAndReplica, Notice] : Notices) {
     const bool First = Notice.SentAt == instant();
     if (!First && Now - Notice.SentAt < Settings.Resend * Notice.Backoff)
       continue;
@@ -188,7 +188,7 @@
     key_message Message;
     Message.Kind = key_message_kind::Settle;
     Message.From = Self;
-    Message.To = Where.second;
+    Message.To = KeyAndReplica.second;
     Message.Digest = Ring.digest();
     Message.Record = Notice.Record;
     Outbox.push_back(std::move(Message));
@@ -222,7 +222,7 @@
 
 key_claims::~key_claims() = default;
 
-key_messages key_claims::take(const key_view &View, instant Now) {
+key_messages key_claims::applyView(const key_view &View, instant Now) {
   const std::uint64_t Before = Impl->Ring.digest();
   Impl->Ring = key_ring(View);
   if (Impl->Ring.digest() == Before)
--- a/src/work/key_replica.cpp
+++ b/src/work/key_replica.cpp
@@ -68,10 +68,10 @@
   // returned. With one record for both, that would free the key while the other
   // attempt runs. No attempt has the number 0, so this merged record cannot be
   // returned.
-  key_record Neither = Known;
-  Neither.State = key_state::Unknown;
-  Neither.Attempt = 0;
-  return Neither;
+  key_record Unresolved = Known;
+  Unresolved.State = key_state::Unknown;
+  Unresolved.Attempt = 0;
+  return Unresolved;
 }
 
 } // namespace
@@ -101,7 +101,7 @@
     return !Runner || Runner->Down || Runner->Incarnation > Record.Incarnation;
   }
 
-  key_messages take(const key_view &View, instant Now);
+  key_messages applyView(const key_view &View, instant Now);
   key_message answerTo(const key_message &Request, key_message_kind Kind) const;
   key_message decide(const key_message &Request, instant Now);
   key_message grant(const key_message &Request, instant Now);
@@ -123,7 +123,7 @@
   instant NextExpiry;
 };
 
-key_messages key_replica::impl::take(const key_view &View, instant Now) {
+key_messages key_replica::impl::applyView(const key_view &View, instant Now) {
   const std::uint64_t Before = Ring.digest();
   Ring = key_ring(View);
   if (Ring.digest() == Before)
@@ -250,13 +250,13 @@
     if (Sync.Finished)
       Sync = {};
     Sync.SentAt = Now;
-    key_message Ask;
-    Ask.Kind = key_message_kind::SyncRequest;
-    Ask.From = Self;
-    Ask.To = Peer.Host;
-    Ask.Digest = Ring.digest();
-    Ask.Record.Key = Sync.Cursor;
-    Out.push_back(Ask);
+    key_message SyncRequest;
+    SyncRequest.Kind = key_message_kind::SyncRequest;
+    SyncRequest.From = Self;
+    SyncRequest.To = Peer.Host;
+    SyncRequest.Digest = Ring.digest();
+    SyncRequest.Record.Key = Sync.Cursor;
+    Out.push_back(SyncRequest);
   }
   return Out;
 }
@@ -318,8 +318,8 @@
 
 key_replica::~key_replica() = default;
 
-key_messages key_replica::take(const key_view &View, instant Now) {
-  return Impl->take(View, Now);
+key_messages key_replica::applyView(const key_view &View, instant Now) {
+  return Impl->applyView(View, Now);
 }
 
 key_messages key_replica::receive(const key_message &Message, instant Now) {
--- a/src/work/retry_after_estimator.cpp
+++ b/src/work/retry_after_estimator.cpp
@@ -21,8 +21,8 @@
   const double MaxSeconds = std::chrono::duration<double>(Max).count();
   DeferredWork = std::min(DeferredWork + ServiceSeconds, MaxSeconds * Spare);
   const double Drained = Queued / Slots + DeferredWork / Spare;
-  std::uniform_real_distribution<> Late(1, 1 + Jitter);
-  const std::chrono::duration<double> Seconds(Drained * Late(Random));
+  std::uniform_real_distribution<> JitterFactor(1, 1 + Jitter);
+  const std::chrono::duration<double> Seconds(Drained * JitterFactor(Random));
   return std::clamp(std::chrono::duration_cast<duration>(Seconds),
                     MinRetryAfter, Max);
 }
--- a/test/work/key_claims_test.cpp
+++ b/test/work/key_claims_test.cpp
@@ -27,8 +27,8 @@
           host_id{Host}, 1, Settings, replica_history::NewService));
       Claims.push_back(
           std::make_unique<key_claims>(host_id{Host}, 1, Settings));
-      pass(Replicas[Host]->take(View, Now));
-      pass(Claims[Host]->take(View, Now));
+      pass(Replicas[Host]->applyView(View, Now));
+      pass(Claims[Host]->applyView(View, Now));
     }
   }
 
@@ -59,8 +59,8 @@
       Claims[Host]->lapsed(2, Now);
     }
     for (std::uint32_t Host = 0; Host < 2; ++Host) {
-      pass(Replicas[Host]->take(View, Now));
-      pass(Claims[Host]->take(View, Now));
+      pass(Replicas[Host]->applyView(View, Now));
+      pass(Claims[Host]->applyView(View, Now));
     }
   }
 };
@@ -102,8 +102,8 @@
   pair_of_hosts Hosts;
   Hosts.ask(0, "amendment");
   Hosts.View.Hosts[0].Down = true;
-  Hosts.pass(Hosts.Replicas[1]->take(Hosts.View, Hosts.Now));
-  Hosts.pass(Hosts.Claims[1]->take(Hosts.View, Hosts.Now));
+  Hosts.pass(Hosts.Replicas[1]->applyView(Hosts.View, Hosts.Now));
+  Hosts.pass(Hosts.Claims[1]->applyView(Hosts.View, Hosts.Now));
 
   CHECK(Hosts.ask(1, "amendment").Verdict == key_verdict::Unknown);
 }
@@ -111,8 +111,8 @@
 TEST_CASE("key_claims needs only one replica while the other is down") {
   pair_of_hosts Hosts;
   Hosts.View.Hosts[0].Down = true;
-  Hosts.pass(Hosts.Replicas[1]->take(Hosts.View, Hosts.Now));
-  Hosts.pass(Hosts.Claims[1]->take(Hosts.View, Hosts.Now));
+  Hosts.pass(Hosts.Replicas[1]->applyView(Hosts.View, Hosts.Now));
+  Hosts.pass(Hosts.Claims[1]->applyView(Hosts.View, Hosts.Now));
 
   CHECK(Hosts.ask(1, "amendment").Verdict == key_verdict::Run);
 }
@@ -136,7 +136,7 @@
   pair_of_hosts Hosts;
   key_view Newer = Hosts.View;
   Newer.Generations.insert(Newer.Generations.begin(), {2, {host_id{1}}});
-  Hosts.pass(Hosts.Replicas[0]->take(Newer, Hosts.Now));
+  Hosts.pass(Hosts.Replicas[0]->applyView(Newer, Hosts.Now));
 
   Hosts.ask(1, "amendment");
   Hosts.Now += seconds(2);
--- a/test/work/key_history.cpp
+++ b/test/work/key_history.cpp
@@ -168,8 +168,8 @@
     return;
   Agent.ViewTaken = Views.size();
   Agent.NextView = Now + millis(10, 300);
-  send(Agent.Replica->take(Views.back(), Now));
-  send(Agent.Claims->take(Views.back(), Now));
+  send(Agent.Replica->applyView(Views.back(), Now));
+  send(Agent.Claims->applyView(Views.back(), Now));
 }
 
 void world::runAgent(std::size_t Index) {
