--- a/daemons/agent/agent_view.cpp
+++ b/daemons/agent/agent_view.cpp
@@ -245,10 +245,10 @@
   Proxied.IdleTimeout = Settings.SilentFlow;
   Proxied.Incarnation = Incarnation;
   Proxied.Keys.MaxRecords = Settings.KeyRecords;
-  Proxied.Past =
+  Proxied.History =
       NeverRan ? replica_history::NeverRan : replica_history::MayHaveRun;
   if (isFirstEver(View))
-    Proxied.Past = replica_history::NewService;
+    Proxied.History = replica_history::NewService;
   proxy_hooks Hooks;
   Hooks.Connect = [this](const endpoint &Peer, byte_events Events) {
     return connectByKernel(Loop, Settings.RelayListen, Peer, std::move(Events));
@@ -293,7 +293,7 @@
   NeverRan = false;
   if (Owner) {
     Owner->restart(Next);
-    Proxy->lapsed(Next);
+    Proxy->continueAs(Next);
   }
   Flows.clear();
 }
--- a/include/marjoramrail/proxy.h
+++ b/include/marjoramrail/proxy.h
@@ -88,7 +88,7 @@
   std::uint32_t Incarnation = 0;
   /// What the records of this agent's key replica may lack at start; see
   /// replica_history.
-  replica_history Past = replica_history::MayHaveRun;
+  replica_history History = replica_history::MayHaveRun;
   key_settings Keys;
 };
 
@@ -189,7 +189,7 @@
   void setKeyView(const key_view &View);
   /// To be called when the fleet marked this agent dead and it continues under
   /// a new \p Incarnation.
-  void lapsed(std::uint32_t Incarnation);
+  void continueAs(std::uint32_t Incarnation);
   /// False while key records of an old generation are still needed.
   bool keysSettled() const;
   /// Number of key records that this agent holds; the limit is
--- a/include/marjoramrail/work.h
+++ b/include/marjoramrail/work.h
@@ -425,7 +425,7 @@
 class key_replica {
 public:
   key_replica(host_id Self, std::uint32_t Incarnation,
-              const key_settings &Settings, replica_history Past);
+              const key_settings &Settings, replica_history History);
   ~key_replica();
 
   key_messages applyView(const key_view &View, instant Now);
@@ -434,7 +434,7 @@
   key_messages tick(instant Now);
   /// Must be called when this agent was out of contact for so long that others
   /// may have marked it down. It continues as \p Incarnation.
-  void lapsed(std::uint32_t Incarnation, instant Now);
+  void continueAs(std::uint32_t Incarnation, instant Now);
 
   std::size_t records() const;
   /// False while this replica still lacks records of a generation in the view.
@@ -486,8 +486,9 @@
   /// not run).
   key_messages settle(const std::string &Key, key_state State,
                       const std::string &Outcome, instant Now);
-  /// See key_replica::lapsed(). Running requests continue; pending claims end.
-  void lapsed(std::uint32_t Incarnation, instant Now);
+  /// See key_replica::continueAs(). Running requests continue; pending claims
+  /// end.
+  void continueAs(std::uint32_t Incarnation, instant Now);
   std::vector<key_result> results();
   /// Number of claims and settle notices in progress.
   std::size_t open() const;
--- a/src/proxy/idempotency_service.cpp
+++ b/src/proxy/idempotency_service.cpp
@@ -7,7 +7,7 @@
                                          idempotency_hooks Hooks)
     : Timers(Timers), Settings(Settings), Hooks(std::move(Hooks)),
       Replica(Settings.Host, Settings.Incarnation, Settings.Keys,
-              Settings.Past),
+              Settings.History),
       Claims(Settings.Host, Settings.Incarnation, Settings.Keys),
       TickTimer(Timers.every(Settings.Keys.Resend, [this] { tick(); })) {}
 
@@ -39,9 +39,9 @@
   }
 }
 
-void idempotency_service::lapsed(std::uint32_t Incarnation) {
-  Replica.lapsed(Incarnation, Timers.now());
-  Claims.lapsed(Incarnation, Timers.now());
+void idempotency_service::continueAs(std::uint32_t Incarnation) {
+  Replica.continueAs(Incarnation, Timers.now());
+  Claims.continueAs(Incarnation, Timers.now());
   scheduleDelivery();
 }
 
--- a/src/proxy/idempotency_service.h
+++ b/src/proxy/idempotency_service.h
@@ -14,7 +14,7 @@
 struct idempotency_settings {
   host_id Host{};
   std::uint32_t Incarnation = 0;
-  replica_history Past = replica_history::MayHaveRun;
+  replica_history History = replica_history::MayHaveRun;
   key_settings Keys;
 };
 
@@ -38,7 +38,7 @@
 
   void setView(const key_view &View);
   void receive(const key_message &Message);
-  void lapsed(std::uint32_t Incarnation);
+  void continueAs(std::uint32_t Incarnation);
   bool settled() const;
   std::size_t records() const { return Replica.records(); }
 
--- a/src/proxy/request_proxy.cpp
+++ b/src/proxy/request_proxy.cpp
@@ -12,15 +12,15 @@
                  const load_report &Own,
                  instant Now) { return Peers.pick(Request, Why, Own, Now); },
           Settings.Seed),
-      Idempotency(
-          Timers,
-          {Settings.Host, Settings.Incarnation, Settings.Past, Settings.Keys},
-          {[this](host_id Peer, const key_messages &Messages) {
-             sendKeyMessages(Peer, Messages);
-           },
-           [this](request_id Id, const key_result &Result) {
-             onClaim(Id, Result);
-           }}) {
+      Idempotency(Timers,
+                  {Settings.Host, Settings.Incarnation, Settings.History,
+                   Settings.Keys},
+                  {[this](host_id Peer, const key_messages &Messages) {
+                     sendKeyMessages(Peer, Messages);
+                   },
+                   [this](request_id Id, const key_result &Result) {
+                     onClaim(Id, Result);
+                   }}) {
   Periodic.push_back(
       Timers.every(Settings.IdleTimeout / LivenessChecksPerTimeout,
                    [this] { checkLiveness(); }));
@@ -107,8 +107,8 @@
   Impl->Idempotency.setView(View);
 }
 
-void request_proxy::lapsed(std::uint32_t Incarnation) {
-  Impl->Idempotency.lapsed(Incarnation);
+void request_proxy::continueAs(std::uint32_t Incarnation) {
+  Impl->Idempotency.continueAs(Incarnation);
 }
 
 bool request_proxy::keysSettled() const {
--- a/src/work/key_claims.cpp
+++ b/src/work/key_claims.cpp
@@ -322,7 +322,7 @@
   return Impl->takeOutbox();
 }
 
-void key_claims::lapsed(std::uint32_t Incarnation, instant Now) {
+void key_claims::continueAs(std::uint32_t Incarnation, instant Now) {
   std::vector<std::string> Pending;
   for (const auto &[Key, Attempt] : Impl->Attempts)
     if (!Attempt.Running)
--- a/src/work/key_replica.cpp
+++ b/src/work/key_replica.cpp
@@ -88,9 +88,9 @@
   };
 
   impl(host_id Self, std::uint32_t Incarnation, const key_settings &Settings,
-       replica_history Past)
+       replica_history History)
       : Self(Self), Incarnation(Incarnation), Settings(Settings),
-        Completeness(Self, Settings.Lifetime, Past) {}
+        Completeness(Self, Settings.Lifetime, History) {}
 
   bool member() const {
     const key_member *Entry = Ring.member(Self);
@@ -313,8 +313,8 @@
 }
 
 key_replica::key_replica(host_id Self, std::uint32_t Incarnation,
-                         const key_settings &Settings, replica_history Past)
-    : Impl(std::make_unique<impl>(Self, Incarnation, Settings, Past)) {}
+                         const key_settings &Settings, replica_history History)
+    : Impl(std::make_unique<impl>(Self, Incarnation, Settings, History)) {}
 
 key_replica::~key_replica() = default;
 
@@ -347,7 +347,7 @@
   return Impl->requestRecords(Now);
 }
 
-void key_replica::lapsed(std::uint32_t Incarnation, instant Now) {
+void key_replica::continueAs(std::uint32_t Incarnation, instant Now) {
   Impl->Incarnation = Incarnation;
   Impl->Completeness.resetRecords(Now);
   Impl->Syncs.clear();
--- a/src/work/record_completeness.cpp
+++ b/src/work/record_completeness.cpp
@@ -14,9 +14,9 @@
 record_completeness::generation_records
 record_completeness::startTracking(const key_generation &Generation,
                                    instant Now) const {
-  const bool Continuous = !FirstView || Past == replica_history::NewService;
-  const bool AskedInAll =
-      Past == replica_history::NeverRan && contains(Generation.Members, Self);
+  const bool Continuous = !FirstView || History == replica_history::NewService;
+  const bool AskedInAll = History == replica_history::NeverRan &&
+                          contains(Generation.Members, Self);
   return {Generation, Now, Continuous || AskedInAll, Continuous, {}};
 }
 
@@ -32,7 +32,7 @@
     return;
   const std::uint64_t Newest = View.Generations.front().Number;
   const bool MayBeNewReplica = HasNewGeneration && !FirstView;
-  if (FirstView && Past == replica_history::MayHaveRun)
+  if (FirstView && History == replica_history::MayHaveRun)
     resetRecords(Now);
   FirstView = false;
   for (auto &[Number, Each] : Generations) {
@@ -58,7 +58,7 @@
 
 void record_completeness::resetRecords(instant Now) {
   FirstView = true;
-  Past = replica_history::MayHaveRun;
+  History = replica_history::MayHaveRun;
   for (auto &[Number, Each] : Generations) {
     Each.SawAllClaims = false;
     Each.Complete = false;
--- a/src/work/record_completeness.h
+++ b/src/work/record_completeness.h
@@ -23,8 +23,8 @@
 
 class record_completeness {
 public:
-  record_completeness(host_id Self, duration Lifetime, replica_history Past)
-      : Self(Self), Lifetime(Lifetime), FirstView(true), Past(Past) {}
+  record_completeness(host_id Self, duration Lifetime, replica_history History)
+      : Self(Self), Lifetime(Lifetime), FirstView(true), History(History) {}
 
   /// Takes a view, which may add or remove generations.
   void take(const key_view &View, instant Now);
@@ -66,7 +66,7 @@
   host_id Self;
   duration Lifetime;
   bool FirstView;
-  replica_history Past;
+  replica_history History;
   /// By number. A generation that left the view stays here until it is
   /// complete.
   std::map<std::uint64_t, generation_records> Generations;
--- a/test/proxy/proxy_fixture.h
+++ b/test/proxy/proxy_fixture.h
@@ -124,7 +124,7 @@
 
   explicit proxy_fixture(std::uint32_t Slots = 4, bool FirstEver = true) {
     Settings.Incarnation = 1;
-    Settings.Past =
+    Settings.History =
         FirstEver ? replica_history::NewService : replica_history::MayHaveRun;
     Settings.Host = host_id(1);
     Settings.Target = TargetAddress;
--- a/test/work/key_claims_test.cpp
+++ b/test/work/key_claims_test.cpp
@@ -56,7 +56,7 @@
       View.Hosts[Host].Incarnation = 2;
       Replicas[Host] = std::make_unique<key_replica>(
           host_id{Host}, 2, Settings, replica_history::MayHaveRun);
-      Claims[Host]->lapsed(2, Now);
+      Claims[Host]->continueAs(2, Now);
     }
     for (std::uint32_t Host = 0; Host < 2; ++Host) {
       pass(Replicas[Host]->applyView(View, Now));
--- a/test/work/key_history.cpp
+++ b/test/work/key_history.cpp
@@ -14,8 +14,8 @@
 
 constexpr duration Step = milliseconds(5);
 /// The fleet marks a host as down when it has not responded for DownAfter. An
-/// agent that was out of contact for the shorter LapsedAfter treats itself as
-/// lapsed.
+/// agent that was out of contact for the shorter LapsedAfter assumes that it
+/// was marked dead and continues with a new incarnation.
 constexpr duration DownAfter = milliseconds(400);
 constexpr duration LapsedAfter = milliseconds(300);
 
@@ -60,7 +60,7 @@
     return Agent.Alive && Agent.PausedUntil <= Now;
   }
 
-  void start(std::size_t Index, replica_history Past);
+  void start(std::size_t Index, replica_history History);
   void join();
   void send(const key_messages &Messages);
   void deliver();
@@ -126,18 +126,18 @@
   publish(Next);
 }
 
-void world::start(std::size_t Index, replica_history Past) {
+void world::start(std::size_t Index, replica_history History) {
   agent &Agent = Agents[Index];
   const host_id Self{std::uint32_t(Index)};
   Agent.Alive = true;
   Agent.LastStep = Now;
   Agent.Replica =
-      std::make_unique<key_replica>(Self, Agent.Incarnation, Settings, Past);
+      std::make_unique<key_replica>(Self, Agent.Incarnation, Settings, History);
   Agent.Claims =
       std::make_unique<key_claims>(Self, Agent.Incarnation, Settings);
   Agent.ViewTaken = 0;
   Agent.NextView =
-      Past == replica_history::NewService ? Now : Now + millis(0, 200);
+      History == replica_history::NewService ? Now : Now + millis(0, 200);
 }
 
 void world::send(const key_messages &Messages) {
@@ -178,8 +178,8 @@
     return;
   if (Now - Agent.LastStep > LapsedAfter) {
     ++Agent.Incarnation;
-    Agent.Replica->lapsed(Agent.Incarnation, Now);
-    Agent.Claims->lapsed(Agent.Incarnation, Now);
+    Agent.Replica->continueAs(Agent.Incarnation, Now);
+    Agent.Claims->continueAs(Agent.Incarnation, Now);
   }
   Agent.LastStep = Now;
   takeView(Agent);
