--- a/include/marjoramrail/work.h
+++ b/include/marjoramrail/work.h
@@ -454,8 +454,11 @@
   Done,
   /// The request may have run, so it never runs again.
   Unknown,
-  /// This attempt does not run: no replica has the complete records of the
-  /// key's earlier claims.
+  /// This attempt does not run, because one of these holds:
+  /// - no replica has the complete records of the key's earlier claims;
+  /// - this agent is not a member of the view, or has no view yet;
+  /// - continueAs() was called while the claim was pending;
+  /// - the key is too long for a record (checked by request_proxy).
   RecordsIncomplete,
   /// This attempt does not run: a replica has no room for another record.
   Full,
