--- a/src/agent/neighbour_ring.cpp
+++ b/src/agent/neighbour_ring.cpp
@@ -29,20 +29,20 @@
 
 std::vector<endpoint> neighbour_ring::balancersToNotify(bool PossiblyDown,
                                                         instant Now) {
-  std::vector<endpoint> Told;
+  std::vector<endpoint> ToNotify;
   if (!PossiblyDown) {
     LastNotified.reset();
-    return Told;
+    return ToNotify;
   }
   if (LastNotified && Now - *LastNotified < NotifyInterval)
-    return Told;
+    return ToNotify;
   LastNotified = Now;
   std::erase_if(Balancers, [&](const auto &Item) {
     return Now - Item.second > BalancerTimeout;
   });
   for (const auto &[Balancer, Seen] : Balancers)
-    Told.push_back(Balancer);
-  return Told;
+    ToNotify.push_back(Balancer);
+  return ToNotify;
 }
 
 } // namespace marjoramrail::internal
--- a/src/balancer/balancer_core.cpp
+++ b/src/balancer/balancer_core.cpp
@@ -95,11 +95,11 @@
 std::size_t balancer_core::impl::cachedPosition(const service_router &Router,
                                                 const owner_list &Owners,
                                                 const flow_key &Flow) {
-  const std::optional<host_id> Named = Cache.find(Flow);
-  if (!Named)
+  const std::optional<host_id> CachedOwner = Cache.find(Flow);
+  if (!CachedOwner)
     return 0;
   for (std::size_t I = 0; I < Owners.size(); ++I) {
-    if (Router.targetAt(Owners[I]).Id != *Named)
+    if (Router.targetAt(Owners[I]).Id != *CachedOwner)
       continue;
     ++Counters.FromCache;
     return I;
--- a/src/proxy/idempotency_keys.cpp
+++ b/src/proxy/idempotency_keys.cpp
@@ -97,9 +97,9 @@
 void request_proxy::impl::detachOrCancel(reply_address ReplyTo) {
   const auto Found = ByReplyAddress.find(ReplyTo);
   exchange &Exchange = Exchanges.at(Found->second);
-  const bool Leave = Exchange.Claim == claim_state::Granted &&
-                     Exchange.State == exchange_state::Running;
-  if (!Leave)
+  const bool KeepRunning = Exchange.Claim == claim_state::Granted &&
+                           Exchange.State == exchange_state::Running;
+  if (!KeepRunning)
     return onCancel(ReplyTo);
   ByReplyAddress.erase(Found);
 }
