--- a/bench/routing/imbalance.cpp
+++ b/bench/routing/imbalance.cpp
@@ -31,10 +31,10 @@
 public:
   explicit churn_simulation(std::uint64_t Seed) : World(settings(Seed)) {
     World.setReconnecting(true);
-    constexpr std::uint32_t FlowsPerTurn = 10; // 1,000 per second
+    constexpr std::uint32_t FlowsPerStep = 10; // 1,000 per second
     for (std::uint32_t I = 0; I < Flows; ++I) {
       World.openFlow(I);
-      if (I % FlowsPerTurn == FlowsPerTurn - 1)
+      if (I % FlowsPerStep == FlowsPerStep - 1)
         World.advanceTime(path_world::Step);
     }
     World.advanceTime(seconds(5));
@@ -55,12 +55,12 @@
   /// Advances the time and returns the highest imbalance in it.
   double advance(duration Time) {
     double Peak = 0;
-    const double FlowsPerTurn = double(Flows) *
+    const double FlowsPerStep = double(Flows) *
                                 double(path_world::Step.count()) /
                                 double(FlowLifetime.count());
     for (duration Elapsed{}; Elapsed < Time; Elapsed += path_world::Step) {
-      for (Due += FlowsPerTurn; Due >= 1; --Due)
-        renewOne();
+      for (Due += FlowsPerStep; Due >= 1; --Due)
+        replaceOneCaller();
       World.advanceTime(path_world::Step);
       if (Elapsed % seconds(1) == duration(0))
         Peak = std::max(Peak, World.imbalance());
@@ -79,7 +79,7 @@
   }
 
   /// Replaces one caller that leaves by a new one.
-  void renewOne() {
+  void replaceOneCaller() {
     World.closeFlow(Oldest++);
     World.openFlow(Next++);
   }
--- a/test/path/path_world.cpp
+++ b/test/path/path_world.cpp
@@ -301,13 +301,13 @@
     Hosts[Host].Core->drain();
 }
 
-void path_world::killHost(std::uint32_t Host, duration Found) {
+void path_world::killHost(std::uint32_t Host, duration DetectedAfter) {
   host &Dead = Hosts[Host];
   Dead.Alive = false;
   Dead.DiedAt = Now;
   Dead.Core.reset();
   Dead.Stack.clear();
-  Dead.NextView = Now + Found;
+  Dead.NextView = Now + DetectedAfter;
 }
 
 void path_world::restartHost(std::uint32_t Host) {
@@ -316,7 +316,7 @@
   Started.Core.reset();
   Started.Stack.clear();
   Started.Alive = true;
-  Started.Known = true;
+  Started.ConsideredAlive = true;
   Started.Version = 0;
   Started.NextView = Now + milliseconds(200);
   ++Started.Incarnation;
@@ -330,7 +330,8 @@
 }
 
 bool path_world::takesNewFlows(std::uint32_t Host) const {
-  return Hosts[Host].Alive && Hosts[Host].Known && !Hosts[Host].Draining;
+  return Hosts[Host].Alive && Hosts[Host].ConsideredAlive &&
+         !Hosts[Host].Draining;
 }
 
 std::size_t path_world::flowsOf(std::uint32_t Host) const {
@@ -383,8 +384,8 @@
                  {"zeebrugge", zone_id(3)}};
   std::ptrdiff_t Place = 0;
   for (host &Host : Hosts) {
-    if (!Host.Alive && Host.Known && Now >= Host.NextView)
-      Host.Known = false;
+    if (!Host.Alive && Host.ConsideredAlive && Now >= Host.NextView)
+      Host.ConsideredAlive = false;
     host_evidence &Evidence = Input.Evidence[Host.Name];
     Evidence.Heartbeat.Host = Host.Name;
     Evidence.Heartbeat.Service = Spec.Name;
@@ -394,7 +395,7 @@
     Evidence.Heartbeat.Incarnation = Host.Incarnation;
     Evidence.Heartbeat.Report.Draining = Host.Draining;
     Evidence.ReceivedAt = Now;
-    Evidence.Dead = !Host.Known;
+    Evidence.Dead = !Host.ConsideredAlive;
     Evidence.DeadIncarnation = Host.Incarnation;
     if (Host.Core && Host.Core->oldestNeededGeneration() > 0)
       Evidence.Needs = Host.Core->oldestNeededGeneration();
--- a/test/path/path_world.h
+++ b/test/path/path_world.h
@@ -80,8 +80,9 @@
 
   void addHost();
   void drainHost(std::uint32_t Host);
-  /// Ends the process without notice. The fleet detects it after \p Found.
-  void killHost(std::uint32_t Host, duration Found);
+  /// Ends the process without notice. The fleet detects it after
+  /// \p DetectedAfter.
+  void killHost(std::uint32_t Host, duration DetectedAfter);
   /// Pauses the host's process for \p Time, after which it receives the packets
   /// that arrived meanwhile. This happens to VMs that are migrated or get no
   /// CPU time.
@@ -121,7 +122,7 @@
     endpoint Agent;
     std::uint32_t Incarnation = 1;
     bool Alive = true;
-    bool Known = true; // Considered alive by the fleet.
+    bool ConsideredAlive = true; // By the fleet.
     bool Draining = false;
     instant DiedAt;
     instant FrozenUntil;
