--- a/src/forward/candidate_list.h
+++ b/src/forward/candidate_list.h
@@ -1,5 +1,4 @@
 //===- candidate_list.h - Owner candidates in order -------------*- C++ -*-===//
-//-*-===//
 ///
 /// \file
 /// Writes the list of agents that a packet carries: the agents whose targets
--- a/src/forward/lookup_cursor.h
+++ b/src/forward/lookup_cursor.h
@@ -1,5 +1,4 @@
 //===- lookup_cursor.h - Position of an owner lookup ------------*- C++ -*-===//
-//-*-===//
 ///
 /// \file
 /// A service may have more targets than one list can name. The packet then
--- a/src/forward/recent_lookups.h
+++ b/src/forward/recent_lookups.h
@@ -1,5 +1,4 @@
 //===- recent_lookups.h - Owner lookups in progress -------------*- C++ -*-===//
-//-*-===//
 ///
 /// \file
 /// Limits the owner lookups for each flow. After a power failure thousands of
