--- a/include/marjoramrail/work.h
+++ b/include/marjoramrail/work.h
@@ -425,16 +425,16 @@
 class key_replica {
 public:
   key_replica(host_id Self, std::uint32_t Incarnation,
-              const key_settings &Settings, replica_history Past);
+              const key_settings &Settings, replica_history History);
   ~key_replica();
 
-  key_messages take(const key_view &View, instant Now);
+  key_messages applyView(const key_view &View, instant Now);
   key_messages receive(const key_message &Message, instant Now);
   /// Call it about every Resend.
   key_messages tick(instant Now);
   /// Must be called when this agent was out of contact for so long that others
   /// may have marked it down. It continues as \p Incarnation.
-  void lapsed(std::uint32_t Incarnation, instant Now);
+  void continueAs(std::uint32_t Incarnation, instant Now);
 
   std::size_t records() const;
   /// False while this replica still lacks records of a generation in the view.
@@ -454,8 +454,11 @@
   Done,
   /// The request may have run, so it never runs again.
   Unknown,
-  /// This attempt does not run: no replica has the complete records of the
-  /// key's earlier claims.
+  /// This attempt does not run, because one of these holds:
+  /// - no replica has the complete records of the key's earlier claims;
+  /// - this agent is not a member of the view, or has no view yet;
+  /// - continueAs() was called while the claim was pending;
+  /// - the key is too long for a record (checked by request_proxy).
   RecordsIncomplete,
   /// This attempt does not run: a replica has no room for another record.
   Full,
@@ -476,7 +479,7 @@
              const key_settings &Settings);
   ~key_claims();
 
-  key_messages take(const key_view &View, instant Now);
+  key_messages applyView(const key_view &View, instant Now);
   /// Starts a claim. results() returns its verdict at the latest after
   /// ClaimTimeout.
   key_messages claim(const std::string &Key, instant Now);
@@ -486,8 +489,9 @@
   /// not run).
   key_messages settle(const std::string &Key, key_state State,
                       const std::string &Outcome, instant Now);
-  /// See key_replica::lapsed(). Running requests continue; pending claims end.
-  void lapsed(std::uint32_t Incarnation, instant Now);
+  /// See key_replica::continueAs(). Running requests continue; pending claims
+  /// end.
+  void continueAs(std::uint32_t Incarnation, instant Now);
   std::vector<key_result> results();
   /// Number of claims and settle notices in progress.
   std::size_t open() const;
