--- a/include/marjoramrail/forward.h
+++ b/include/marjoramrail/forward.h
@@ -411,7 +411,7 @@
   bool admitting() const;
   /// Sets whether the target's process has stopped. A stopped target owns no
   /// flow, and every packet counts as declined.
-  void setTargetStopped(bool Gone, instant Now);
+  void setTargetStopped(bool Stopped, instant Now);
   bool targetStopped() const;
   /// Sets how many requests the target processes at once and for how long it is
   /// slower after its start.
--- a/src/forward/forward_agent.cpp
+++ b/src/forward/forward_agent.cpp
@@ -40,7 +40,7 @@
   load_report Report;
   Report.Service = Settings.Service;
   Report.Agent = Settings.Self;
-  Report.Admitting = Admitting && !TargetGone;
+  Report.Admitting = Admitting && !TargetStopped;
   const bool Declining =
       Declines.isDeclining() &&
       !Settings.DisabledMechanisms.has(mechanism::DeclineWatch);
@@ -79,13 +79,13 @@
 
 bool forward_agent::admitting() const { return Impl->Admitting; }
 
-void forward_agent::setTargetStopped(bool Gone, instant Now) {
-  if (Gone && !Impl->TargetGone)
+void forward_agent::setTargetStopped(bool Stopped, instant Now) {
+  if (Stopped && !Impl->TargetStopped)
     Impl->resetAll(Now);
-  Impl->TargetGone = Gone;
+  Impl->TargetStopped = Stopped;
 }
 
-bool forward_agent::targetStopped() const { return Impl->TargetGone; }
+bool forward_agent::targetStopped() const { return Impl->TargetStopped; }
 
 /// The flows of a process that has ended are lost. Their callers get a reset
 /// before they send their next request: a request that may run only once cannot
@@ -255,7 +255,7 @@
 }
 
 void forward_agent::impl::reportNow(instant Now) {
-  for (const auto &[Balancer, HeardAt] : Balancers)
+  for (const auto &[Balancer, LastMessageAt] : Balancers)
     sendReport(Balancer, Now);
 }
 
--- a/src/forward/forward_agent_impl.h
+++ b/src/forward/forward_agent_impl.h
@@ -83,7 +83,7 @@
   /// was last started because none had.
   std::optional<instant> LastContactOrCheckAt;
   bool Admitting = false;
-  bool TargetGone = false;
+  bool TargetStopped = false;
   /// The target has not answered the last packet that required an answer.
   bool TargetUnresponsive = false;
   internal::decline_watch Declines;
--- a/src/forward/forward_balancer.cpp
+++ b/src/forward/forward_balancer.cpp
@@ -20,7 +20,7 @@
 
 /// A flow may have been opened just before its agent stopped responding, and
 /// its caller may send for some more seconds.
-constexpr duration LostSlack = std::chrono::seconds(10);
+constexpr duration LostAgentMargin = std::chrono::seconds(10);
 
 } // namespace
 
@@ -73,7 +73,7 @@
   for (std::size_t I = 0; I < AgentTable.size(); ++I) {
     const agent_state &Agent = AgentTable.at(I);
     if (Agent.Suspect && Agent.isOwnZone() &&
-        Now - Agent.SuspectSince > Settings.FlowLife + LostSlack)
+        Now - Agent.SuspectSince > Settings.FlowLife + LostAgentMargin)
       Hooks.OnAgentLost(Agent.Agent, Now - Agent.SuspectSince);
   }
 }
@@ -116,7 +116,7 @@
   }
   if (Segment.Head.opensFlow())
     return open(Found->second, Segment, Bytes, Now);
-  return follow(Found->second, Segment, Bytes, Now);
+  return forwardOpenFlow(Found->second, Segment, Bytes, Now);
 }
 
 //===----------------------------------------------------------------------===//
--- a/src/forward/forward_balancer_impl.h
+++ b/src/forward/forward_balancer_impl.h
@@ -42,8 +42,9 @@
   forward_outcome route(const segment &Segment, bytes_view Bytes, instant Now);
   forward_outcome open(const internal::route_state &Route,
                        const segment &Segment, bytes_view Bytes, instant Now);
-  forward_outcome follow(const internal::route_state &Route,
-                         const segment &Segment, bytes_view Bytes, instant Now);
+  forward_outcome forwardOpenFlow(const internal::route_state &Route,
+                                  const segment &Segment, bytes_view Bytes,
+                                  instant Now);
   std::optional<std::size_t> place(const internal::route_state &Route,
                                    const segment &Segment,
                                    std::optional<endpoint> Avoid, instant Now);
--- a/src/forward/owner_lookup.cpp
+++ b/src/forward/owner_lookup.cpp
@@ -36,9 +36,10 @@
   return Place->Agent;
 }
 
-forward_outcome forward_balancer::impl::follow(const route_state &Route,
-                                               const segment &Segment,
-                                               bytes_view Bytes, instant Now) {
+forward_outcome
+forward_balancer::impl::forwardOpenFlow(const route_state &Route,
+                                        const segment &Segment,
+                                        bytes_view Bytes, instant Now) {
   const flow_key &Flow = Segment.Head.Flow;
   const auto CachedOwner = cachedOwner(Flow, Now);
   collectCandidates(Route);
--- a/src/forward/routed_packets.cpp
+++ b/src/forward/routed_packets.cpp
@@ -42,7 +42,7 @@
     return passToNext(Routed, Segment.Head, "another service");
   if (!Admitting)
     return passToNext(Routed, Segment.Head, "not admitting");
-  if (TargetGone)
+  if (TargetStopped)
     return passToNext(Routed, Segment.Head, "target gone");
   return deliver(Routed, Segment, /*NeedsAnswer=*/true, Now);
 }
@@ -55,7 +55,7 @@
     addReportReceiver(Routed, Now);
   else
     addOneTimeReceiver(Routed);
-  if (TargetGone)
+  if (TargetStopped)
     return passToNext(Routed, Segment.Head, "target gone");
   if (Kind == target_load::flow_match::OtherTarget)
     return passToNext(Routed, Segment.Head, "opened elsewhere");
