--- a/src/directory/peer_selector.cpp
+++ b/src/directory/peer_selector.cpp
@@ -6,7 +6,7 @@
   if (Peer == Self)
     return;
   peer &State = Peers[Peer];
-  if (!State.HeardAt && Zone != 0)
+  if (!State.LastMessageAt && Zone != 0)
     State.Zone = Zone;
 }
 
@@ -83,7 +83,7 @@
   Chosen.push_back(Left[Place(Random)]);
 }
 
-std::optional<endpoint> peer_selector::unheardPeerAhead(bool OfZone,
+std::optional<endpoint> peer_selector::unknownLowerPeer(bool OfZone,
                                                         instant Now) const {
   const bool IsAhead =
       OfZone ? rankIn(Zone, Now) < WatchersPerZone : rank(Now) < watchers(Now);
@@ -91,7 +91,7 @@
     return std::nullopt;
   for (const auto &[Peer, State] : Peers)
     if (Peer < Self && !State.isLive(Now) && (!OfZone || State.Zone == Zone) &&
-        State.Unanswered < MaxTriesAhead)
+        State.Unanswered < MaxTriesOfLowerRank)
       return Peer;
   return std::nullopt;
 }
@@ -126,15 +126,15 @@
   const candidates Found = candidatesAt(Now);
   std::vector<endpoint> Chosen;
   const bool ContactsWatcher = ++Rounds % 2 == 0;
-  if (const auto Ahead = unheardPeerAhead(/*OfZone=*/!ContactsWatcher, Now))
+  if (const auto Ahead = unknownLowerPeer(/*OfZone=*/!ContactsWatcher, Now))
     Chosen.push_back(*Ahead);
   addOneOf(ContactsWatcher ? Found.Watchers : Found.ZoneWatchers, Chosen);
-  if (Rounds % RoundsPerSilentPeer == 0)
+  if (Rounds % RoundsPerUnresponsivePeer == 0)
     addOneOf(Found.Unresponsive, Chosen);
   if (NeedsUpdates)
     addOneOf(ContactsWatcher ? Found.ZoneWatchers : Found.Watchers, Chosen);
   for (const std::vector<endpoint> *Any : {&Found.Live, &Found.Unresponsive})
-    for (std::size_t Turn = 0; Turn < Fanout; ++Turn)
+    for (std::size_t I = 0; I < Fanout; ++I)
       addOneOf(*Any, Chosen);
   for (const endpoint &Peer : Chosen) {
     peer &State = Peers[Peer];
--- a/src/directory/peer_selector.h
+++ b/src/directory/peer_selector.h
@@ -26,11 +26,11 @@
 public:
   /// Number of unanswered messages to a peer of lower rank before it is only
   /// contacted as one of the unresponsive peers.
-  static constexpr int MaxTriesAhead = 2;
+  static constexpr int MaxTriesOfLowerRank = 2;
   /// Peers contacted in one round.
   static constexpr std::size_t Fanout = 2;
   /// In every fifth round one message goes to an unresponsive peer.
-  static constexpr std::uint64_t RoundsPerSilentPeer = 5;
+  static constexpr std::uint64_t RoundsPerUnresponsivePeer = 5;
   /// A peer counts as dead if it has not answered at least this number of
   /// messages and DeadAfter has passed as well.
   static constexpr int DeadAfterMessages = 5;
@@ -82,7 +82,7 @@
 
 private:
   struct peer {
-    std::optional<instant> HeardAt;
+    std::optional<instant> LastMessageAt;
     std::uint32_t Zone = 0;
     bool IsServed = true;
     /// Messages sent since the peer's last message, and when the first of them
@@ -91,7 +91,7 @@
     instant UnansweredSince;
 
     bool isLive(instant Now) const {
-      return HeardAt && Now - *HeardAt <= LiveFor;
+      return LastMessageAt && Now - *LastMessageAt <= LiveFor;
     }
   };
 
@@ -108,7 +108,7 @@
   /// balancer currently ranks among the watchers (of its zone or of all). After
   /// a start a balancer knows few peers and would take over tasks of others;
   /// contacting these peers first corrects its rank quickly.
-  std::optional<endpoint> unheardPeerAhead(bool OfZone, instant Now) const;
+  std::optional<endpoint> unknownLowerPeer(bool OfZone, instant Now) const;
   std::size_t liveIn(std::uint32_t Zone, instant Now) const;
   bool anyServed(instant Now) const;
   /// The number of live peers with a lower address for which \p Counts is true.
--- a/src/directory/route_activation.cpp
+++ b/src/directory/route_activation.cpp
@@ -63,9 +63,9 @@
 template <typename Callable>
 void route_activation::forEachRule(const route_record &Record,
                                    const Callable &Take) const {
-  const std::vector<route> &Present = Active->Table.Routes;
+  const std::vector<route> &ActiveRoutes = Active->Table.Routes;
   static const std::vector<route> None;
-  const std::vector<route> &Coming =
+  const std::vector<route> &UpcomingRoutes =
       Newest && Newest != Active ? Newest->Table.Routes : None;
   const route_services &Recorded = Record.all();
   std::vector<rule_part> Parts;
@@ -77,22 +77,22 @@
     if (!Named)
       Parts.push_back({Name, Service});
   };
-  auto Now = Present.begin();
-  auto Next = Coming.begin();
+  auto Now = ActiveRoutes.begin();
+  auto Next = UpcomingRoutes.begin();
   auto Previous = Recorded.entries().begin();
   const auto PreviousEnd = Recorded.entries().end();
-  while (Now != Present.end() || Next != Coming.end()) {
-    endpoint Address = Now != Present.end() ? Now->Address : Next->Address;
-    if (Next != Coming.end())
+  while (Now != ActiveRoutes.end() || Next != UpcomingRoutes.end()) {
+    endpoint Address = Now != ActiveRoutes.end() ? Now->Address : Next->Address;
+    if (Next != UpcomingRoutes.end())
       Address = std::min(Address, Next->Address);
     Parts.clear();
-    for (; Now != Present.end() && Now->Address == Address; ++Now)
+    for (; Now != ActiveRoutes.end() && Now->Address == Address; ++Now)
       for (const service_share &Share : Now->Shares) {
         const service_id Service = serviceNumber(Share.Service);
         Parts.push_back({Share.Service, Service, Share.Weight,
                          Withheld.empty() || !isWithheld({Address, Service})});
       }
-    for (; Next != Coming.end() && Next->Address == Address; ++Next)
+    for (; Next != UpcomingRoutes.end() && Next->Address == Address; ++Next)
       for (const service_share &Share : Next->Shares)
         Add(Share.Service, serviceNumber(Share.Service));
     while (Previous != PreviousEnd && Previous->Address < Address)
--- a/test/directory/peer_selector_test.cpp
+++ b/test/directory/peer_selector_test.cpp
@@ -96,8 +96,8 @@
       Asked += Peer == balancer(1);
 
   // Ten rounds also contain two messages to unresponsive peers.
-  CHECK(Asked >= peer_selector::MaxTriesAhead);
-  CHECK(Asked <= peer_selector::MaxTriesAhead + 2);
+  CHECK(Asked >= peer_selector::MaxTriesOfLowerRank);
+  CHECK(Asked <= peer_selector::MaxTriesOfLowerRank + 2);
 }
 
 TEST_CASE("a balancer with old data contacts a watcher and a zone watcher") {
