--- a/include/marjoramrail/fleet.h
+++ b/include/marjoramrail/fleet.h
@@ -216,7 +216,7 @@
   duration GossipPeriod = std::chrono::seconds(1);
   /// A host that sent no heartbeat for this long is pinged three times: either
   /// two heartbeats were lost or the host is dead.
-  duration SilenceTimeout = std::chrono::milliseconds(2200);
+  duration HeartbeatTimeout = std::chrono::milliseconds(2200);
   /// Upper bound of the bytes per second that this node sends for control;
   /// bursts of up to four seconds' worth are allowed.
   std::uint32_t BytesPerSecond = 4096;
--- a/src/fleet/applied_tree.cpp
+++ b/src/fleet/applied_tree.cpp
@@ -14,7 +14,7 @@
 /// Changes within this time go up in one report. Five levels take five seconds,
 /// which is fast enough for a status read by people and leaves the bytes for
 /// views.
-constexpr duration SettleTime = std::chrono::milliseconds(800);
+constexpr duration ReportDelay = std::chrono::milliseconds(800);
 /// Entries that fit one datagram.
 constexpr std::size_t MaxEntries = 20;
 /// After a change of the tree, only services that changed within this time are
@@ -148,7 +148,7 @@
 }
 
 bool applied_tree::due(const applied_progress &Progress) const {
-  if (Timers.now() - Progress.ChangedAt < SettleTime)
+  if (Timers.now() - Progress.ChangedAt < ReportDelay)
     return false;
   return Progress.Report == 0 ||
          Timers.now() - Progress.SentAt >= ResendInterval;
@@ -179,7 +179,7 @@
 void applied_tree::tick() {
   if (PeersVersion != Peers.version())
     scheduleReports();
-  if (Timers.now() - TickedAt < SettleTime)
+  if (Timers.now() - TickedAt < ReportDelay)
     return;
   TickedAt = Timers.now();
   std::map<endpoint, std::vector<std::string>> ByReceiver;
--- a/src/fleet/heartbeat_receiver.cpp
+++ b/src/fleet/heartbeat_receiver.cpp
@@ -43,10 +43,10 @@
 
 heartbeat_receiver::heartbeat_receiver(timer_service &Timers,
                                        const view_store &Views,
-                                       duration SilenceTimeout, endpoint Self,
+                                       duration HeartbeatTimeout, endpoint Self,
                                        std::uint64_t Seed, hooks Hooks)
-    : Timers(Timers), Views(Views), SilenceTimeout(SilenceTimeout), Self(Self),
-      Random(Seed), Hooks(std::move(Hooks)) {}
+    : Timers(Timers), Views(Views), HeartbeatTimeout(HeartbeatTimeout),
+      Self(Self), Random(Seed), Hooks(std::move(Hooks)) {}
 
 void heartbeat_receiver::take(const endpoint &From,
                               const host_heartbeat &Heartbeat) {
@@ -100,7 +100,8 @@
 }
 
 duration heartbeat_receiver::timeoutFor(const host &Host) const {
-  return Host.Primary ? SilenceTimeout : PeriodsPerSecondary * SilenceTimeout;
+  return Host.Primary ? HeartbeatTimeout
+                      : PeriodsPerSecondary * HeartbeatTimeout;
 }
 
 bool heartbeat_receiver::differs(const host_heartbeat &Heartbeat,
@@ -165,7 +166,7 @@
   const std::string Key = keyOf(Request.Service, Request.Host);
   const auto Found = Hosts.find(Key);
   if (Found != Hosts.end() && !Found->second.ProbeOnly &&
-      Timers.now() - Found->second.ReceivedAt < SilenceTimeout / 2) {
+      Timers.now() - Found->second.ReceivedAt < HeartbeatTimeout / 2) {
     Hooks.Report(report_kind::Differs, Found->second.Last);
     return;
   }
--- a/src/fleet/heartbeat_receiver.h
+++ b/src/fleet/heartbeat_receiver.h
@@ -39,8 +39,8 @@
   };
 
   heartbeat_receiver(timer_service &Timers, const view_store &Views,
-                     duration SilenceTimeout, endpoint Self, std::uint64_t Seed,
-                     hooks Hooks);
+                     duration HeartbeatTimeout, endpoint Self,
+                     std::uint64_t Seed, hooks Hooks);
 
   void take(const endpoint &From, const host_heartbeat &Heartbeat);
 
@@ -94,7 +94,7 @@
 
   timer_service &Timers;
   const view_store &Views;
-  duration SilenceTimeout;
+  duration HeartbeatTimeout;
   endpoint Self;
   std::mt19937_64 Random;
   hooks Hooks;
--- a/src/fleet/membership_plan.cpp
+++ b/src/fleet/membership_plan.cpp
@@ -144,8 +144,7 @@
     const bool Dies = State == target_state::Down;
     if (serves(Target)) {
       if (serving() <= 1) {
-        Plan.HeldBack.insert(Dies ? held_back::AllSilent
-                                  : held_back::LastTarget);
+        Plan.HeldBack.insert(Dies ? held_back::AllDead : held_back::LastTarget);
         return;
       }
       if (Allowance == 0) {
@@ -170,9 +169,9 @@
   /// Removes entries of hosts that were declared dead long ago.
   void removeExpired() {
     for (std::size_t I = targets().size(); I-- > 0;) {
-      const auto Since = Input.DownSince.find(info()[I].Host);
+      const auto Since = Input.DeadSince.find(info()[I].Host);
       if (targets()[I].State != target_state::Down ||
-          Since == Input.DownSince.end() ||
+          Since == Input.DeadSince.end() ||
           Input.Now - Since->second < DownRetention ||
           inAnyGeneration(targets()[I].Id))
         continue;
--- a/src/fleet/membership_plan.h
+++ b/src/fleet/membership_plan.h
@@ -65,7 +65,7 @@
   /// When the last generation was added.
   instant LastGeneration;
   /// When hosts were declared dead, as far as this lease holder knows.
-  std::map<std::string, instant> DownSince;
+  std::map<std::string, instant> DeadSince;
 };
 
 /// Why a plan leaves out part of what was requested.
@@ -74,7 +74,7 @@
   /// A drain would leave no serving target.
   LastTarget,
   /// Every target seems dead; the last one is kept.
-  AllSilent,
+  AllDead,
   /// More than a third would leave at once; the others follow in later steps.
   Paced,
   /// All generations are still needed by flows.
@@ -86,7 +86,7 @@
 inline constexpr name_table<held_back, 6> HeldBackNames = {{
     {held_back::None, "none"},
     {held_back::LastTarget, "last-target"},
-    {held_back::AllSilent, "all-silent"},
+    {held_back::AllDead, "all-silent"},
     {held_back::Paced, "paced"},
     {held_back::GenerationsFull, "generations-full"},
     {held_back::Coalesced, "coalesced"},
--- a/src/fleet/node_wiring.cpp
+++ b/src/fleet/node_wiring.cpp
@@ -33,7 +33,7 @@
       ShardLeases(Settings.Shards),
       Gossip(Timers, Peers, Views, Settings.Seeds, gossipHooks()),
       HeartbeatReceiver(
-          Timers, Views, Settings.SilenceTimeout, Settings.Control,
+          Timers, Views, Settings.HeartbeatTimeout, Settings.Control,
           Settings.Seed ^ hashOfName(Settings.Name), receiverHooks()),
       Applied(Timers, Peers, Views, appliedHooks()),
       Controller(Timers, Writer, Counters, controllerHooks()) {
--- a/src/fleet/shard_controller.cpp
+++ b/src/fleet/shard_controller.cpp
@@ -18,7 +18,7 @@
 /// undecided, they are requested again at this interval.
 constexpr duration ProbeRetryInterval = std::chrono::seconds(3);
 /// A report that a host does not respond expires after this time.
-constexpr duration SilenceReportLifetime = std::chrono::seconds(5);
+constexpr duration UnresponsiveReportLifetime = std::chrono::seconds(5);
 /// Delay after an unavailable platform or a write that met another version.
 constexpr duration RetryInterval = std::chrono::seconds(1);
 /// Services written per tick (five ticks a second): taking over thousands must
@@ -159,7 +159,7 @@
 void shard_controller::recheckAll() {
   // Drops the state of shards that this node no longer holds.
   std::erase_if(Services, [&](const auto &State) {
-    return !State.second.Busy && !State.second.StatusBusy &&
+    return !State.second.WritePending && !State.second.StatusWritePending &&
            !Hooks.HoldsShard(State.first);
   });
   for (auto &[Name, State] : Services) {
@@ -179,7 +179,7 @@
     return !Known.contains(Entry.first) &&
            Timers.now() - Entry.second.ReceivedAt >= DownRetention;
   });
-  std::erase_if(State.DownSince, [&](const auto &Entry) {
+  std::erase_if(State.DeadSince, [&](const auto &Entry) {
     return !Known.contains(Entry.first);
   });
 }
@@ -238,8 +238,8 @@
   for (auto At = State.UnresponsiveHosts.begin();
        At != State.UnresponsiveHosts.end();) {
     auto &[Host, Unresponsive] = *At;
-    std::erase_if(Unresponsive.By, [&](const auto &Opinion) {
-      return Timers.now() - Opinion.second > SilenceReportLifetime;
+    std::erase_if(Unresponsive.By, [&](const auto &Report) {
+      return Timers.now() - Report.second > UnresponsiveReportLifetime;
     });
     if (Unresponsive.By.empty()) {
       At = State.UnresponsiveHosts.erase(At);
@@ -273,14 +273,14 @@
     service_state &State = Services[Service];
     if (!Hooks.Term(Service))
       continue;
-    if (State.Busy || State.RetryAt > Timers.now() || WritesLeft == 0) {
+    if (State.WritePending || State.RetryAt > Timers.now() || WritesLeft == 0) {
       Due.insert(Service);
       continue;
     }
     if (evaluateUnresponsive(State))
       Due.insert(Service);
     step(Service, State);
-    WritesLeft -= State.Busy ? 1 : 0;
+    WritesLeft -= State.WritePending ? 1 : 0;
     report(Service, State);
   }
 }
@@ -311,8 +311,8 @@
   if (Input.Current != nullptr)
     for (std::size_t I = 0; I < Input.Current->Info.size(); ++I)
       if (Input.Current->View.Targets[I].State == target_state::Down)
-        State.DownSince.try_emplace(Input.Current->Info[I].Host, Timers.now());
-  Input.DownSince = State.DownSince;
+        State.DeadSince.try_emplace(Input.Current->Info[I].Host, Timers.now());
+  Input.DeadSince = State.DeadSince;
   return Input;
 }
 
@@ -336,10 +336,10 @@
 
 void shard_controller::write(const std::string &Service, service_state &State,
                              const membership_plan &Plan) {
-  State.Busy = true;
+  State.WritePending = true;
   for (const std::string &Host : Plan.DeclaredDead) {
     ++Counters.HostsDeclaredDead;
-    State.DownSince[Host] = Timers.now();
+    State.DeadSince[Host] = Timers.now();
     note(std::string("declared host ").append(Host).append(" dead"));
   }
   Writer.write({"membership", Service}, toBody(Plan.Next), State.StoredVersion,
@@ -353,7 +353,7 @@
                                const membership &Next, bool NewGeneration,
                                const write_result &Result) {
   service_state &State = Services[Service];
-  State.Busy = false;
+  State.WritePending = false;
   Due.insert(Service);
   switch (Result.Outcome) {
   case write_outcome::Written:
--- a/src/fleet/shard_controller.h
+++ b/src/fleet/shard_controller.h
@@ -88,16 +88,16 @@
     std::uint64_t StoredVersion = 0;
     std::map<std::string, host_evidence> Evidence;
     std::map<std::string, unresponsive_host> UnresponsiveHosts;
-    std::map<std::string, instant> DownSince;
+    std::map<std::string, instant> DeadSince;
     instant LastGeneration;
     instant RetryAt;
-    bool Busy = false;
+    bool WritePending = false;
     std::set<held_back> HeldBack;
     std::string Invalid;
     service_status Status;
     std::uint64_t StatusVersion = 0;
     instant StatusAt;
-    bool StatusBusy = false;
+    bool StatusWritePending = false;
     /// The view version that was seen in effect on all nodes. Balancers that
     /// join later load it before they are ready, so the status is not updated
     /// for them.
--- a/src/fleet/shard_status.cpp
+++ b/src/fleet/shard_status.cpp
@@ -78,7 +78,7 @@
 
 void shard_controller::report(const std::string &Service,
                               service_state &State) {
-  if (State.StatusBusy || !Hooks.Term(Service) || !State.Spec)
+  if (State.StatusWritePending || !Hooks.Term(Service) || !State.Spec)
     return;
   const service_status Status = statusOf(Service, State);
   if (Status == State.Status)
@@ -88,7 +88,7 @@
     Due.insert(Service);
     return;
   }
-  State.StatusBusy = true;
+  State.StatusWritePending = true;
   State.StatusAt = Timers.now();
   Writer.write({"service-status", Service}, toJson(Status), State.StatusVersion,
                [this, Service, Status](const write_result &Result) {
@@ -100,7 +100,7 @@
                                      const service_status &Status,
                                      const write_result &Result) {
   service_state &State = Services[Service];
-  State.StatusBusy = false;
+  State.StatusWritePending = false;
   if (Result.Outcome == write_outcome::Written) {
     State.Status = Status;
     if (Status.Nodes > 0 && Status.AppliedOn == Status.Nodes)
--- a/test/fleet/membership_plan_test.cpp
+++ b/test/fleet/membership_plan_test.cpp
@@ -121,7 +121,7 @@
     Plan.step();
 
   CHECK(Plan.count(target_state::Ready) == 1);
-  CHECK(Plan.step().HeldBack.contains(held_back::AllSilent));
+  CHECK(Plan.step().HeldBack.contains(held_back::AllDead));
 }
 
 TEST_CASE("changes within a second form one generation") {
